--- /dev/null
+++ b/src/test/java/io/quartzgw/app/DecisionDigestTest.java
@@ -0,0 +1,41 @@
+package io.quartzgw.app;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import io.quartzgw.standin.SimWorld;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/**
+ * Tells a refactoring from a change of behaviour: digests of everything that the controllers send while the random
+ * failures of {@link FailureTest} are played. A refactoring leaves them as they are; whoever changes a decision, a
+ * message or the order of draws from the random source replaces them by the new ones, which a failing test shows.
+ */
+class DecisionDigestTest {
+
+    @ParameterizedTest
+    @CsvSource({
+        "11, 13883 c83ea3d4d0cb9062",
+        "12, 13383 b2322f0e3165c9bc",
+        "429, 13522 5448266011a600d7",
+        "310494, 14195 ff76b13ec548e003"
+    })
+    void controllersDecideAsBeforeThroughSingleFailures(long seed, String expected) {
+        SimWorld world = new SimWorld(seed, 3);
+        FailureTest.runSingleFailures(world, seed);
+        assertEquals(expected, world.decisions());
+    }
+
+    @ParameterizedTest
+    @CsvSource({
+        "1, 15684 5546b394b3193943",
+        "7, 22213 d1b5bee87091692a",
+        "13, 14495 4c68b1bd00df108a",
+        "40, 25024 cb91e689f8edfc53"
+    })
+    void controllersDecideAsBeforeUnderConcurrentFaults(long seed, String expected) {
+        SimWorld world = new SimWorld(seed, 3);
+        FailureTest.runConcurrentFaults(world, seed);
+        assertEquals(expected, world.decisions());
+    }
+}
--- a/src/test/java/io/quartzgw/app/FailureTest.java
+++ b/src/test/java/io/quartzgw/app/FailureTest.java
@@ -321,6 +321,13 @@
     @MethodSource("seeds")
     void rulesHoldThroughRandomFailures(long seed) {
         SimWorld world = new SimWorld(seed, 3);
+        List<String> arrays = runSingleFailures(world, seed);
+        assertAllWell(world, arrays);
+        assertTrue(world.rules.started() > 50, "tasks were started");
+    }
+
+    /** Runs random failures, one after the other, and returns the arrays that were submitted. */
+    static List<String> runSingleFailures(SimWorld world, long seed) {
         world.lateTransactions(0.01);
         world.lateCopies(0.02);
         SplittableRandom random = new SplittableRandom(seed);
@@ -328,8 +335,7 @@
         faults(world, random);
         world.at(TROUBLES_END, () -> world.rules.troublesOver(TROUBLES_END));
         world.play(END);
-        assertAllWell(world, arrays);
-        assertTrue(world.rules.started() > 50, "tasks were started");
+        return arrays;
     }
 
     static LongStream concurrentSeeds() {
@@ -340,6 +346,12 @@
     @MethodSource("concurrentSeeds")
     void rulesHoldUnderConcurrentFaults(long seed) {
         SimWorld world = new SimWorld(seed, 3);
+        List<String> arrays = runConcurrentFaults(world, seed);
+        assertAllWell(world, arrays);
+    }
+
+    /** Runs random faults over each other, and returns the arrays that were submitted. */
+    static List<String> runConcurrentFaults(SimWorld world, long seed) {
         world.lateTransactions(0.01);
         world.lateCopies(0.02);
         SplittableRandom random = new SplittableRandom(seed);
@@ -357,6 +369,6 @@
             world.play(1_000);
             world.sweepWaiting();
         }
-        assertAllWell(world, arrays);
+        return arrays;
     }
 }
--- a/src/test/java/io/quartzgw/standin/SimSettings.java
+++ b/src/test/java/io/quartzgw/standin/SimSettings.java
@@ -55,4 +55,18 @@
                 new CloudLimits(4, 5_000),
                 1000);
     }
+
+    /** The host of the simulation that has an address. */
+    static String host(Endpoint to) {
+        if (to.equals(STORE_AT)) {
+            return SimWorld.STORE;
+        }
+        if (to.equals(CLOUD_AT)) {
+            return SimWorld.CLOUD;
+        }
+        if (to.host().startsWith("10.0.0.")) {
+            return "rig-" + (Integer.parseInt(to.host().substring("10.0.0.".length())) - 1);
+        }
+        return String.format("i-%06d", to.port() - 10_000);
+    }
 }
--- a/src/test/java/io/quartzgw/standin/SimWorld.java
+++ b/src/test/java/io/quartzgw/standin/SimWorld.java
@@ -48,6 +48,7 @@
     private final WorkerTimes times;
     private final SimSettings settings;
     private final OrderDelays orderDelays;
+    private final MessageDigests sent = new MessageDigests();
     private final List<SimNode> nodes = new ArrayList<>();
     private final Map<String, SimWorker> workers = new TreeMap<>();
     private final Map<String, JsonNode> submitted = new HashMap<>();
@@ -281,6 +282,11 @@
         return counts;
     }
 
+    /** A digest of all that the controllers have sent so far, to tell whether two versions decide alike. */
+    public String decisions() {
+        return sent.summary();
+    }
+
     /** The index of the node that leads with the highest term, or -1. */
     public int leader() {
         int best = -1;
@@ -307,6 +313,7 @@
         // Shown by the log's lines: which node, and when.
         Thread.currentThread().setName(now + " " + sim.name);
         for (Effect effect : sim.kernel.handle(batch, time())) {
+            sent.add(now, sim.name, effect);
             if (effect instanceof Effect.Answer answer) {
                 Consumer<Response> then = sim.inbound.remove(answer.exchange());
                 if (then != null) {
@@ -516,7 +523,7 @@
     }
 
     private void send(String from, Call call, Consumer<Reply> then) {
-        String to = host(call.to());
+        String to = SimSettings.host(call.to());
         boolean[] done = new boolean[1];
         Consumer<Reply> once = reply -> {
             if (!done[0]) {
@@ -552,19 +559,6 @@
         }
     }
 
-    private static String host(Endpoint to) {
-        if (to.equals(SimSettings.STORE_AT)) {
-            return STORE;
-        }
-        if (to.equals(SimSettings.CLOUD_AT)) {
-            return CLOUD;
-        }
-        if (to.host().startsWith("10.0.0.")) {
-            return "rig-" + (Integer.parseInt(to.host().substring("10.0.0.".length())) - 1);
-        }
-        return String.format("i-%06d", to.port() - 10_000);
-    }
-
     private void serve(String from, String to, Call call, Consumer<Reply> then) {
         if (to.equals(STORE) && refused.contains(from)) {
             then.accept(StoreStandIn.reply(503, Json.object().put("error", "trouble")));
