--- a/src/main/java/io/quartzgw/worker/Order.java
+++ b/src/main/java/io/quartzgw/agent/AgentCommand.java
@@ -1,17 +1,17 @@
-package io.quartzgw.worker;
+package io.quartzgw.agent;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quartzgw.http.Json;
-import io.quartzgw.placement.Booking;
+import io.quartzgw.scheduling.Allocation;
 import java.util.List;
 
 /** A command to a worker. */
-public sealed interface Order {
+public sealed interface AgentCommand {
 
     ObjectNode toJson();
 
     /** Starts an attempt; without effect where the worker knows the attempt. */
-    record Start(Booking booking) implements Order {
+    record Start(Allocation booking) implements AgentCommand {
         @Override
         public ObjectNode toJson() {
             return named("run", Attempt.of(booking));
@@ -19,7 +19,7 @@
     }
 
     /** Stops an attempt, giving it so many seconds to save. */
-    record Stop(Attempt attempt, double graceS) implements Order {
+    record Stop(Attempt attempt, double graceS) implements AgentCommand {
         @Override
         public ObjectNode toJson() {
             return named("kill", attempt).put("wind_down_s", graceS);
@@ -27,7 +27,7 @@
     }
 
     /** Removes an ended attempt from the reports. */
-    record Remove(Attempt attempt) implements Order {
+    record Remove(Attempt attempt) implements AgentCommand {
         @Override
         public ObjectNode toJson() {
             return named("reap", attempt);
@@ -35,7 +35,7 @@
     }
 
     /** The attempts that some orders start. */
-    static List<Attempt> starts(List<Order> orders) {
+    static List<Attempt> starts(List<AgentCommand> orders) {
         return orders.stream()
                 .filter(Start.class::isInstance)
                 .map(order -> Attempt.of(((Start) order).booking()))
--- a/src/main/java/io/quartzgw/worker/WorkerTimes.java
+++ b/src/main/java/io/quartzgw/agent/AgentTiming.java
@@ -1,7 +1,7 @@
-package io.quartzgw.worker;
+package io.quartzgw.agent;
 
 /** The workers' figures from the settings, in milliseconds. */
-public record WorkerTimes(long reportMs, long leaseMs, long cancelMs) {
+public record AgentTiming(long heartbeatMs, long leaseMs, long cancelMs) {
     /** Steady clocks of two machines drift apart by up to 0.05%, either way. */
     private static final double DRIFT = 0.001;
 
--- a/src/main/java/io/quartzgw/worker/Report.java
+++ b/src/main/java/io/quartzgw/agent/Heartbeat.java
@@ -1,10 +1,10 @@
-package io.quartzgw.worker;
+package io.quartzgw.agent;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import io.quartzgw.http.Endpoint;
-import io.quartzgw.placement.Presence;
+import io.quartzgw.scheduling.AgentLiveness;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -14,47 +14,47 @@
  * What a worker says of its machine. The list of tasks is kept as it came and read only when it differs from the one
  * before: most reports of hundreds of machines say nothing new.
  *
- * @param listing the list of tasks as bytes of JSON, perhaps empty
+ * @param taskList the list of tasks as bytes of JSON, perhaps empty
  */
-public record Report(
+public record Heartbeat(
         String machine,
         Endpoint address,
         String machineType,
         String zone,
         boolean spot,
-        long session,
-        long counter,
-        long token,
+        long epoch,
+        long sequence,
+        long fencingToken,
         Double reclaimInS,
-        byte[] listing) {
+        byte[] taskList) {
     private static final JsonFactory JSON = new JsonFactory();
-    private static final byte[] NOTHING = new byte[0];
+    private static final byte[] NO_TASKS = new byte[0];
 
     /** What the worker says of one attempt. */
-    public record TaskReport(Attempt attempt, State state, Cause cause) {}
+    public record TaskStatus(Attempt attempt, TaskState state, ExitCause cause) {}
 
     /** The state of a task as its worker reports it. */
-    public enum State {
+    public enum TaskState {
         FETCHING,
         RUNNING,
-        SAVING,
-        ENDED
+        CHECKPOINTING,
+        EXITED
     }
 
     /** Why an attempt ended. */
-    public enum Cause {
+    public enum ExitCause {
         DONE,
         STOPPED,
         ERROR,
         /** Its gang did not come together, or fell apart. */
-        GANG,
+        GANG_FAILED,
         /** It was refused: the machine had no room, another attempt, or no such job. */
         REFUSED,
         NONE
     }
 
     /** The report, or null when the message is none. */
-    public static Report read(byte[] message) {
+    public static Heartbeat read(byte[] message) {
         try (JsonParser parser = JSON.createParser(message)) {
             return read(parser, message);
         } catch (IOException | IllegalArgumentException e) {
@@ -62,7 +62,7 @@
         }
     }
 
-    private static Report read(JsonParser parser, byte[] message) throws IOException {
+    private static Heartbeat read(JsonParser parser, byte[] message) throws IOException {
         if (parser.nextToken() != JsonToken.START_OBJECT) {
             return null;
         }
@@ -75,7 +75,7 @@
         long counter = -1;
         long token = 0;
         Double reclaim = null;
-        byte[] listing = NOTHING;
+        byte[] listing = NO_TASKS;
         while (parser.nextToken() == JsonToken.FIELD_NAME) {
             String field = parser.currentName();
             JsonToken value = parser.nextToken();
@@ -103,27 +103,27 @@
         }
         return machine == null || session < 0 || counter < 0
                 ? null
-                : new Report(
+                : new Heartbeat(
                         machine, Endpoint.parse(address), type, zone, spot, session, counter, token, reclaim, listing);
     }
 
     /** Whether it is newer than another one of the same machine. */
-    boolean newerThan(Report other) {
-        return Presence.newer(session, counter, other.session, other.counter);
+    boolean isNewerThan(Heartbeat other) {
+        return AgentLiveness.isNewer(epoch, sequence, other.epoch, other.sequence);
     }
 
     /** The tasks of the list; items that are none are left out. */
-    List<TaskReport> tasks() {
-        List<TaskReport> tasks = new ArrayList<>();
-        if (listing.length == 0) {
+    List<TaskStatus> tasks() {
+        List<TaskStatus> tasks = new ArrayList<>();
+        if (taskList.length == 0) {
             return tasks;
         }
-        try (JsonParser parser = JSON.createParser(listing)) {
+        try (JsonParser parser = JSON.createParser(taskList)) {
             parser.nextToken();
             for (JsonToken item = parser.nextToken();
                     item != null && item != JsonToken.END_ARRAY;
                     item = parser.nextToken()) {
-                TaskReport task = item == JsonToken.START_OBJECT ? task(parser) : null;
+                TaskStatus task = item == JsonToken.START_OBJECT ? task(parser) : null;
                 if (task != null) {
                     tasks.add(task);
                 }
@@ -135,7 +135,7 @@
         return tasks;
     }
 
-    private static TaskReport task(JsonParser parser) throws IOException {
+    private static TaskStatus task(JsonParser parser) throws IOException {
         String name = "";
         long attempt = 0;
         String phase = "";
@@ -161,27 +161,27 @@
         } catch (NumberFormatException e) {
             return null;
         }
-        return new TaskReport(new Attempt(name.substring(0, slash), index, attempt), state(phase), cause(cause));
+        return new TaskStatus(new Attempt(name.substring(0, slash), index, attempt), state(phase), cause(cause));
     }
 
-    private static State state(String phase) {
+    private static TaskState state(String phase) {
         return switch (phase) {
             // A gang's task that waits for the others does not run yet.
-            case "fetching", "gathering" -> State.FETCHING;
-            case "flushing" -> State.SAVING;
-            case "ended" -> State.ENDED;
-            default -> State.RUNNING;
+            case "fetching", "gathering" -> TaskState.FETCHING;
+            case "flushing" -> TaskState.CHECKPOINTING;
+            case "ended" -> TaskState.EXITED;
+            default -> TaskState.RUNNING;
         };
     }
 
-    private static Cause cause(String exit) {
+    private static ExitCause cause(String exit) {
         return switch (exit) {
-            case "done" -> Cause.DONE;
-            case "stopped" -> Cause.STOPPED;
-            case "error" -> Cause.ERROR;
-            case "peers", "alone" -> Cause.GANG;
-            case "no_room", "busy", "unknown" -> Cause.REFUSED;
-            default -> Cause.NONE;
+            case "done" -> ExitCause.DONE;
+            case "stopped" -> ExitCause.STOPPED;
+            case "error" -> ExitCause.ERROR;
+            case "peers", "alone" -> ExitCause.GANG_FAILED;
+            case "no_room", "busy", "unknown" -> ExitCause.REFUSED;
+            default -> ExitCause.NONE;
         };
     }
 }
--- a/src/main/java/io/quartzgw/worker/OutstandingStarts.java
+++ b/src/main/java/io/quartzgw/agent/OutstandingStarts.java
@@ -1,4 +1,4 @@
-package io.quartzgw.worker;
+package io.quartzgw.agent;
 
 import java.util.Collection;
 import java.util.HashMap;
@@ -45,24 +45,24 @@
     }
 
     /** The worker has made a report: it has one under way at a time, so it waits for no response to an earlier one. */
-    void reported(long counter) {
+    void heartbeatReceived(long counter) {
         inResponses.values().removeIf(answered -> answered < counter);
     }
 
     /** The worker has begun another session: it drops what names an earlier one. */
-    void sessionEnded() {
+    void epochEnded() {
         inCall.clear();
         unanswered.clear();
         inResponses.clear();
     }
 
     /** The machine has a new worker, which counts its sessions anew: direct orders to the former one may reach it. */
-    void workerReplaced() {
+    void agentReplaced() {
         inResponses.clear();
     }
 
     /** Whether a start is in the direct order under way. */
-    boolean underWay(Attempt start) {
+    boolean inFlight(Attempt start) {
         return inCall.contains(start);
     }
 
@@ -82,7 +82,7 @@
     }
 
     /** Whether no copy of any start is outstanding. */
-    boolean none() {
+    boolean isEmpty() {
         return inCall.isEmpty() && unanswered.isEmpty() && inResponses.isEmpty();
     }
 }
--- a/src/main/java/io/quartzgw/app/Service.java
+++ b/src/main/java/io/quartzgw/app/ControllerProcess.java
@@ -1,14 +1,14 @@
 package io.quartzgw.app;
 
+import io.quartzgw.eventloop.Command;
+import io.quartzgw.eventloop.Effect;
+import io.quartzgw.eventloop.EventLoop;
+import io.quartzgw.eventloop.EventLoopThread;
 import io.quartzgw.http.HttpClient;
 import io.quartzgw.http.HttpServer;
 import io.quartzgw.http.ListenerKind;
 import io.quartzgw.http.Request;
 import io.quartzgw.http.Sockets;
-import io.quartzgw.loop.Command;
-import io.quartzgw.loop.Effect;
-import io.quartzgw.loop.Kernel;
-import io.quartzgw.loop.OwnerThread;
 import io.undertow.connector.ByteBufferPool;
 import io.undertow.server.DefaultByteBufferPool;
 import java.io.IOException;
@@ -21,7 +21,7 @@
 import org.xnio.XnioWorker;
 
 /** A running controller: the core on its owner thread, and one I/O thread for all sockets. */
-final class Service {
+final class ControllerProcess {
     private static final int BUFFER_BYTES = 8 * 1024;
     private static final int POOLED_BUFFERS = 128;
     /** Workers and users that live ask far more often; a dead one's connection only holds a socket. */
@@ -29,23 +29,23 @@
 
     private static final long STACK_BYTES = 256 * 1024;
 
-    private final Metrics metrics = new Metrics();
+    private final ProcessMetrics metrics = new ProcessMetrics();
     private final Map<Long, Long> begun = new ConcurrentHashMap<>();
-    private final Kernel kernel;
-    private final Node node;
-    private final OwnerThread owner;
+    private final EventLoop kernel;
+    private final Controller node;
+    private final EventLoopThread owner;
     private final XnioWorker worker;
     private final HttpServer server;
     private final HttpClient client;
     private final Thread thread;
 
-    Service(Settings settings, long process) throws IOException {
-        this.kernel = new Kernel(process);
-        this.node = new Node(kernel, settings, process, metrics::snapshot);
+    ControllerProcess(Settings settings, long process) throws IOException {
+        this.kernel = new EventLoop(process);
+        this.node = new Controller(kernel, settings, process, metrics::snapshot);
         Sockets sockets = Sockets.of(settings.sockets());
         // A client has one request under way: all that are connected may ask a new leader at once, and none of
         // them is better served by a refusal that sends it to another node first.
-        this.owner = new OwnerThread(kernel, sockets.client(), this::perform);
+        this.owner = new EventLoopThread(kernel, sockets.client(), this::perform);
         this.thread = new Thread(null, owner, "owner", STACK_BYTES);
         this.worker = Xnio.getInstance()
                 .createWorker(OptionMap.builder()
@@ -63,12 +63,12 @@
                 settings.clientListen(),
                 settings.peerListen(),
                 sockets,
-                (int) (IDLE_REPORTS * settings.workers().reportMs()),
+                (int) (IDLE_REPORTS * settings.agentTiming().heartbeatMs()),
                 this::take);
     }
 
     void start() {
-        kernel.handle(List.of(), OwnerThread.timeNow());
+        kernel.processBatch(List.of(), EventLoopThread.currentTime());
         node.start();
         server.start();
         thread.start();
@@ -90,7 +90,7 @@
 
     private boolean take(Request request) {
         begun.put(request.exchange(), System.nanoTime());
-        if (owner.offer(new Command.Arrived(request))) {
+        if (owner.offerRequest(new Command.Arrived(request))) {
             return true;
         }
         begun.remove(request.exchange());
@@ -106,7 +106,7 @@
             }
             server.answer(answer.exchange(), answer.response());
         } else if (effect instanceof Effect.Send send) {
-            client.send(send.request(), reply -> owner.ended(new Command.CallEnded(send.call(), reply)));
+            client.send(send.request(), reply -> owner.callEnded(new Command.CallEnded(send.call(), reply)));
         }
     }
 }
--- a/src/main/java/io/quartzgw/app/ControllerServices.java
+++ b/src/main/java/io/quartzgw/app/ControllerServices.java
@@ -1,24 +1,24 @@
 package io.quartzgw.app;
 
+import io.quartzgw.cancellation.CancellationRegistry;
 import io.quartzgw.cancellation.CancellationWatermark;
-import io.quartzgw.cancellation.Cancellations;
+import io.quartzgw.eventloop.EventLoop;
 import io.quartzgw.fleet.CloudClient;
-import io.quartzgw.fleet.MachineTypes;
+import io.quartzgw.fleet.MachineCatalog;
 import io.quartzgw.leadership.Leadership;
-import io.quartzgw.leadership.Peers;
-import io.quartzgw.loop.Kernel;
+import io.quartzgw.leadership.PeerExchange;
 import io.quartzgw.store.StoreClient;
 import io.quartzgw.submission.JobStore;
 
 /** What every controller has, whether it leads or not, and a leader builds on. */
 record ControllerServices(
-        Kernel kernel,
+        EventLoop kernel,
         Settings settings,
         Leadership leadership,
-        Peers peers,
+        PeerExchange peers,
         StoreClient store,
         JobStore jobs,
-        Cancellations cancellations,
+        CancellationRegistry cancellations,
         CancellationWatermark watermark,
-        MachineTypes types,
+        MachineCatalog types,
         CloudClient cloud) {}
--- a/src/main/java/io/quartzgw/app/InvalidSettings.java
+++ b/src/main/java/io/quartzgw/app/InvalidSettingsException.java
@@ -1,10 +1,10 @@
 package io.quartzgw.app;
 
 /** Settings that a node can't start with; the message names the field. */
-public final class InvalidSettings extends Exception {
+public final class InvalidSettingsException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    InvalidSettings(String message) {
+    InvalidSettingsException(String message) {
         super(message);
     }
 }
--- a/src/main/java/io/quartzgw/app/CountPages.java
+++ b/src/main/java/io/quartzgw/app/JobCountPager.java
@@ -1,18 +1,18 @@
 package io.quartzgw.app;
 
-import io.quartzgw.placement.Cluster;
-import io.quartzgw.placement.Job;
+import io.quartzgw.scheduling.ClusterState;
+import io.quartzgw.scheduling.Job;
 import io.quartzgw.submission.JobCounts;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
 /** Counts of running and done tasks for display, a page each time: thousands of jobs don't fit one message. */
-final class CountPages {
-    private final Cluster cluster;
+final class JobCountPager {
+    private final ClusterState cluster;
     /** The last job of the last page. */
-    private String countedTo = "";
+    private String lastPagedJob = "";
 
-    CountPages(Cluster cluster) {
+    JobCountPager(ClusterState cluster) {
         this.cluster = cluster;
     }
 
@@ -22,20 +22,20 @@
      * @param most how many jobs it may name
      */
     JobCounts next(int most) {
-        String after = countedTo;
-        Map<String, JobCounts.Counts> page = new LinkedHashMap<>();
-        countedTo = "";
+        String after = lastPagedJob;
+        Map<String, JobCounts.TaskCounts> page = new LinkedHashMap<>();
+        lastPagedJob = "";
         for (Job job : cluster.jobsAfter(after)) {
             int running = job.runningCount();
             if (running > 0 || job.doneCount() > 0) {
                 if (page.size() == most) {
-                    return new JobCounts(after, countedTo, page);
+                    return new JobCounts(after, lastPagedJob, page);
                 }
-                page.put(job.id(), new JobCounts.Counts(job.doneCount(), running));
+                page.put(job.id(), new JobCounts.TaskCounts(job.doneCount(), running));
             }
-            countedTo = job.id();
+            lastPagedJob = job.id();
         }
-        countedTo = "";
+        lastPagedJob = "";
         return new JobCounts(after, null, page);
     }
 }
--- a/src/main/java/io/quartzgw/app/Main.java
+++ b/src/main/java/io/quartzgw/app/Main.java
@@ -43,7 +43,7 @@
         Settings settings;
         try {
             settings = SettingsReader.read(config);
-        } catch (InvalidSettings e) {
+        } catch (InvalidSettingsException e) {
             System.err.println("quartzgw: " + e.getMessage());
             return UNUSABLE;
         }
@@ -52,7 +52,7 @@
             return 0;
         }
         Logger log = LoggerFactory.getLogger(Main.class);
-        Service service = new Service(settings, processNumber(settings.member()));
+        ControllerProcess service = new ControllerProcess(settings, processNumber(settings.member()));
         service.start();
         log.info(
                 "{} serves users and workers on {}, controllers on {}",
--- a/src/main/java/io/quartzgw/app/OpenJobs.java
+++ b/src/main/java/io/quartzgw/app/OpenJobWatcher.java
@@ -1,11 +1,11 @@
 package io.quartzgw.app;
 
 import io.quartzgw.cancellation.CancellationWatermark;
+import io.quartzgw.eventloop.EventLoop;
 import io.quartzgw.leadership.LeaderTerm;
-import io.quartzgw.loop.Kernel;
-import io.quartzgw.placement.Cluster;
-import io.quartzgw.placement.Job;
-import io.quartzgw.store.Change;
+import io.quartzgw.scheduling.ClusterState;
+import io.quartzgw.scheduling.Job;
+import io.quartzgw.store.KeyChange;
 import io.quartzgw.store.StoreClient;
 import io.quartzgw.submission.JobKeys;
 import io.quartzgw.submission.OpenJob;
@@ -16,29 +16,29 @@
 import java.util.stream.Collectors;
 
 /** Keeps the leader's open jobs in step with the state service: what it tells, and what other controllers tell. */
-final class OpenJobs implements StoreClient.Follower {
+final class OpenJobWatcher implements StoreClient.Watcher {
     /** How long a follow waits: what it has told is known up to when it was asked. */
-    private static final double FOLLOW_REPORTS = 0.6;
+    private static final double WATCH_HEARTBEATS = 0.6;
 
-    private final Kernel kernel;
+    private final EventLoop kernel;
     private final StoreClient store;
     private final LeaderTerm term;
-    private final Cluster cluster;
+    private final ClusterState cluster;
     private final CancellationWatermark watermark;
     private final long reportMs;
-    private final Predicate<String> knownOver;
-    private final Consumer<String> ended;
-    private long followedTo = Long.MAX_VALUE;
+    private final Predicate<String> knownTerminal;
+    private final Consumer<String> onTerminated;
+    private long watchedRevision = Long.MAX_VALUE;
 
     /**
-     * @param knownOver whether a job is known to have ended, whatever is told of it
-     * @param ended told of a job that is over in the state service
+     * @param knownTerminal whether a job is known to have ended, whatever is told of it
+     * @param onTerminated told of a job that is over in the state service
      */
-    OpenJobs(
-            Kernel kernel,
+    OpenJobWatcher(
+            EventLoop kernel,
             StoreClient store,
             LeaderTerm term,
-            Cluster cluster,
+            ClusterState cluster,
             CancellationWatermark watermark,
             long reportMs,
             Predicate<String> knownOver,
@@ -49,47 +49,47 @@
         this.cluster = cluster;
         this.watermark = watermark;
         this.reportMs = reportMs;
-        this.knownOver = knownOver;
-        this.ended = ended;
+        this.knownTerminal = knownOver;
+        this.onTerminated = ended;
     }
 
     /** Takes the notice that a job was accepted. */
     void accepted(OpenJob open) {
         // A notice may be held up and come late, when the job is over already: what the follow has
         // passed, it has told better.
-        if (open.revision() > followedTo) {
+        if (open.revision() > watchedRevision) {
             add(open);
         }
     }
 
     // What is known to be over comes no more: a follow or a notice may tell of the acceptance after the end.
     private void add(OpenJob open) {
-        if (!knownOver.test(open.spec().id())) {
+        if (!knownTerminal.test(open.spec().id())) {
             cluster.add(open);
         }
     }
 
     @Override
-    public boolean wanted() {
-        return term.current();
+    public boolean active() {
+        return term.isCurrent();
     }
 
     @Override
-    public void reached(long revision, long at) {
-        followedTo = revision;
-        watermark.read(at);
+    public void caughtUp(long revision, long at) {
+        watchedRevision = revision;
+        watermark.storeReadAt(at);
     }
 
     @Override
-    public long waitMs() {
-        return (long) (FOLLOW_REPORTS * reportMs);
+    public long pollMs() {
+        return (long) (WATCH_HEARTBEATS * reportMs);
     }
 
     @Override
-    public void changed(List<Change> changes) {
-        for (Change change : changes) {
+    public void onChanges(List<KeyChange> changes) {
+        for (KeyChange change : changes) {
             if (change.value() == null) {
-                ended.accept(change.key().substring(JobKeys.OPEN.length()));
+                onTerminated.accept(change.key().substring(JobKeys.OPEN.length()));
             } else {
                 add(OpenJob.fromRecord(change.value(), change.revision()));
             }
@@ -97,34 +97,34 @@
     }
 
     @Override
-    public void outdated() {
+    public void onCompacted() {
         store.list(JobKeys.OPEN, this::listed);
     }
 
     private void listed(StoreClient.Listing listing) {
-        if (!term.current()) {
+        if (!term.isCurrent()) {
             return;
         }
         if (listing == null) {
-            kernel.after(reportMs, this::outdated);
+            kernel.after(reportMs, this::onCompacted);
             return;
         }
         List<OpenJob> open = listing.entries().stream()
                 .map(entry -> OpenJob.fromRecord(entry.value(), entry.revision()))
                 .toList();
-        endMissing(open, listing.revision());
+        terminateMissing(open, listing.revision());
         open.forEach(this::add);
-        store.follow(JobKeys.OPEN, listing.revision(), listing.at(), this);
+        store.watch(JobKeys.OPEN, listing.revision(), listing.readAt(), this);
     }
 
     // A job that was accepted before the listing and is not in it has ended meanwhile.
-    private void endMissing(List<OpenJob> open, long revision) {
+    private void terminateMissing(List<OpenJob> open, long revision) {
         Set<String> ids = open.stream().map(job -> job.spec().id()).collect(Collectors.toSet());
         List<String> missing = cluster.jobs().stream()
-                .filter(job -> !job.over() && job.open().revision() <= revision)
+                .filter(job -> !job.isTerminal() && job.open().revision() <= revision)
                 .map(Job::id)
                 .filter(id -> !ids.contains(id))
                 .toList();
-        missing.forEach(ended);
+        missing.forEach(onTerminated);
     }
 }
--- a/src/main/java/io/quartzgw/app/Settings.java
+++ b/src/main/java/io/quartzgw/app/Settings.java
@@ -1,10 +1,10 @@
 package io.quartzgw.app;
 
+import io.quartzgw.agent.AgentTiming;
 import io.quartzgw.fleet.CloudLimits;
 import io.quartzgw.http.Endpoint;
-import io.quartzgw.placement.Team;
+import io.quartzgw.scheduling.TeamQuota;
 import io.quartzgw.store.StoreLimits;
-import io.quartzgw.worker.WorkerTimes;
 import java.util.List;
 import java.util.Map;
 import java.util.stream.Collectors;
@@ -26,9 +26,9 @@
         int size,
         List<String> zones,
         double timeBoundMs,
-        Map<String, Team> teams,
+        Map<String, TeamQuota> teams,
         List<Objective> objectives,
-        WorkerTimes workers,
+        AgentTiming agentTiming,
         double cancelS,
         StoreLimits storeLimits,
         CloudLimits cloudLimits,
@@ -64,7 +64,7 @@
     }
 
     /** Whether an aim of this kind is stated. */
-    public boolean aimsAt(String kind) {
+    public boolean hasObjective(String kind) {
         return objectives.stream().anyMatch(objective -> objective.kind().equals(kind));
     }
 }
--- a/src/main/java/io/quartzgw/app/SettingsReader.java
+++ b/src/main/java/io/quartzgw/app/SettingsReader.java
@@ -3,13 +3,13 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
+import io.quartzgw.agent.AgentTiming;
 import io.quartzgw.fleet.CloudLimits;
 import io.quartzgw.http.Endpoint;
 import io.quartzgw.http.Sockets;
-import io.quartzgw.leadership.LeadershipTimes;
-import io.quartzgw.placement.Team;
+import io.quartzgw.leadership.LeadershipTiming;
+import io.quartzgw.scheduling.TeamQuota;
 import io.quartzgw.store.StoreLimits;
-import io.quartzgw.worker.WorkerTimes;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -25,24 +25,24 @@
     private SettingsReader() {}
 
     /** Reads and checks a settings file; the exception names the first field that cannot be used. */
-    public static Settings read(Path file) throws InvalidSettings {
+    public static Settings read(Path file) throws InvalidSettingsException {
         try {
             return read(Files.readString(file));
         } catch (IOException e) {
-            throw new InvalidSettings("can't read " + file + ": " + e.getMessage());
+            throw new InvalidSettingsException("can't read " + file + ": " + e.getMessage());
         }
     }
 
-    static Settings read(String toml) throws InvalidSettings {
+    static Settings read(String toml) throws InvalidSettingsException {
         JsonNode root;
         try {
             root = new TomlMapper().readTree(toml);
         } catch (JsonProcessingException e) {
-            throw new InvalidSettings("not TOML: " + e.getOriginalMessage());
+            throw new InvalidSettingsException("not TOML: " + e.getOriginalMessage());
         }
         JsonNode facts = root.path("facts");
         if (!facts.isObject()) {
-            throw new InvalidSettings("facts: missing");
+            throw new InvalidSettingsException("facts: missing");
         }
         String member = text(root, "member", "member");
         Map<String, Endpoint> peers = peers(root, member);
@@ -50,13 +50,13 @@
         double lease = positive(facts, "facts.workers.lease_s");
         double cancel = positive(facts, "facts.workers.cancel_s");
         if (lease <= report) {
-            throw new InvalidSettings("facts.workers.lease_s: has to be longer than report_s");
+            throw new InvalidSettingsException("facts.workers.lease_s: has to be longer than report_s");
         }
         if (cancel <= lease) {
-            throw new InvalidSettings("facts.workers.cancel_s: has to be longer than lease_s");
+            throw new InvalidSettingsException("facts.workers.cancel_s: has to be longer than lease_s");
         }
-        if (LeadershipTimes.graceS(report, lease, cancel) < report / 2) {
-            throw new InvalidSettings("facts.workers.cancel_s: has to exceed lease_s by 2.5 times report_s");
+        if (LeadershipTiming.graceSeconds(report, lease, cancel) < report / 2) {
+            throw new InvalidSettingsException("facts.workers.cancel_s: has to exceed lease_s by 2.5 times report_s");
         }
         return new Settings(
                 member,
@@ -71,7 +71,7 @@
                 facts.path("time_bound_ms").asDouble(0),
                 teams(facts),
                 objectives(facts),
-                new WorkerTimes(millis(report), millis(lease), millis(cancel)),
+                new AgentTiming(millis(report), millis(lease), millis(cancel)),
                 cancel,
                 new StoreLimits(
                         positive(facts, "facts.state.rps"),
@@ -87,7 +87,7 @@
         return Math.round(seconds * 1000);
     }
 
-    private static Map<String, Endpoint> peers(JsonNode root, String member) throws InvalidSettings {
+    private static Map<String, Endpoint> peers(JsonNode root, String member) throws InvalidSettingsException {
         Map<String, Endpoint> peers = new LinkedHashMap<>();
         for (JsonNode node : root.path("known")) {
             String name = text(node, "member", "known.member");
@@ -98,33 +98,33 @@
         return peers;
     }
 
-    private static int size(JsonNode facts, Map<String, Endpoint> peers) throws InvalidSettings {
+    private static int size(JsonNode facts, Map<String, Endpoint> peers) throws InvalidSettingsException {
         JsonNode size = facts.path("size");
         if (size.isMissingNode()) {
             return peers.size() + 1;
         }
         if (!size.isInt() || size.asInt() < 1) {
-            throw new InvalidSettings("facts.size: a whole number, 1 or more");
+            throw new InvalidSettingsException("facts.size: a whole number, 1 or more");
         }
         return size.asInt();
     }
 
-    private static List<String> zones(JsonNode facts) throws InvalidSettings {
+    private static List<String> zones(JsonNode facts) throws InvalidSettingsException {
         List<String> zones = new ArrayList<>();
         for (JsonNode zone : facts.path("zones")) {
             zones.add(zone.asText());
         }
         if (zones.isEmpty()) {
-            throw new InvalidSettings("facts.zones: names no zone");
+            throw new InvalidSettingsException("facts.zones: names no zone");
         }
         return zones;
     }
 
-    private static Map<String, Team> teams(JsonNode facts) throws InvalidSettings {
-        Map<String, Team> teams = new LinkedHashMap<>();
+    private static Map<String, TeamQuota> teams(JsonNode facts) throws InvalidSettingsException {
+        Map<String, TeamQuota> teams = new LinkedHashMap<>();
         for (JsonNode node : facts.path("teams")) {
             String name = text(node, "name", "facts.teams.name");
-            Team team = new Team(
+            TeamQuota team = new TeamQuota(
                     name,
                     amount(node, "cpus"),
                     amount(node, "cpus_max"),
@@ -133,18 +133,18 @@
             teams.put(name, team);
         }
         if (teams.isEmpty()) {
-            throw new InvalidSettings("facts.teams: names no team");
+            throw new InvalidSettingsException("facts.teams: names no team");
         }
         return teams;
     }
 
-    private static double amount(JsonNode team, String field) throws InvalidSettings {
+    private static double amount(JsonNode team, String field) throws InvalidSettingsException {
         JsonNode value = team.path(field);
         if (value.isMissingNode()) {
             return 0;
         }
         if (!value.isNumber() || !Double.isFinite(value.doubleValue()) || value.doubleValue() < 0) {
-            throw new InvalidSettings("facts.teams." + field + ": a number, 0 or more");
+            throw new InvalidSettingsException("facts.teams." + field + ": a number, 0 or more");
         }
         return value.doubleValue();
     }
@@ -161,39 +161,39 @@
         return objectives;
     }
 
-    private static String text(JsonNode node, String field, String name) throws InvalidSettings {
+    private static String text(JsonNode node, String field, String name) throws InvalidSettingsException {
         JsonNode value = node.path(field);
         if (!value.isTextual() || value.textValue().isBlank()) {
-            throw new InvalidSettings(name + ": missing");
+            throw new InvalidSettingsException(name + ": missing");
         }
         return value.textValue();
     }
 
-    private static Endpoint endpoint(JsonNode node, String field, String name) throws InvalidSettings {
+    private static Endpoint endpoint(JsonNode node, String field, String name) throws InvalidSettingsException {
         try {
             return Endpoint.parse(text(node, field, name));
         } catch (IllegalArgumentException e) {
-            throw new InvalidSettings(name + ": " + e.getMessage());
+            throw new InvalidSettingsException(name + ": " + e.getMessage());
         }
     }
 
-    private static double positive(JsonNode facts, String name) throws InvalidSettings {
+    private static double positive(JsonNode facts, String name) throws InvalidSettingsException {
         double value = atLeast(facts, name, 0);
         if (value == 0) {
-            throw new InvalidSettings(name + ": has to be more than 0");
+            throw new InvalidSettingsException(name + ": has to be more than 0");
         }
         return value;
     }
 
     /** @param name the field's full name, of the form {@code facts.table.field} */
-    private static double atLeast(JsonNode facts, String name, double least) throws InvalidSettings {
+    private static double atLeast(JsonNode facts, String name, double least) throws InvalidSettingsException {
         String[] parts = name.split("\\.");
         JsonNode value = facts.path(parts[1]).path(parts[2]);
         if (value.isMissingNode()) {
-            throw new InvalidSettings(name + ": missing");
+            throw new InvalidSettingsException(name + ": missing");
         }
         if (!value.isNumber() || !Double.isFinite(value.doubleValue()) || value.doubleValue() < least) {
-            throw new InvalidSettings(name + ": a number, " + (least > 0 ? (int) least : 0) + " or more");
+            throw new InvalidSettingsException(name + ": a number, " + (least > 0 ? (int) least : 0) + " or more");
         }
         return value.doubleValue();
     }
--- a/src/main/java/io/quartzgw/cancellation/CancellationWatermark.java
+++ b/src/main/java/io/quartzgw/cancellation/CancellationWatermark.java
@@ -1,6 +1,6 @@
 package io.quartzgw.cancellation;
 
-import io.quartzgw.loop.Kernel;
+import io.quartzgw.eventloop.EventLoop;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.Map;
@@ -18,23 +18,23 @@
 public final class CancellationWatermark {
     private static final long NEVER = Long.MIN_VALUE / 2;
 
-    private final Kernel kernel;
+    private final EventLoop kernel;
     private final long cancelMs;
     private final long startedAt;
     private final Map<String, Peer> peers = new HashMap<>();
-    private final Gap own;
-    private long readAt = NEVER;
+    private final Gap ownGap;
+    private long storeReadAt = NEVER;
 
     /** Cancellations told from a moment on, by a process that has ended, may be unknown. */
     private static final class Gap {
-        private long from;
+        private long unknownFrom;
         /** When the process had surely ended. */
         private long noticedAt;
         /** When all that it told is settled. */
         private long settledAt;
 
         Gap(long from, long noticedAt, long settledAt) {
-            this.from = from;
+            this.unknownFrom = from;
             this.noticedAt = noticedAt;
             this.settledAt = settledAt;
         }
@@ -43,69 +43,73 @@
     private static final class Peer {
         private boolean answered;
         private long process;
-        private long until = NEVER;
+        private long knownUntil = NEVER;
         private Gap gap;
     }
 
     /** @param others the names of the other controllers */
-    public CancellationWatermark(Kernel kernel, long cancelMs, Collection<String> others) {
+    public CancellationWatermark(EventLoop kernel, long cancelMs, Collection<String> others) {
         this.kernel = kernel;
         this.cancelMs = cancelMs;
-        this.startedAt = kernel.now();
-        this.own = new Gap(NEVER, startedAt, startedAt + cancelMs);
+        this.startedAt = kernel.nowMs();
+        this.ownGap = new Gap(NEVER, startedAt, startedAt + cancelMs);
         others.forEach(name -> peers.put(name, new Peer()));
     }
 
     /** How long this process has run. */
-    public long upMs() {
-        return kernel.now() - startedAt;
+    public long uptimeMs() {
+        return kernel.nowMs() - startedAt;
     }
 
     /** A new term: what an earlier one has read is not in its cluster state. */
-    public void nothingRead() {
-        readAt = NEVER;
+    public void resetStoreRead() {
+        storeReadAt = NEVER;
     }
 
     /** The leader's cluster state has everything that was in the state service at a moment. */
-    public void read(long at) {
-        readAt = Math.max(readAt, at);
+    public void storeReadAt(long readAt) {
+        storeReadAt = Math.max(storeReadAt, readAt);
     }
 
     /**
      * A peer has answered.
      *
-     * @param upMs how long its process says that it has run
-     * @param sent when it was asked
-     * @param whole whether it named all that it had to
+     * @param uptimeMs how long its process says that it has run
+     * @param askedAt when it was asked
+     * @param complete whether it named all that it had to
      */
-    public void answered(String name, long process, long upMs, long sent, boolean whole) {
+    public void peerAnswered(String name, long process, long uptimeMs, long askedAt, boolean complete) {
         Peer peer = peers.get(name);
         if (!peer.answered || peer.process != process) {
-            long from = peer.until;
+            long unknownFrom = peer.knownUntil;
             // Two restarts may hide between two answers, and a second one must not hide the first one's gap.
-            if (peer.gap != null && kernel.now() < peer.gap.settledAt) {
-                from = Math.min(from, peer.gap.from);
+            if (peer.gap != null && kernel.nowMs() < peer.gap.settledAt) {
+                unknownFrom = Math.min(unknownFrom, peer.gap.unknownFrom);
             }
-            peer.gap = new Gap(from, kernel.now(), kernel.now() - upMs + cancelMs);
+            peer.gap = new Gap(unknownFrom, kernel.nowMs(), kernel.nowMs() - uptimeMs + cancelMs);
             peer.answered = true;
             peer.process = process;
-            peer.until = NEVER;
+            peer.knownUntil = NEVER;
         }
-        if (whole) {
-            peer.until = Math.max(peer.until, sent);
+        if (complete) {
+            peer.knownUntil = Math.max(peer.knownUntil, askedAt);
         }
     }
 
     /** @param confirmedAt the last moment at which this node surely held its term; what was read later doesn't count */
-    public long until(long confirmedAt) {
-        long told = open(own) ? own.from : kernel.now();
+    public long knownUntil(long confirmedAt) {
+        long knownUntil = isOpen(ownGap) ? ownGap.unknownFrom : kernel.nowMs();
         for (Peer peer : peers.values()) {
-            told = Math.min(told, peer.answered && open(peer.gap) ? Math.min(peer.until, peer.gap.from) : peer.until);
+            knownUntil = Math.min(
+                    knownUntil,
+                    peer.answered && isOpen(peer.gap)
+                            ? Math.min(peer.knownUntil, peer.gap.unknownFrom)
+                            : peer.knownUntil);
         }
-        return Math.max(told, Math.min(readAt, confirmedAt));
+        return Math.max(knownUntil, Math.min(storeReadAt, confirmedAt));
     }
 
-    private boolean open(Gap gap) {
-        return gap.noticedAt > readAt && kernel.now() < gap.settledAt;
+    private boolean isOpen(Gap gap) {
+        return gap.noticedAt > storeReadAt && kernel.nowMs() < gap.settledAt;
     }
 }
--- a/src/main/java/io/quartzgw/loop/Command.java
+++ b/src/main/java/io/quartzgw/eventloop/Command.java
@@ -1,4 +1,4 @@
-package io.quartzgw.loop;
+package io.quartzgw.eventloop;
 
 import io.quartzgw.http.Reply;
 import io.quartzgw.http.Request;
--- a/src/main/java/io/quartzgw/loop/Kernel.java
+++ b/src/main/java/io/quartzgw/eventloop/EventLoop.java
@@ -1,4 +1,4 @@
-package io.quartzgw.loop;
+package io.quartzgw.eventloop;
 
 import io.quartzgw.http.Call;
 import io.quartzgw.http.Reply;
@@ -18,43 +18,43 @@
 /**
  * Time, timers, outbound calls and seeded randomness for the slices of one node.
  *
- * <p>Everything runs inside {@link #handle}: the same commands at the same times give the same effects. No method may
- * be called from any thread but the caller of {@code handle}.
+ * <p>Everything runs inside {@link #processBatch}: the same commands at the same times give the same effects. No method
+ * may be called from any thread but the caller of {@code handle}.
  */
-public final class Kernel {
-    private static final Logger LOG = LoggerFactory.getLogger(Kernel.class);
+public final class EventLoop {
+    private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
 
     private final SplittableRandom random;
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
-    private final Map<Long, Consumer<Reply>> awaited = new HashMap<>();
-    private final List<Runnable> afterBatch = new ArrayList<>();
+    private final Map<Long, Consumer<Reply>> pendingCalls = new HashMap<>();
+    private final List<Runnable> batchEndListeners = new ArrayList<>();
     private Consumer<Request> router = request -> {};
-    private List<Effect> effects = new ArrayList<>();
-    private Time time = new Time(0, 0);
+    private List<Effect> pendingEffects = new ArrayList<>();
+    private ClockReading time = new ClockReading(0, 0);
     private long sequence;
     private long failures;
-    private final Map<String, Long> counts = new TreeMap<>();
+    private final Map<String, Long> counters = new TreeMap<>();
 
-    public Kernel(long seed) {
+    public EventLoop(long seed) {
         this.random = new SplittableRandom(seed);
     }
 
     /** Names the receiver of inbound requests. */
-    public void route(Consumer<Request> receiver) {
+    public void onRequest(Consumer<Request> receiver) {
         this.router = receiver;
     }
 
     /** Adds work to be done once at the end of every batch, when all its commands were applied. */
-    public void afterEachBatch(Runnable work) {
-        afterBatch.add(work);
+    public void onBatchEnd(Runnable work) {
+        batchEndListeners.add(work);
     }
 
-    public long now() {
-        return time.steady();
+    public long nowMs() {
+        return time.steadyMs();
     }
 
-    public long wallClock() {
-        return time.wall();
+    public long wallClockMs() {
+        return time.wallClockMs();
     }
 
     public SplittableRandom random() {
@@ -63,7 +63,7 @@
 
     /** Schedules a task; tasks due at the same time run in the order in which they were scheduled. */
     public Timer after(long delayMs, Runnable task) {
-        Timer timer = new Timer(now() + Math.max(0, delayMs), ++sequence, task);
+        Timer timer = new Timer(nowMs() + Math.max(0, delayMs), ++sequence, task);
         timers.add(timer);
         return timer;
     }
@@ -77,36 +77,36 @@
     }
 
     /** Starts an outbound call whose reply, or failure, is passed to {@code then} in a later batch. */
-    public void call(Call call, Consumer<Reply> then) {
+    public void call(Call call, Consumer<Reply> callback) {
         long id = ++sequence;
-        awaited.put(id, then);
-        effects.add(new Effect.Send(id, call));
+        pendingCalls.put(id, callback);
+        pendingEffects.add(new Effect.Send(id, call));
     }
 
     public void answer(long exchange, Response response) {
-        effects.add(new Effect.Answer(exchange, response));
+        pendingEffects.add(new Effect.Answer(exchange, response));
     }
 
     /** Applies a batch of commands and the timers that are due, and returns what is to be done. */
-    public List<Effect> handle(List<Command> batch, Time at) {
-        time = at;
+    public List<Effect> processBatch(List<Command> batch, ClockReading now) {
+        time = now;
         for (Command command : batch) {
-            guarded(() -> apply(command));
+            runGuarded(() -> apply(command));
         }
-        while (!timers.isEmpty() && timers.peek().due <= time.steady()) {
+        while (!timers.isEmpty() && timers.peek().due <= time.steadyMs()) {
             Timer timer = timers.poll();
             if (!timer.cancelled) {
-                guarded(timer.task);
+                runGuarded(timer.task);
             }
         }
-        afterBatch.forEach(this::guarded);
-        List<Effect> out = effects;
-        effects = new ArrayList<>();
-        return out;
+        batchEndListeners.forEach(this::runGuarded);
+        List<Effect> effects = pendingEffects;
+        pendingEffects = new ArrayList<>();
+        return effects;
     }
 
-    /** When {@link #handle} has to be called again at the latest, or {@code Long.MAX_VALUE}. */
-    public long nextDue() {
+    /** When {@link #processBatch} has to be called again at the latest, or {@code Long.MAX_VALUE}. */
+    public long nextTimerAt() {
         while (!timers.isEmpty() && timers.peek().cancelled) {
             timers.poll();
         }
@@ -119,31 +119,31 @@
     }
 
     /** Counts something that operators may want to see: what each duty costs is a matter of how often. */
-    public void count(String what, long times) {
-        counts.merge(what, times, Long::sum);
+    public void increment(String counter, long amount) {
+        counters.merge(counter, amount, Long::sum);
     }
 
     /** All counts so far, by name. */
-    public Map<String, Long> counts() {
-        return counts;
+    public Map<String, Long> counters() {
+        return counters;
     }
 
     private void apply(Command command) {
         if (command instanceof Command.Arrived arrived) {
             router.accept(arrived.request());
         } else if (command instanceof Command.CallEnded ended) {
-            Consumer<Reply> then = awaited.remove(ended.call());
-            if (then != null) {
-                then.accept(ended.reply());
+            Consumer<Reply> callback = pendingCalls.remove(ended.call());
+            if (callback != null) {
+                callback.accept(ended.reply());
             }
         }
     }
 
     // Guards the process against a defect in one command's handling: a scheduler that dies of one
     // strange message would die of it again on every node.
-    private void guarded(Runnable work) {
+    private void runGuarded(Runnable task) {
         try {
-            work.run();
+            task.run();
         } catch (RuntimeException e) {
             failures++;
             LOG.error("a command failed", e);
--- /dev/null
+++ b/src/main/java/io/quartzgw/eventloop/EventLoopThread.java
@@ -0,0 +1,87 @@
+package io.quartzgw.eventloop;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.ArrayBlockingQueue;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Runs a kernel on one thread, in batches.
+ *
+ * <p>Inbound requests wait in a small buffer; what does not fit is refused at once by the caller. Ends of outbound
+ * calls are always taken, since the kernel bounds how many it starts.
+ */
+public final class EventLoopThread implements Runnable {
+    private static final Logger LOG = LoggerFactory.getLogger(EventLoopThread.class);
+    private static final long MAX_IDLE_MS = 1_000;
+
+    private final EventLoop kernel;
+    private final Consumer<Effect> effectRunner;
+    private final BlockingQueue<Command> requests;
+    private final BlockingQueue<Command> commands = new LinkedBlockingQueue<>();
+    private final int maxBatchSize;
+    private volatile boolean stopRequested;
+
+    /**
+     * @param buffer how many inbound requests may wait
+     * @param effectRunner carries out effects; must not block
+     */
+    public EventLoopThread(EventLoop kernel, int buffer, Consumer<Effect> runner) {
+        this.kernel = kernel;
+        this.effectRunner = runner;
+        this.maxBatchSize = buffer;
+        this.requests = new ArrayBlockingQueue<>(buffer);
+    }
+
+    /** Takes an inbound request, or says false when the buffer is full. */
+    public boolean offerRequest(Command.Arrived arrived) {
+        if (!requests.offer(arrived)) {
+            return false;
+        }
+        commands.add(WAKE);
+        return true;
+    }
+
+    public void callEnded(Command.CallEnded ended) {
+        commands.add(ended);
+    }
+
+    public void stop() {
+        stopRequested = true;
+        commands.add(WAKE);
+    }
+
+    public static ClockReading currentTime() {
+        return new ClockReading(System.nanoTime() / 1_000_000, System.currentTimeMillis());
+    }
+
+    @Override
+    public void run() {
+        List<Command> taken = new ArrayList<>(maxBatchSize);
+        try {
+            while (!stopRequested) {
+                long wait = Math.min(
+                        MAX_IDLE_MS, kernel.nextTimerAt() - currentTime().steadyMs());
+                Command first = wait > 0 ? commands.poll(wait, TimeUnit.MILLISECONDS) : commands.poll();
+                if (first != null) {
+                    taken.add(first);
+                    commands.drainTo(taken, maxBatchSize - 1);
+                }
+                taken.removeIf(command -> command == WAKE);
+                requests.drainTo(taken, maxBatchSize);
+                kernel.processBatch(taken, currentTime()).forEach(effectRunner);
+                taken.clear();
+            }
+        } catch (InterruptedException e) {
+            LOG.info("owner thread interrupted, ending");
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    private static final Command WAKE = new Command.CallEnded(0, null);
+}
--- a/src/main/java/io/quartzgw/fleet/CloudClient.java
+++ b/src/main/java/io/quartzgw/fleet/CloudClient.java
@@ -3,13 +3,13 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.quartzgw.eventloop.CoalescedTask;
+import io.quartzgw.eventloop.EventLoop;
 import io.quartzgw.http.Call;
 import io.quartzgw.http.Endpoint;
 import io.quartzgw.http.Json;
 import io.quartzgw.http.Reply;
-import io.quartzgw.loop.CoalescedTask;
-import io.quartzgw.loop.Kernel;
-import io.quartzgw.store.RateBudget;
+import io.quartzgw.store.TokenBucket;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -19,43 +19,43 @@
 
 /** Talks to the cloud inside its request limit; calls wait in order for their turn. */
 public final class CloudClient {
-    static final int MAX_HIRE = 50;
+    static final int MAX_RENTAL = 50;
     static final int MAX_DELETE = 100;
-    private static final int PAGE = 500;
+    private static final int LIST_PAGE_SIZE = 500;
     private static final int TIMEOUT_MS = 5_000;
     /** Mostly the leader alone calls the cloud; the rest is for nodes that start. */
-    private static final double USED = 0.8;
+    private static final double USED_FRACTION = 0.8;
 
-    private final Kernel kernel;
+    private final EventLoop kernel;
     private final Endpoint endpoint;
-    private final RateBudget budget;
-    private final Deque<Waiting> queue = new ArrayDeque<>();
+    private final TokenBucket budget;
+    private final Deque<QueuedCall> queue = new ArrayDeque<>();
     private final CoalescedTask drain;
 
-    private record Waiting(Call call, Consumer<Reply> then) {}
+    private record QueuedCall(Call call, Consumer<Reply> then) {}
 
     /** A machine as the cloud lists it. */
-    public record Listed(
+    public record ListedMachine(
             String id, String address, String type, String zone, boolean spot, String phase, double ageS) {}
 
     /** What a rental request brought. */
-    public sealed interface Hired {
+    public sealed interface RentalResult {
         /** The machines that were rented, possibly fewer than requested. */
-        record Machines(List<String> ids) implements Hired {}
+        record Machines(List<String> ids) implements RentalResult {}
 
         /** The cloud has no machine of the requested type, zone and kind. */
-        record NoCapacity() implements Hired {}
+        record NoCapacity() implements RentalResult {}
 
         /** No clear answer: the same request has to be repeated. */
-        record Unclear() implements Hired {}
+        record Unknown() implements RentalResult {}
     }
 
     /** @param limits how many requests the cloud takes from this node */
-    public CloudClient(Kernel kernel, Endpoint endpoint, CloudLimits limits) {
+    public CloudClient(EventLoop kernel, Endpoint endpoint, CloudLimits limits) {
         this.kernel = kernel;
         this.drain = new CoalescedTask(kernel, this::drain);
         this.endpoint = endpoint;
-        this.budget = new RateBudget(limits.requestsPerS() * USED, kernel.now());
+        this.budget = new TokenBucket(limits.requestsPerS() * USED_FRACTION, kernel.nowMs());
     }
 
     /** The table as the cloud sends it, or null. */
@@ -66,25 +66,25 @@
     }
 
     /** Requests machines; a request name must never be used for a second, different request. */
-    public void hire(String request, String type, String zone, boolean spot, int count, Consumer<Hired> then) {
+    public void rent(String request, String type, String zone, boolean spot, int count, Consumer<RentalResult> then) {
         ObjectNode body = Json.object()
                 .put("hire", request)
                 .put("host_type", type)
                 .put("yard", zone)
                 .put("loaner", spot)
-                .put("number", Math.min(count, MAX_HIRE));
+                .put("number", Math.min(count, MAX_RENTAL));
         submit(Call.post(endpoint, "/rentals", body, TIMEOUT_MS), reply -> then.accept(hired(reply)));
     }
 
-    private static Hired hired(Reply reply) {
+    private static RentalResult hired(Reply reply) {
         if (reply.ok()) {
             List<String> ids = new ArrayList<>();
             reply.json().path("hosts").forEach(id -> ids.add(id.asText()));
-            return new Hired.Machines(ids);
+            return new RentalResult.Machines(ids);
         }
         boolean full =
                 reply.status() == 503 && reply.json().path("error").asText().equals("no capacity");
-        return full ? new Hired.NoCapacity() : new Hired.Unclear();
+        return full ? new RentalResult.NoCapacity() : new RentalResult.Unknown();
     }
 
     /** Says whether the machines are surely gone. */
@@ -96,12 +96,12 @@
     }
 
     /** Every listed machine, or null when the list could not be read whole. */
-    public void list(Consumer<List<Listed>> then) {
-        page("", new ArrayList<>(), then);
+    public void list(Consumer<List<ListedMachine>> then) {
+        readPage("", new ArrayList<>(), then);
     }
 
-    private void page(String since, List<Listed> sofar, Consumer<List<Listed>> then) {
-        String path = "/rentals?since=" + since + "&most=" + PAGE;
+    private void readPage(String afterId, List<ListedMachine> machines, Consumer<List<ListedMachine>> then) {
+        String path = "/rentals?since=" + afterId + "&most=" + LIST_PAGE_SIZE;
         submit(Call.get(endpoint, path, TIMEOUT_MS), reply -> {
             if (!reply.ok()) {
                 then.accept(null);
@@ -109,7 +109,7 @@
             }
             reply.json()
                     .path("hosts")
-                    .forEach(node -> sofar.add(new Listed(
+                    .forEach(node -> machines.add(new ListedMachine(
                             node.path("id").asText(),
                             node.path("address").asText(),
                             node.path("host_type").asText(),
@@ -117,34 +117,34 @@
                             node.path("loaner").asBoolean(),
                             node.path("phase").asText(),
                             node.path("held_s").asDouble())));
-            if (reply.json().path("more").asBoolean() && !sofar.isEmpty()) {
-                page(sofar.get(sofar.size() - 1).id(), sofar, then);
+            if (reply.json().path("more").asBoolean() && !machines.isEmpty()) {
+                readPage(machines.get(machines.size() - 1).id(), machines, then);
             } else {
-                then.accept(sofar);
+                then.accept(machines);
             }
         });
     }
 
     /** Whether a call would go out at once. */
-    public boolean idle() {
-        return queue.isEmpty() && budget.waitFor(1, kernel.now()) == 0;
+    public boolean isIdle() {
+        return queue.isEmpty() && budget.waitMsFor(1, kernel.nowMs()) == 0;
     }
 
     private void submit(Call call, Consumer<Reply> then) {
-        queue.addLast(new Waiting(call, then));
+        queue.addLast(new QueuedCall(call, then));
         drain();
     }
 
     private void drain() {
         while (!queue.isEmpty()) {
-            long wait = budget.waitFor(1, kernel.now());
+            long wait = budget.waitMsFor(1, kernel.nowMs());
             if (wait > 0) {
-                drain.after(wait);
+                drain.schedule(wait);
                 return;
             }
-            budget.take(1, kernel.now());
-            kernel.count("cloud.calls", 1);
-            Waiting next = queue.pollFirst();
+            budget.take(1, kernel.nowMs());
+            kernel.increment("cloud.calls", 1);
+            QueuedCall next = queue.pollFirst();
             kernel.call(next.call, next.then);
         }
     }
--- a/src/main/java/io/quartzgw/fleet/MachineTypes.java
+++ b/src/main/java/io/quartzgw/fleet/MachineCatalog.java
@@ -3,11 +3,11 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.quartzgw.eventloop.EventLoop;
 import io.quartzgw.http.Json;
-import io.quartzgw.loop.Kernel;
+import io.quartzgw.store.RequestUrgency;
 import io.quartzgw.store.StoreClient;
-import io.quartzgw.store.Txn;
-import io.quartzgw.store.Urgency;
+import io.quartzgw.store.Transaction;
 import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -17,19 +17,19 @@
  * The table of machine types, on every node. The last table is kept in the state service, so that a node that starts
  * during an outage of the cloud can decide on submissions.
  */
-public final class MachineTypes {
+public final class MachineCatalog {
     private static final String KEY = "types";
     private static final int RETRY_MS = 500;
     private static final int REFRESH_MS = 60_000;
 
-    private final Kernel kernel;
+    private final EventLoop kernel;
     private final StoreClient store;
     private final CloudClient cloud;
     private final BooleanSupplier leading;
     private Map<String, MachineType> types = Map.of();
 
     /** @param leading whether this node leads: only the leader asks the cloud and writes the table */
-    public MachineTypes(Kernel kernel, StoreClient store, CloudClient cloud, BooleanSupplier leading) {
+    public MachineCatalog(EventLoop kernel, StoreClient store, CloudClient cloud, BooleanSupplier leading) {
         this.kernel = kernel;
         this.store = store;
         this.cloud = cloud;
@@ -41,14 +41,14 @@
         readStored();
         kernel.every(REFRESH_MS, () -> {
             if (leading.getAsBoolean()) {
-                fetch();
+                fetchFromCloud();
             } else {
                 readStored();
             }
         });
     }
 
-    public boolean known() {
+    public boolean isKnown() {
         return !types.isEmpty();
     }
 
@@ -64,25 +64,25 @@
     private void readStored() {
         store.get(KEY, found -> {
             if (found != null && !found.isEmpty()) {
-                take(found.get(0).value());
-            } else if (!known()) {
-                fetch();
+                update(found.get(0).value());
+            } else if (!isKnown()) {
+                fetchFromCloud();
             }
         });
     }
 
-    private void fetch() {
+    private void fetchFromCloud() {
         cloud.machineTypes(table -> {
             if (table != null && table.path("host_types").size() > 0) {
-                take(table);
-                store.commit(new Txn().put(KEY, table()), Urgency.NORMAL, outcome -> {});
-            } else if (!known()) {
+                update(table);
+                store.commit(new Transaction().put(KEY, table()), RequestUrgency.NORMAL, outcome -> {});
+            } else if (!isKnown()) {
                 kernel.after(RETRY_MS, this::readStored);
             }
         });
     }
 
-    private void take(JsonNode table) {
+    private void update(JsonNode table) {
         Map<String, MachineType> read = new LinkedHashMap<>();
         table.path("host_types").forEach(node -> {
             MachineType type = MachineType.fromJson(node);
--- a/src/main/java/io/quartzgw/fleet/Offer.java
+++ b/src/main/java/io/quartzgw/fleet/MachineOffer.java
@@ -1,7 +1,7 @@
 package io.quartzgw.fleet;
 
 /** A kind of machine that can be rented: type, zone, and spot or ordinary. */
-public record Offer(MachineType type, String zone, boolean spot) {
+public record MachineOffer(MachineType type, String zone, boolean spot) {
 
     @Override
     public String toString() {
@@ -11,7 +11,7 @@
     @Override
     public boolean equals(Object other) {
         // Prices move: the same kind of machine at another price is the same offer.
-        return other instanceof Offer offer
+        return other instanceof MachineOffer offer
                 && type.name().equals(offer.type.name())
                 && zone.equals(offer.zone)
                 && spot == offer.spot;
--- a/src/main/java/io/quartzgw/fleet/MachineRecords.java
+++ b/src/main/java/io/quartzgw/fleet/MachineRecords.java
@@ -2,19 +2,19 @@
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.TextNode;
+import io.quartzgw.eventloop.CoalescedTask;
+import io.quartzgw.eventloop.EventLoop;
 import io.quartzgw.http.Endpoint;
 import io.quartzgw.http.Json;
 import io.quartzgw.leadership.LeaderTerm;
 import io.quartzgw.leadership.Leadership;
-import io.quartzgw.loop.CoalescedTask;
-import io.quartzgw.loop.Kernel;
-import io.quartzgw.placement.Cluster;
-import io.quartzgw.placement.Machine;
-import io.quartzgw.store.Entry;
+import io.quartzgw.scheduling.ClusterState;
+import io.quartzgw.scheduling.Machine;
+import io.quartzgw.store.KeyValue;
 import io.quartzgw.store.PackedRecords;
+import io.quartzgw.store.RequestUrgency;
 import io.quartzgw.store.StoreClient;
-import io.quartzgw.store.Txn;
-import io.quartzgw.store.Urgency;
+import io.quartzgw.store.Transaction;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -34,44 +34,44 @@
     /** The part of this node's changes that descriptions may take while no start waits. */
     private static final double BACKGROUND_PART = 0.25;
 
-    private final Kernel kernel;
+    private final EventLoop kernel;
     private final StoreClient store;
     private final LeaderTerm term;
-    private final Cluster cluster;
-    private final long clocksApartMs;
+    private final ClusterState cluster;
+    private final long maxClockSkewMs;
     private final Consumer<Machine> used;
     private final PackedRecords descriptions;
     private final PackedRecords marks;
-    private final Set<Machine> marking = new LinkedHashSet<>();
+    private final Set<Machine> pendingMarks = new LinkedHashSet<>();
     private final CoalescedTask flushLater;
-    private boolean due;
+    private boolean dirty;
     private boolean writing;
     private long backgroundAt;
 
     /**
-     * @param clocksApartMs how far the times of day of two controllers may be apart
+     * @param maxClockSkewMs how far the times of day of two controllers may be apart
      * @param used told when a machine's mark is written
      */
     public MachineRecords(
-            Kernel kernel,
+            EventLoop kernel,
             StoreClient store,
             LeaderTerm term,
-            Cluster cluster,
+            ClusterState cluster,
             long clocksApartMs,
             Consumer<Machine> used) {
         this.kernel = kernel;
         this.store = store;
         this.term = term;
         this.cluster = cluster;
-        this.clocksApartMs = clocksApartMs;
+        this.maxClockSkewMs = clocksApartMs;
         this.used = used;
-        this.descriptions = new PackedRecords(store, PREFIX, this::guarded);
-        this.marks = new PackedRecords(store, MARK_PREFIX, this::guarded);
+        this.descriptions = new PackedRecords(store, PREFIX, this::fencedTransaction);
+        this.marks = new PackedRecords(store, MARK_PREFIX, this::fencedTransaction);
         this.flushLater = new CoalescedTask(kernel, this::flush);
     }
 
-    private Txn guarded() {
-        return new Txn().guard(Leadership.TERM, term.revision());
+    private Transaction fencedTransaction() {
+        return new Transaction().require(Leadership.TERM_KEY, term.termRevision());
     }
 
     /**
@@ -80,7 +80,8 @@
      * @param described the pages of descriptions
      * @param marked the pages of marks, read after those of descriptions
      */
-    public void load(List<Entry> described, List<Entry> marked, MachineTypes types, long now, Consumer<Machine> found) {
+    public void load(
+            List<KeyValue> described, List<KeyValue> marked, MachineCatalog types, long now, Consumer<Machine> found) {
         Map<String, Machine> machines = new LinkedHashMap<>();
         descriptions.load(described, (id, record) -> {
             MachineType type = types.get(record.path(0).asText());
@@ -88,7 +89,7 @@
                 return;
             }
             // Never earlier than it was: a machine that the list can't have yet must not be taken for gone.
-            long age = Math.max(0, kernel.wallClock() - record.path(3).asLong() * 1000 - clocksApartMs);
+            long age = Math.max(0, kernel.wallClockMs() - record.path(3).asLong() * 1000 - maxClockSkewMs);
             machines.put(
                     id,
                     new Machine(
@@ -97,63 +98,63 @@
         marks.load(marked, (id, address) -> {
             Machine machine = machines.get(id);
             if (machine == null) {
-                marks.removeLater(id);
+                marks.removeLazily(id);
                 return;
             }
             machine.address(Endpoint.parse(address.asText()));
-            machine.markUsed();
+            machine.markHasRunTasks();
         });
         machines.values().forEach(found);
     }
 
     /** Notes a rented machine, to be described soon; its first start waits for that too. */
-    public void note(Machine machine) {
+    public void describe(Machine machine) {
         ArrayNode description = Json.array()
                 .add(machine.type().name())
                 .add(machine.zone())
                 .add(machine.spot())
-                .add((kernel.wallClock() - (kernel.now() - machine.rentedAt())) / 1000 + 1);
+                .add((kernel.wallClockMs() - (kernel.nowMs() - machine.rentedAt())) / 1000 + 1);
         descriptions.put(machine.id(), description, 0);
-        due = true;
+        dirty = true;
     }
 
     /** Marks a machine as used; its first start waits for this. */
-    public void mark(Machine machine) {
-        if (!machine.used() && marking.add(machine)) {
-            if (!descriptions.has(machine.id())) {
+    public void markUsed(Machine machine) {
+        if (!machine.hasRunTasks() && pendingMarks.add(machine)) {
+            if (!descriptions.contains(machine.id())) {
                 // It was not rented by this leader, as far as it knows.
-                note(machine);
+                describe(machine);
             }
             marks.put(machine.id(), TextNode.valueOf(machine.address().toString()), 0);
-            due = true;
+            dirty = true;
         }
     }
 
     /** Drops the records of a machine that is surely gone. */
     public void drop(Machine machine) {
-        marking.remove(machine);
-        descriptions.removeLater(machine.id());
-        if (marks.has(machine.id())) {
+        pendingMarks.remove(machine);
+        descriptions.removeLazily(machine.id());
+        if (marks.contains(machine.id())) {
             marks.remove(machine.id());
-            due = true;
+            dirty = true;
         }
     }
 
     /** Writes what is due, one write at a time: what falls due meanwhile goes together into the next. */
     public void flush() {
-        if (writing || !due || !term.confirmed()) {
+        if (writing || !dirty || !term.isConfirmed()) {
             return;
         }
-        if (marking.isEmpty() && kernel.now() < backgroundAt) {
-            flushLater.after(backgroundAt - kernel.now());
+        if (pendingMarks.isEmpty() && kernel.nowMs() < backgroundAt) {
+            flushLater.schedule(backgroundAt - kernel.nowMs());
             return;
         }
         writing = true;
-        due = false;
-        List<Machine> marked = List.copyOf(marking);
-        int pages = descriptions.changedPages() + marks.changedPages();
-        backgroundAt = kernel.now() + store.pauseMsAfter(pages, BACKGROUND_PART);
-        Urgency urgency = marked.isEmpty() ? Urgency.LAST : Urgency.FIRST;
+        dirty = false;
+        List<Machine> marked = List.copyOf(pendingMarks);
+        int pages = descriptions.dirtyPageCount() + marks.dirtyPageCount();
+        backgroundAt = kernel.nowMs() + store.pauseMsAfter(pages, BACKGROUND_PART);
+        RequestUrgency urgency = marked.isEmpty() ? RequestUrgency.BACKGROUND : RequestUrgency.HIGH;
         // A mark says nothing without its description, so that is written first.
         descriptions.write(urgency, described -> {
             if (described) {
@@ -167,15 +168,15 @@
     private void written(List<Machine> marked, boolean written) {
         if (!written) {
             kernel.after(RETRY_MS, () -> {
-                due = true;
+                dirty = true;
                 writing = false;
             });
             return;
         }
         writing = false;
         for (Machine machine : marked) {
-            if (marking.remove(machine)) {
-                machine.markUsed();
+            if (pendingMarks.remove(machine)) {
+                machine.markHasRunTasks();
                 if (cluster.machine(machine.id()) == machine) {
                     used.accept(machine);
                 }
--- a/src/main/java/io/quartzgw/fleet/ReusablePlaces.java
+++ b/src/main/java/io/quartzgw/fleet/ReusableSlots.java
@@ -1,8 +1,8 @@
 package io.quartzgw.fleet;
 
-import io.quartzgw.placement.Booking;
-import io.quartzgw.placement.Job;
-import io.quartzgw.placement.Machine;
+import io.quartzgw.scheduling.Allocation;
+import io.quartzgw.scheduling.Job;
+import io.quartzgw.scheduling.Machine;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -12,25 +12,25 @@
  * How much of the work that lacks room the machines at hand can still finish in time, one task after the other: a job
  * with a deadline needs no new machine for that part.
  */
-final class ReusablePlaces {
+final class ReusableSlots {
     /** Owners guess too low as often as too high, and machines differ. */
-    private static final double CAUTION = 1.25;
+    private static final double ESTIMATE_MARGIN = 1.25;
 
     private final long now;
     /** When each place for one task is free, by machine; places in use by batch work only. */
-    private final Map<Machine, List<Long>> places = new LinkedHashMap<>();
+    private final Map<Machine, List<Long>> slots = new LinkedHashMap<>();
 
-    ReusablePlaces(Iterable<Machine> machines, long now) {
+    ReusableSlots(Iterable<Machine> machines, long now) {
         this.now = now;
         for (Machine machine : machines) {
             List<Long> free = new ArrayList<>();
-            for (Booking booking : machine.bookings()) {
+            for (Allocation booking : machine.allocations()) {
                 if (!booking.job().spec().service() && !booking.stopping()) {
-                    double left = booking.job().spec().estimateS() * 1000 * CAUTION - booking.ranMs(now);
+                    double left = booking.job().spec().estimateS() * 1000 * ESTIMATE_MARGIN - booking.runtimeMs(now);
                     free.add(now + (long) Math.max(0, left));
                 }
             }
-            places.put(machine, free);
+            slots.put(machine, free);
         }
     }
 
@@ -39,9 +39,9 @@
         if (job.dueAt() == Long.MAX_VALUE) {
             return 0;
         }
-        long runMs = (long) (job.spec().estimateS() * 1000 * CAUTION);
+        long runMs = (long) (job.spec().estimateS() * 1000 * ESTIMATE_MARGIN);
         int taken = 0;
-        for (Map.Entry<Machine, List<Long>> entry : places.entrySet()) {
+        for (Map.Entry<Machine, List<Long>> entry : slots.entrySet()) {
             Machine machine = entry.getKey();
             if (!job.spec().allows(machine.type().name(), machine.zone(), machine.spot())
                     || !job.zoneAllowed(machine.zone())) {
--- a/src/main/java/io/quartzgw/fleet/Returns.java
+++ b/src/main/java/io/quartzgw/fleet/ScaleInRequests.java
@@ -1,9 +1,9 @@
 package io.quartzgw.fleet;
 
+import io.quartzgw.eventloop.EventLoop;
 import io.quartzgw.leadership.LeaderTerm;
-import io.quartzgw.loop.Kernel;
-import io.quartzgw.placement.Cluster;
-import io.quartzgw.placement.Machine;
+import io.quartzgw.scheduling.ClusterState;
+import io.quartzgw.scheduling.Machine;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -11,18 +11,19 @@
 import java.util.function.Consumer;
 
 /** Has machines deleted that are to be returned, once they are drained. */
-final class Returns {
+final class ScaleInRequests {
     private static final int RETRY_MS = 2_000;
 
-    private final Kernel kernel;
+    private final EventLoop kernel;
     private final CloudClient cloud;
     private final LeaderTerm term;
-    private final Cluster cluster;
+    private final ClusterState cluster;
     private final Consumer<Machine> removed;
     private final Set<String> deleting = new HashSet<>();
 
     /** @param removed told when a machine is surely gone */
-    Returns(Kernel kernel, CloudClient cloud, LeaderTerm term, Cluster cluster, Consumer<Machine> removed) {
+    ScaleInRequests(
+            EventLoop kernel, CloudClient cloud, LeaderTerm term, ClusterState cluster, Consumer<Machine> removed) {
         this.kernel = kernel;
         this.cloud = cloud;
         this.term = term;
@@ -31,15 +32,15 @@
     }
 
     /** Deletes marked machines that are drained; returns whether some have to wait for their turn at the cloud. */
-    boolean deleteLeaving() {
-        if (!cloud.idle()) {
-            return cluster.machines().stream().anyMatch(machine -> machine.status() == Machine.Status.LEAVING);
+    boolean deleteDrained() {
+        if (!cloud.isIdle()) {
+            return cluster.machines().stream().anyMatch(machine -> machine.status() == Machine.Status.DRAINING);
         }
         List<String> ids = new ArrayList<>();
         for (Machine machine : cluster.machines()) {
             // Drained first: nothing may be on it when it is returned, unless its hold is over.
-            if (machine.status() == Machine.Status.LEAVING
-                    && (machine.empty() || machine.released())
+            if (machine.status() == Machine.Status.DRAINING
+                    && (machine.empty() || machine.removeAllocation())
                     && ids.size() < CloudClient.MAX_DELETE
                     && deleting.add(machine.id())) {
                 ids.add(machine.id());
@@ -53,11 +54,11 @@
 
     private void deleted(List<String> ids, boolean done) {
         deleting.removeAll(ids);
-        if (!term.current()) {
+        if (!term.isCurrent()) {
             return;
         }
         if (!done) {
-            kernel.after(RETRY_MS, cluster::touch);
+            kernel.after(RETRY_MS, cluster::markChanged);
             return;
         }
         ids.stream().map(cluster::machine).filter(machine -> machine != null).forEach(removed);
--- a/src/main/java/io/quartzgw/fleet/RentPlan.java
+++ b/src/main/java/io/quartzgw/fleet/ScaleOutPlanner.java
@@ -1,8 +1,8 @@
 package io.quartzgw.fleet;
 
-import io.quartzgw.placement.Job;
-import io.quartzgw.placement.Machine;
-import io.quartzgw.placement.Unplaced;
+import io.quartzgw.scheduling.Job;
+import io.quartzgw.scheduling.Machine;
+import io.quartzgw.scheduling.UnplacedTasks;
 import io.quartzgw.submission.Resources;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -12,12 +12,12 @@
 import java.util.function.Predicate;
 
 /** Chooses what to rent: the cheapest room for the work that does not fit what is coming anyway. */
-final class RentPlan {
-    private final MachineTypes types;
-    private Map<String, Integer> held = Map.of();
-    private long looks;
+final class ScaleOutPlanner {
+    private final MachineCatalog types;
+    private Map<String, Integer> machinesByZone = Map.of();
+    private long machinesExamined;
 
-    RentPlan(MachineTypes types) {
+    ScaleOutPlanner(MachineCatalog types) {
         this.types = types;
     }
 
@@ -26,40 +26,40 @@
         private final MachineType type;
         private final String zone;
         private final boolean spot;
-        private Resources room;
+        private Resources freeCapacity;
 
         Bin(MachineType type, String zone, boolean spot) {
             this.type = type;
             this.zone = zone;
             this.spot = spot;
-            this.room = type.size();
+            this.freeCapacity = type.size();
         }
     }
 
     /**
      * @param coming machines that boot
-     * @param asked machines under way in rental requests
-     * @param missingCpus room to rent for, whatever the demand
+     * @param requested machines under way in rental requests
+     * @param reserveCpus room to rent for, whatever the demand
      * @param machinesPerZone how many there are: work that has to spread needs room in every zone
      */
-    Map<Offer, Integer> plan(
-            List<Unplaced> unplaced,
+    Map<MachineOffer, Integer> plan(
+            List<UnplacedTasks> unplaced,
             List<Machine> coming,
-            List<Offer> asked,
-            Predicate<Offer> available,
-            double missingCpus,
+            List<MachineOffer> requested,
+            Predicate<MachineOffer> available,
+            double reserveCpus,
             Map<String, Integer> machinesPerZone) {
-        held = new HashMap<>(machinesPerZone);
+        machinesByZone = new HashMap<>(machinesPerZone);
         List<Bin> bins = new ArrayList<>();
         coming.forEach(machine -> bins.add(new Bin(machine.type(), machine.zone(), machine.spot())));
-        asked.forEach(offer -> bins.add(new Bin(offer.type(), offer.zone(), offer.spot())));
-        Map<Offer, Integer> wanted = new LinkedHashMap<>();
-        double missing = missingCpus;
-        for (Unplaced work : unplaced) {
+        requested.forEach(offer -> bins.add(new Bin(offer.type(), offer.zone(), offer.spot())));
+        Map<MachineOffer, Integer> wanted = new LinkedHashMap<>();
+        double missing = reserveCpus;
+        for (UnplacedTasks work : unplaced) {
             missing -= pack(work, bins, wanted, available);
         }
         while (missing > 0) {
-            Offer cheapest = cheapestRoom(available);
+            MachineOffer cheapest = cheapestRoom(available);
             if (cheapest == null) {
                 break;
             }
@@ -70,7 +70,8 @@
     }
 
     /** Returns the CPUs of the machines that were added for the work. */
-    private double pack(Unplaced work, List<Bin> bins, Map<Offer, Integer> wanted, Predicate<Offer> available) {
+    private double pack(
+            UnplacedTasks work, List<Bin> bins, Map<MachineOffer, Integer> wanted, Predicate<MachineOffer> available) {
         Job job = work.job();
         double added = 0;
         Map<String, Integer> perZone = new HashMap<>();
@@ -83,33 +84,33 @@
             }
             Bin bin = next < bins.size() ? bins.get(next) : null;
             if (bin == null) {
-                Offer offer = cheapest(job, left, perZone, available);
+                MachineOffer offer = cheapest(job, left, perZone, available);
                 if (offer == null) {
                     return added;
                 }
                 wanted.merge(offer, 1, Integer::sum);
-                held.merge(offer.zone(), 1, Integer::sum);
+                machinesByZone.merge(offer.zone(), 1, Integer::sum);
                 bin = new Bin(offer.type(), offer.zone(), offer.spot());
                 added += offer.type().size().cpus();
                 bins.add(bin);
             }
-            bin.room = bin.room.minus(job.spec().demand());
+            bin.freeCapacity = bin.freeCapacity.minus(job.spec().demand());
             perZone.merge(bin.zone, 1, Integer::sum);
         }
         return added;
     }
 
     private boolean fits(Job job, Bin bin, Map<String, Integer> perZone) {
-        looks++;
-        return job.spec().demand().fitsIn(bin.room)
+        machinesExamined++;
+        return job.spec().demand().fitsIn(bin.freeCapacity)
                 && job.spec().allows(bin.type.name(), bin.zone, bin.spot)
                 && zoneAllowed(job, bin.zone, perZone);
     }
 
     /** How many machines, coming or wanted, were looked at since this was last asked. */
-    long takeLooks() {
-        long taken = looks;
-        looks = 0;
+    long takeMachinesExamined() {
+        long taken = machinesExamined;
+        machinesExamined = 0;
         return taken;
     }
 
@@ -117,19 +118,20 @@
         if (!job.zoneAllowed(zone)) {
             return false;
         }
-        if (job.spec().oneZone() && perZone.keySet().stream().anyMatch(other -> !other.equals(zone))) {
+        if (job.spec().singleZone() && perZone.keySet().stream().anyMatch(other -> !other.equals(zone))) {
             return false;
         }
         return !job.spec().spread()
-                || job.inZone(zone) + perZone.getOrDefault(zone, 0) < job.spec().tasksPerZone();
+                || job.tasksInZone(zone) + perZone.getOrDefault(zone, 0)
+                        < job.spec().tasksPerZone();
     }
 
     /** The offer with the lowest price per task of the work; of equal ones that in the zone with fewest machines. */
-    private Offer cheapest(Job job, int count, Map<String, Integer> perZone, Predicate<Offer> available) {
-        Offer best = null;
+    private MachineOffer cheapest(Job job, int count, Map<String, Integer> perZone, Predicate<MachineOffer> available) {
+        MachineOffer best = null;
         double bestPrice = Double.MAX_VALUE;
         int bestHeld = 0;
-        for (Offer offer : offers()) {
+        for (MachineOffer offer : offers()) {
             if (!job.spec().allows(offer.type().name(), offer.zone(), offer.spot())
                     || !zoneAllowed(job, offer.zone(), perZone)
                     || !available.test(offer)) {
@@ -137,7 +139,7 @@
             }
             int fits = Math.min(count, fits(job.spec().demand(), offer.type().size()));
             double price = fits == 0 ? Double.MAX_VALUE : offer.type().price(offer.spot()) / fits;
-            int heldThere = held.getOrDefault(offer.zone(), 0);
+            int heldThere = machinesByZone.getOrDefault(offer.zone(), 0);
             if (price < bestPrice || best != null && price == bestPrice && heldThere < bestHeld) {
                 best = offer;
                 bestPrice = price;
@@ -147,9 +149,9 @@
         return best;
     }
 
-    private Offer cheapestRoom(Predicate<Offer> available) {
-        Offer best = null;
-        for (Offer offer : offers()) {
+    private MachineOffer cheapestRoom(Predicate<MachineOffer> available) {
+        MachineOffer best = null;
+        for (MachineOffer offer : offers()) {
             // Guaranteed room has to serve any work, so it is not rented on spot.
             if (!offer.spot() && available.test(offer) && (best == null || perCpu(offer) < perCpu(best))) {
                 best = offer;
@@ -158,17 +160,17 @@
         return best;
     }
 
-    private static double perCpu(Offer offer) {
+    private static double perCpu(MachineOffer offer) {
         return offer.type().price(offer.spot()) / offer.type().size().cpus();
     }
 
     /** All that the cloud offers, whether or not it has any at present. */
-    List<Offer> offers() {
-        List<Offer> offers = new ArrayList<>();
+    List<MachineOffer> offers() {
+        List<MachineOffer> offers = new ArrayList<>();
         for (MachineType type : types.all()) {
             for (String zone : type.zones()) {
-                offers.add(new Offer(type, zone, true));
-                offers.add(new Offer(type, zone, false));
+                offers.add(new MachineOffer(type, zone, true));
+                offers.add(new MachineOffer(type, zone, false));
             }
         }
         return offers;
--- a/src/main/java/io/quartzgw/http/Call.java
+++ b/src/main/java/io/quartzgw/http/Call.java
@@ -8,7 +8,7 @@
  * @param body the request body, or null for none
  * @param timeoutMs when to give up, counted from now
  */
-public record Call(Endpoint to, String method, String path, String type, byte[] body, long timeoutMs) {
+public record Call(Endpoint endpoint, String method, String path, String type, byte[] body, long timeoutMs) {
 
     public static Call get(Endpoint to, String path, long timeoutMs) {
         return new Call(to, "GET", path, null, null, timeoutMs);
--- a/src/main/java/io/quartzgw/http/HttpClient.java
+++ b/src/main/java/io/quartzgw/http/HttpClient.java
@@ -135,12 +135,12 @@
         }
 
         void start() {
-            ClientConnection open = kept(call.to());
+            ClientConnection open = kept(call.endpoint());
             if (open != null) {
                 connected(open);
                 return;
             }
-            URI uri = URI.create("http://" + call.to());
+            URI uri = URI.create("http://" + call.endpoint());
             UndertowClient.getInstance().connect(callback(this::connected), uri, connector, buffers, OptionMap.EMPTY);
             opening = connector.lastOpened();
         }
@@ -154,7 +154,7 @@
             connection = open;
             ClientRequest request =
                     new ClientRequest().setPath(call.path()).setMethod(HttpString.tryFromString(call.method()));
-            request.getRequestHeaders().put(Headers.HOST, call.to().toString());
+            request.getRequestHeaders().put(Headers.HOST, call.endpoint().toString());
             if (call.body() != null) {
                 request.getRequestHeaders().put(Headers.CONTENT_TYPE, call.type());
                 request.getRequestHeaders().put(Headers.CONTENT_LENGTH, call.body().length);
@@ -231,7 +231,7 @@
             if (closes) {
                 IoUtils.safeClose(connection);
             } else {
-                keep(call.to(), connection);
+                keep(call.endpoint(), connection);
             }
             then.accept(new Reply(exchange.getResponse().getResponseCode(), received.toByteArray()));
         }
--- a/src/main/java/io/quartzgw/leadership/LeaderRecord.java
+++ b/src/main/java/io/quartzgw/leadership/LeaderRecord.java
@@ -7,16 +7,16 @@
  * Who leads, as the state service tells.
  *
  * @param process the leader's process; a member that was restarted has another one
- * @param hold the hold that the record hangs on
+ * @param leaseId the hold that the record hangs on
  */
-public record LeaderRecord(String member, long process, long term, long hold) {
+public record LeaderRecord(String member, long process, long term, long leaseId) {
 
     JsonNode toJson() {
         return Json.object()
                 .put("member", member)
                 .put("process", process)
                 .put("term", term)
-                .put("hold", hold);
+                .put("hold", leaseId);
     }
 
     static LeaderRecord fromJson(JsonNode node) {
--- a/src/main/java/io/quartzgw/leadership/LeaderTerm.java
+++ b/src/main/java/io/quartzgw/leadership/LeaderTerm.java
@@ -6,38 +6,38 @@
  */
 public final class LeaderTerm {
     private final Leadership leadership;
-    private final long number;
-    private final long revision;
+    private final long fencingToken;
+    private final long termRevision;
 
     /** Takes the term that this node leads with now. */
     public LeaderTerm(Leadership leadership) {
         this.leadership = leadership;
-        this.number = leadership.term();
-        this.revision = leadership.termRevision();
+        this.fencingToken = leadership.term();
+        this.termRevision = leadership.termRevision();
     }
 
     /** The term itself: workers drop orders with a lower one. */
-    public long number() {
-        return number;
+    public long fencingToken() {
+        return fencingToken;
     }
 
     /** Revision of the term key, which guards every write of this leader to the state service. */
-    public long revision() {
-        return revision;
+    public long termRevision() {
+        return termRevision;
     }
 
     /** Notes a token that a message has shown; a higher one ends this term. */
-    public void sawToken(long token) {
-        leadership.sawTerm(token);
+    public void observeToken(long token) {
+        leadership.observeTerm(token);
     }
 
     /** Whether this node still leads with this term, as far as it knows. */
-    public boolean current() {
-        return leadership.leading() && leadership.term() == number;
+    public boolean isCurrent() {
+        return leadership.leading() && leadership.term() == fencingToken;
     }
 
     /** Whether this node surely still holds this term: no other node can have been elected. */
-    public boolean confirmed() {
-        return current() && leadership.confirmed();
+    public boolean isConfirmed() {
+        return isCurrent() && leadership.isConfirmed();
     }
 }
--- a/src/main/java/io/quartzgw/leadership/Leadership.java
+++ b/src/main/java/io/quartzgw/leadership/Leadership.java
@@ -1,14 +1,14 @@
 package io.quartzgw.leadership;
 
 import io.quartzgw.cancellation.CancellationWatermark;
+import io.quartzgw.eventloop.EventLoop;
 import io.quartzgw.http.Json;
-import io.quartzgw.loop.Kernel;
-import io.quartzgw.store.Change;
-import io.quartzgw.store.Entry;
+import io.quartzgw.store.KeyChange;
+import io.quartzgw.store.KeyValue;
+import io.quartzgw.store.RequestUrgency;
 import io.quartzgw.store.StoreClient;
-import io.quartzgw.store.Txn;
-import io.quartzgw.store.TxnOutcome;
-import io.quartzgw.store.Urgency;
+import io.quartzgw.store.Transaction;
+import io.quartzgw.store.TransactionOutcome;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
@@ -26,51 +26,51 @@
     private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
 
     public static final String PREFIX = "lead/";
-    public static final String TERM = "lead/term";
-    private static final String LEADER = "lead/leader";
-    private static final int RENEWALS_PER_HOLD = 4;
+    public static final String TERM_KEY = "lead/term";
+    private static final String LEADER_KEY = "lead/leader";
+    private static final int RENEWALS_PER_LEASE = 4;
     private static final int RETRY_MS = 250;
     /** Spreads the candidates, so that mostly one transaction wins without a conflict. */
-    private static final int CAMPAIGN_SPREAD_MS = 60;
+    private static final int CAMPAIGN_JITTER_MS = 60;
     /** Steady clocks drift by 0.05%; a hold is trusted for a little less than its time. */
-    private static final double TRUSTED = 0.99;
+    private static final double TRUSTED_LEASE_FRACTION = 0.99;
 
     /** Told on the owner thread when this node's part changes. */
     public interface Listener {
         void elected(long term, long termRevision);
 
-        void deposed();
+        void leadershipLost();
     }
 
-    private final Kernel kernel;
+    private final EventLoop kernel;
     private final StoreClient store;
-    private final LeadershipTimes times;
+    private final LeadershipTiming times;
     private final String member;
     private final long process;
     private final CancellationWatermark watermark;
     private Listener listener;
 
-    private boolean observed;
-    private long generation;
-    private LeaderRecord leader;
-    private long leaderRevision;
+    private boolean recordKnown;
+    private long watchGeneration;
+    private LeaderRecord leaderRecord;
+    private long leaderRecordRevision;
     private long storedTerm;
     private long termRevision;
     private long highestTerm;
     private boolean campaigning;
-    private long abstainUntil = Long.MIN_VALUE;
+    private long backOffUntil = Long.MIN_VALUE;
     private final Set<Long> deadProcesses = new HashSet<>();
 
     private boolean leading;
     private long term;
-    private long hold;
-    private long confirmedAt;
+    private long leaseId;
+    private long leaseConfirmedAt;
 
     /** @param process number of this process, which no other process of the member has */
     public Leadership(
-            Kernel kernel,
+            EventLoop kernel,
             StoreClient store,
-            LeadershipTimes times,
+            LeadershipTiming times,
             String member,
             long process,
             CancellationWatermark watermark) {
@@ -83,10 +83,10 @@
     }
 
     /** Begins to follow the leader record and to stand for election. */
-    public void start(Listener told) {
-        this.listener = told;
-        observe();
-        kernel.every(times.holdMs() / RENEWALS_PER_HOLD, this::renew);
+    public void start(Listener listener) {
+        this.listener = listener;
+        watchLeaderRecord();
+        kernel.every(times.leaseMs() / RENEWALS_PER_LEASE, this::renewLease);
     }
 
     public boolean leading() {
@@ -98,8 +98,8 @@
     }
 
     /** Whether this node surely still holds its term: nobody else can have been elected. */
-    public boolean confirmed() {
-        return leading && kernel.now() < confirmedAt + (long) (times.holdMs() * TRUSTED);
+    public boolean isConfirmed() {
+        return leading && kernel.nowMs() < leaseConfirmedAt + (long) (times.leaseMs() * TRUSTED_LEASE_FRACTION);
     }
 
     /**
@@ -107,8 +107,8 @@
      * every job that this node knows as cancelled; the grace bounds how long ago one may have been cancelled that it
      * doesn't know. That holds from the election on, also while hard state is being read.
      */
-    public boolean answering() {
-        return leading && kernel.now() < watermark.until(confirmedAt) + times.graceMs();
+    public boolean mayRenewAgentLeases() {
+        return leading && kernel.nowMs() < watermark.knownUntil(leaseConfirmedAt) + times.graceMs();
     }
 
     /** The revision of the term key under this node's term. */
@@ -123,114 +123,114 @@
 
     /** The member that leads as far as this node knows, or null. */
     public String leaderMember() {
-        return leading ? member : leader == null ? null : leader.member();
+        return leading ? member : leaderRecord == null ? null : leaderRecord.member();
     }
 
-    public boolean knowsStore() {
-        return observed;
+    public boolean hasReadStore() {
+        return recordKnown;
     }
 
     /** Gives the term up to another node, and does not stand again for a while. */
-    public void abdicate(long abstainMs) {
+    public void resign(long backOffMs) {
         if (leading) {
-            abstainUntil = kernel.now() + abstainMs;
+            backOffUntil = kernel.nowMs() + backOffMs;
             stepDown();
-            observe();
-            kernel.after(abstainMs, this::decide);
+            watchLeaderRecord();
+            kernel.after(backOffMs, this::evaluateCandidacy);
         }
     }
 
     /** A higher term was seen at a worker or a peer: whoever leads with a lower one is no leader. */
-    public void sawTerm(long seen) {
-        highestTerm = Math.max(highestTerm, seen);
-        if (leading && seen > term) {
-            LOG.info("term {} was seen, stepping down from {}", seen, term);
+    public void observeTerm(long observedTerm) {
+        highestTerm = Math.max(highestTerm, observedTerm);
+        if (leading && observedTerm > term) {
+            LOG.info("term {} was seen, stepping down from {}", observedTerm, term);
             stepDown();
-            observe();
+            watchLeaderRecord();
         }
     }
 
     /** The record of who leads, as far as this node knows; null for none. */
-    LeaderRecord record() {
-        return leader;
+    LeaderRecord leaderRecord() {
+        return leaderRecord;
     }
 
     /**
      * A member answers as this process. If the record, as it was known when the member was asked, names another of its
      * processes, that one is dead; a record that came meanwhile may name a newer one.
      */
-    void memberRuns(String other, long itsProcess, LeaderRecord recordAtCall) {
+    void observeMemberProcess(String otherMember, long processId, LeaderRecord recordWhenAsked) {
         if (!leading
-                && leader != null
-                && leader.equals(recordAtCall)
-                && leader.member().equals(other)
-                && leader.process() != itsProcess) {
-            LOG.info("leader {} was restarted, taking over", other);
-            deadProcesses.add(leader.process());
-            campaignSoon();
+                && leaderRecord != null
+                && leaderRecord.equals(recordWhenAsked)
+                && leaderRecord.member().equals(otherMember)
+                && leaderRecord.process() != processId) {
+            LOG.info("leader {} was restarted, taking over", otherMember);
+            deadProcesses.add(leaderRecord.process());
+            scheduleCampaign();
         }
     }
 
     // ---- observing
 
-    private void observe() {
-        long mine = ++generation;
+    private void watchLeaderRecord() {
+        long watchId = ++watchGeneration;
         store.list(PREFIX, listing -> {
-            if (mine != generation) {
+            if (watchId != watchGeneration) {
                 return;
             }
             if (listing == null) {
                 kernel.after(RETRY_MS, () -> {
-                    if (mine == generation) {
-                        observe();
+                    if (watchId == watchGeneration) {
+                        watchLeaderRecord();
                     }
                 });
                 return;
             }
-            leader = null;
-            leaderRevision = Txn.ABSENT;
+            leaderRecord = null;
+            leaderRecordRevision = Transaction.NO_REVISION;
             storedTerm = 0;
-            termRevision = Txn.ABSENT;
-            for (Entry entry : listing.entries()) {
-                noted(new Change(entry.key(), entry.value(), entry.revision()));
+            termRevision = Transaction.NO_REVISION;
+            for (KeyValue entry : listing.entries()) {
+                applyChange(new KeyChange(entry.key(), entry.value(), entry.revision()));
             }
-            observed = true;
-            decide();
-            store.follow(PREFIX, listing.revision(), listing.at(), follower(mine));
+            recordKnown = true;
+            evaluateCandidacy();
+            store.watch(PREFIX, listing.revision(), listing.readAt(), watcher(watchId));
         });
     }
 
-    private StoreClient.Follower follower(long mine) {
-        return new StoreClient.Follower() {
+    private StoreClient.Watcher watcher(long watchId) {
+        return new StoreClient.Watcher() {
             @Override
-            public boolean wanted() {
-                return mine == generation;
+            public boolean active() {
+                return watchId == watchGeneration;
             }
 
             @Override
-            public void changed(List<Change> changes) {
-                changes.forEach(Leadership.this::noted);
-                decide();
+            public void onChanges(List<KeyChange> changes) {
+                changes.forEach(Leadership.this::applyChange);
+                evaluateCandidacy();
             }
 
             @Override
-            public void outdated() {
-                observe();
+            public void onCompacted() {
+                watchLeaderRecord();
             }
         };
     }
 
-    private void noted(Change change) {
-        if (change.key().equals(TERM) && change.value() != null && change.revision() >= termRevision) {
+    private void applyChange(KeyChange change) {
+        if (change.key().equals(TERM_KEY) && change.value() != null && change.revision() >= termRevision) {
             storedTerm = change.value().path("term").asLong();
             termRevision = change.revision();
-        } else if (change.key().equals(LEADER) && change.revision() >= leaderRevision) {
-            leader = change.value() == null ? null : LeaderRecord.fromJson(change.value());
-            leaderRevision = leader == null ? Txn.ABSENT : change.revision();
+        } else if (change.key().equals(LEADER_KEY) && change.revision() >= leaderRecordRevision) {
+            leaderRecord = change.value() == null ? null : LeaderRecord.fromJson(change.value());
+            leaderRecordRevision = leaderRecord == null ? Transaction.NO_REVISION : change.revision();
         }
     }
 
-    private void decide() {
+    private void evaluateCandidacy() {
         if (leading) {
             if (storedTerm > term) {
                 LOG.info("term {} was raised to {}", term, storedTerm);
@@ -238,115 +238,120 @@
             }
             return;
         }
-        if (vacant()) {
-            campaignSoon();
-        } else if (leader.process() == process && leader.term() == storedTerm && leader.term() > term) {
+        if (leadershipVacant()) {
+            scheduleCampaign();
+        } else if (leaderRecord.process() == process
+                && leaderRecord.term() == storedTerm
+                && leaderRecord.term() > term) {
             // A campaign whose answer was lost, or that was applied late, has won.
-            lead(leader.term(), leader.hold(), kernel.now() - times.holdMs());
+            becomeLeader(leaderRecord.term(), leaderRecord.leaseId(), kernel.nowMs() - times.leaseMs());
         }
     }
 
     /** Whether nobody leads, or only a process that is surely dead. */
-    private boolean vacant() {
-        if (leader == null || deadProcesses.contains(leader.process())) {
+    private boolean leadershipVacant() {
+        if (leaderRecord == null || deadProcesses.contains(leaderRecord.process())) {
             return true;
         }
         // The record is this member's former process's, which is dead since this one runs.
-        return leader.member().equals(member) && leader.process() != process;
+        return leaderRecord.member().equals(member) && leaderRecord.process() != process;
     }
 
     // ---- campaigning
 
-    private void campaignSoon() {
-        if (campaigning || kernel.now() < abstainUntil) {
+    private void scheduleCampaign() {
+        if (campaigning || kernel.nowMs() < backOffUntil) {
             return;
         }
         campaigning = true;
-        LOG.debug("standing for term {}, the record names {}", Math.max(storedTerm, highestTerm) + 1, leader);
-        kernel.after(kernel.random().nextInt(CAMPAIGN_SPREAD_MS), this::campaign);
+        LOG.debug("standing for term {}, the record names {}", Math.max(storedTerm, highestTerm) + 1, leaderRecord);
+        kernel.after(kernel.random().nextInt(CAMPAIGN_JITTER_MS), this::campaign);
     }
 
     private void campaign() {
         // Another candidate may have won since this campaign was planned.
-        if (leading || !vacant() || kernel.now() < abstainUntil) {
+        if (leading || !leadershipVacant() || kernel.nowMs() < backOffUntil) {
             campaigning = false;
             return;
         }
-        long asked = kernel.now();
-        long aim = Math.max(storedTerm, highestTerm) + 1;
-        long seenLeader = leaderRevision;
-        long seenTerm = termRevision;
-        store.grantHold(times.holdMs(), granted -> {
-            if (granted == null) {
-                campaignEnded();
+        long requestedAt = kernel.nowMs();
+        long candidateTerm = Math.max(storedTerm, highestTerm) + 1;
+        long expectedLeaderRevision = leaderRecordRevision;
+        long expectedTermRevision = termRevision;
+        store.grantLease(times.leaseMs(), newLeaseId -> {
+            if (newLeaseId == null) {
+                campaignFailed();
                 return;
             }
-            Txn txn = new Txn()
-                    .guard(LEADER, seenLeader)
-                    .guard(TERM, seenTerm)
-                    .putHeld(LEADER, new LeaderRecord(member, process, aim, granted).toJson(), granted)
-                    .put(TERM, Json.object().put("term", aim));
-            store.commit(txn, Urgency.FIRST, outcome -> {
-                if (outcome instanceof TxnOutcome.Committed committed) {
+            Transaction election = new Transaction()
+                    .require(LEADER_KEY, expectedLeaderRevision)
+                    .require(TERM_KEY, expectedTermRevision)
+                    .putWithLease(
+                            LEADER_KEY,
+                            new LeaderRecord(member, process, candidateTerm, newLeaseId).toJson(),
+                            newLeaseId)
+                    .put(TERM_KEY, Json.object().put("term", candidateTerm));
+            store.commit(election, RequestUrgency.HIGH, outcome -> {
+                if (outcome instanceof TransactionOutcome.Committed committed) {
                     campaigning = false;
                     // The follow may have told of the victory first: the hold is in use then.
-                    if (!leading && aim > term) {
-                        storedTerm = Math.max(storedTerm, aim);
+                    if (!leading && candidateTerm > term) {
+                        storedTerm = Math.max(storedTerm, candidateTerm);
                         termRevision = Math.max(termRevision, committed.revision());
-                        lead(aim, granted, asked);
+                        becomeLeader(candidateTerm, newLeaseId, requestedAt);
                     }
                     return;
                 }
-                if (!(outcome instanceof TxnOutcome.Unknown)) {
-                    store.dropHold(granted);
+                if (!(outcome instanceof TransactionOutcome.Unknown)) {
+                    store.revokeLease(newLeaseId);
                 }
-                campaignEnded();
+                campaignFailed();
             });
         });
     }
 
-    private void campaignEnded() {
+    private void campaignFailed() {
         kernel.after(RETRY_MS, () -> {
             campaigning = false;
             if (!leading) {
-                observe();
+                watchLeaderRecord();
             }
         });
     }
 
-    private void lead(long won, long withHold, long since) {
+    private void becomeLeader(long wonTerm, long wonLeaseId, long confirmedSince) {
         leading = true;
-        term = won;
-        hold = withHold;
-        confirmedAt = since;
-        watermark.nothingRead();
+        term = wonTerm;
+        leaseId = wonLeaseId;
+        leaseConfirmedAt = confirmedSince;
+        watermark.resetStoreRead();
         LOG.atInfo()
                 .addKeyValue("term", term)
                 .addKeyValue("term_revision", termRevision)
                 .addKeyValue("process", process)
                 .log("leading");
-        renew();
+        renewLease();
         listener.elected(term, termRevision);
     }
 
     // ---- holding
 
-    private void renew() {
+    private void renewLease() {
         if (!leading) {
             return;
         }
-        long sent = kernel.now();
-        long renewed = term;
-        store.extendHold(hold, extension -> {
-            if (!leading || term != renewed) {
+        long sentAt = kernel.nowMs();
+        long renewedTerm = term;
+        store.renewLease(leaseId, renewal -> {
+            if (!leading || term != renewedTerm) {
                 return;
             }
-            if (extension == StoreClient.Extension.EXTENDED) {
-                confirmedAt = Math.max(confirmedAt, sent);
-            } else if (extension == StoreClient.Extension.ENDED) {
+            if (renewal == StoreClient.LeaseRenewal.RENEWED) {
+                leaseConfirmedAt = Math.max(leaseConfirmedAt, sentAt);
+            } else if (renewal == StoreClient.LeaseRenewal.EXPIRED) {
                 LOG.info("the hold of term {} has ended", term);
                 stepDown();
-                observe();
+                watchLeaderRecord();
             }
         });
     }
@@ -356,11 +361,11 @@
                 .addKeyValue("term", term)
                 .addKeyValue("highest_term", highestTerm)
                 .addKeyValue("stored_term", storedTerm)
-                .addKeyValue("confirmed", confirmed())
+                .addKeyValue("confirmed", isConfirmed())
                 .log("stepping down");
         leading = false;
         highestTerm = Math.max(highestTerm, term);
-        store.dropHold(hold);
-        listener.deposed();
+        store.revokeLease(leaseId);
+        listener.leadershipLost();
     }
 }
--- a/src/main/java/io/quartzgw/progress/Packing.java
+++ b/src/main/java/io/quartzgw/progress/ProgressBitmaps.java
@@ -7,19 +7,19 @@
 import java.util.BitSet;
 
 /** Packs a job's finished tasks into bitmaps, split so that several fit into a value of the state service. */
-public final class Packing {
+public final class ProgressBitmaps {
     public static final String PREFIX = "prog/";
     /** The part of a value that one bitmap may fill as text. */
-    private static final double FILLED = 0.25;
+    private static final double MAX_VALUE_FRACTION = 0.25;
 
     private static final int BITS_PER_CHARACTER = 6;
     /** Quotes, and padding to whole bytes and groups of four characters. */
-    private static final int MARGIN = 12;
+    private static final int ENCODING_MARGIN = 12;
 
     private final int tasksPerChunk;
 
-    public Packing(int valueBytes) {
-        this.tasksPerChunk = Math.max(64, (int) (valueBytes * FILLED) * BITS_PER_CHARACTER);
+    public ProgressBitmaps(int valueBytes) {
+        this.tasksPerChunk = Math.max(64, (int) (valueBytes * MAX_VALUE_FRACTION) * BITS_PER_CHARACTER);
     }
 
     public int chunkOf(int task) {
@@ -37,8 +37,8 @@
     }
 
     /** How long a record of a job with so many tasks can grow. */
-    public int reserved(int tasks) {
-        return Math.min(tasks, tasksPerChunk) / BITS_PER_CHARACTER + MARGIN;
+    public int maxRecordLength(int tasks) {
+        return Math.min(tasks, tasksPerChunk) / BITS_PER_CHARACTER + ENCODING_MARGIN;
     }
 
     public JsonNode pack(BitSet done, int chunk) {
--- a/src/main/java/io/quartzgw/placement/Presence.java
+++ b/src/main/java/io/quartzgw/scheduling/AgentLiveness.java
@@ -1,4 +1,4 @@
-package io.quartzgw.placement;
+package io.quartzgw.scheduling;
 
 /**
  * What this leader has heard from a machine's worker, and what that proves.
@@ -8,7 +8,7 @@
  * than all that was heard before. Anything else is only a sign that there may be a worker: it is answered, since it may
  * be genuine, but changes nothing in the cluster state.
  */
-public final class Presence {
+public final class AgentLiveness {
 
     /** What a message proves. */
     public enum Freshness {
@@ -20,36 +20,36 @@
         STALE
     }
 
-    private long session;
-    private long counter = -1;
-    private long heardAt;
+    private long epoch;
+    private long sequence = -1;
+    private long lastHeartbeatAt;
     private boolean verified;
     /** Sessions are counted from 1, and most workers never lose their first. */
-    private long toldSession = 1;
+    private long latestObservedEpoch = 1;
 
-    private boolean workerReplaced;
+    private boolean agentReplaced;
     private boolean unreachable;
     private long unreachableSince;
-    private long answered = Long.MIN_VALUE;
-    private long formerUntil;
+    private long lastResponseAt = Long.MIN_VALUE;
+    private long previousLeaderActiveUntil;
 
-    Presence(long now) {
-        this.formerUntil = now;
+    AgentLiveness(long now) {
+        this.previousLeaderActiveUntil = now;
     }
 
     /** The worker's session, as far as it was proved. */
-    public long session() {
-        return session;
+    public long epoch() {
+        return epoch;
     }
 
     /** The newest session that any message has named; an order has to name it. */
-    public long toldSession() {
-        return Math.max(session, toldSession);
+    public long latestObservedEpoch() {
+        return Math.max(epoch, latestObservedEpoch);
     }
 
     /** The counter of the newest current report; negative when there was none. */
-    public long counter() {
-        return counter;
+    public long sequence() {
+        return sequence;
     }
 
     /**
@@ -60,33 +60,33 @@
     }
 
     /** Whether a current report came no longer ago than this. */
-    public boolean heardWithin(long ms, long now) {
-        return verified && now - heardAt < ms;
+    public boolean heartbeatWithin(long ms, long now) {
+        return verified && now - lastHeartbeatAt < ms;
     }
 
     /** Weighs a message; the direct answer to an order is never a copy. */
-    public Freshness classify(long itsSession, long itsCounter, boolean showsToken, boolean direct) {
-        if (!newer(itsSession, itsCounter, session, counter)) {
+    public Freshness classify(long heartbeatEpoch, long heartbeatSequence, boolean showsToken, boolean direct) {
+        if (!isNewer(heartbeatEpoch, heartbeatSequence, epoch, sequence)) {
             return Freshness.STALE;
         }
         // Copies from the former worker of a machine that came back count higher than its new one.
-        return showsToken && (direct || !workerReplaced) ? Freshness.CURRENT : Freshness.UNVERIFIED;
+        return showsToken && (direct || !agentReplaced) ? Freshness.CURRENT : Freshness.UNVERIFIED;
     }
 
     /** Whether one message of a worker was made after another one. */
-    public static boolean newer(long itsSession, long itsCounter, long thanSession, long thanCounter) {
-        return itsSession > thanSession || itsSession == thanSession && itsCounter > thanCounter;
+    public static boolean isNewer(long epoch, long sequence, long otherEpoch, long otherSequence) {
+        return epoch > otherEpoch || epoch == otherEpoch && sequence > otherSequence;
     }
 
     /** Notes a current report. */
-    public void heard(long itsSession, long itsCounter, long now) {
-        session = itsSession;
-        counter = itsCounter;
-        heardAt = now;
+    public void recordHeartbeat(long heartbeatEpoch, long heartbeatSequence, long now) {
+        epoch = heartbeatEpoch;
+        sequence = heartbeatSequence;
+        lastHeartbeatAt = now;
         if (!verified) {
             // A former leader may have answered it until just now, but none can any more.
             verified = true;
-            answered = Math.max(answered, now);
+            lastResponseAt = Math.max(lastResponseAt, now);
         }
     }
 
@@ -95,25 +95,25 @@
      * renew a lease that this leader doesn't count. One that proves nothing has to be, or its worker would never show
      * the token; where it is a copy, room is held a little longer than it need be.
      */
-    public void answered(long now) {
-        answered = Math.max(answered, now);
+    public void lastResponseAt(long now) {
+        lastResponseAt = Math.max(lastResponseAt, now);
     }
 
     /** When a report that was answered, by this leader or a former one, can last have been sent. */
-    public long lastAnswered() {
-        return verified ? answered : Math.max(answered, formerUntil);
+    public long lastResponseAt() {
+        return verified ? lastResponseAt : Math.max(lastResponseAt, previousLeaderActiveUntil);
     }
 
     /**
      * Bounds the moment when a former leader can last have answered; it holds until the worker shows this one's token.
      */
-    public void formerAnswers(long until) {
-        formerUntil = until;
+    public void boundPreviousLeader(long until) {
+        previousLeaderActiveUntil = until;
     }
 
     /** A direct answer has named another session than it was sent to. */
-    public void told(long itsSession) {
-        toldSession = itsSession;
+    public void observeEpoch(long observedEpoch) {
+        latestObservedEpoch = observedEpoch;
     }
 
     // ---- orders
@@ -128,14 +128,14 @@
     }
 
     /** Notes that the machine may not receive what is sent to it. */
-    public void lostTouch(long now) {
+    public void markUnreachable(long now) {
         if (!unreachable) {
             unreachable = true;
             unreachableSince = now;
         }
     }
 
-    public void answersOrders() {
+    public void markReachable() {
         unreachable = false;
     }
 
@@ -143,10 +143,10 @@
      * The worker has answered an order with an older message than what was known when the order was sent: it is another
      * worker, and what the former one ran is gone.
      */
-    public void workerReplaced(long itsSession, long itsCounter) {
-        workerReplaced = true;
-        session = itsSession;
-        toldSession = itsSession;
-        counter = itsCounter - 1;
+    public void agentReplaced(long newEpoch, long newSequence) {
+        agentReplaced = true;
+        epoch = newEpoch;
+        latestObservedEpoch = newEpoch;
+        sequence = newSequence - 1;
     }
 }
--- a/src/main/java/io/quartzgw/placement/Booking.java
+++ b/src/main/java/io/quartzgw/scheduling/Allocation.java
@@ -1,36 +1,36 @@
-package io.quartzgw.placement;
+package io.quartzgw.scheduling;
 
 import io.quartzgw.submission.Resources;
 
 /** A task's place on a machine: it runs there, or may run there. */
-public final class Booking {
+public final class Allocation {
 
     /** What is known of the attempt. */
     public enum Phase {
         /** Booked, and not yet seen in a report. */
-        ORDERED,
+        ASSIGNED,
         FETCHING,
         RUNNING,
-        SAVING
+        CHECKPOINTING
     }
 
     private final Job job;
     private final int index;
     private final long attempt;
     private final Machine machine;
-    private final long bookedAt;
-    private Phase phase = Phase.ORDERED;
+    private final long allocatedAt;
+    private Phase phase = Phase.ASSIGNED;
     private long runningSince;
-    private boolean offered;
+    private boolean startSent;
     private boolean stopping;
-    private double saveS;
+    private double stopGraceS;
 
-    Booking(Job job, int index, long attempt, Machine machine, long now) {
+    Allocation(Job job, int index, long attempt, Machine machine, long now) {
         this.job = job;
         this.index = index;
         this.attempt = attempt;
         this.machine = machine;
-        this.bookedAt = now;
+        this.allocatedAt = now;
     }
 
     public Job job() {
@@ -62,50 +62,50 @@
     }
 
     /** Whether a report has shown the attempt. */
-    public boolean seen() {
-        return phase != Phase.ORDERED;
+    public boolean observed() {
+        return phase != Phase.ASSIGNED;
     }
 
     /** Notes the phase that the worker reports for this attempt. */
-    public void seen(Phase reported, long now) {
+    public void observed(Phase reported, long now) {
         if (reported == Phase.RUNNING && phase != Phase.RUNNING) {
             runningSince = now;
-            machine.holdsImage(job.spec().image(), job.spec().imageGb());
+            machine.cacheImage(job.spec().image(), job.spec().imageGb());
         }
         phase = reported;
     }
 
     /** The worker that had shown the attempt is gone; its successor may be started with the same attempt. */
-    public void workerReplaced() {
-        phase = Phase.ORDERED;
+    public void agentReplaced() {
+        phase = Phase.ASSIGNED;
     }
 
-    public long bookedAt() {
-        return bookedAt;
+    public long allocatedAt() {
+        return allocatedAt;
     }
 
     /** How long the task has run on this machine, as far as this leader has seen. */
-    public long ranMs(long now) {
-        return phase == Phase.RUNNING || phase == Phase.SAVING ? now - runningSince : 0;
+    public long runtimeMs(long now) {
+        return phase == Phase.RUNNING || phase == Phase.CHECKPOINTING ? now - runningSince : 0;
     }
 
     /** Whether the start order has left this node at all. */
-    public boolean offered() {
-        return offered;
+    public boolean startSent() {
+        return startSent;
     }
 
-    public void markOffered() {
-        offered = true;
+    public void markStartSent() {
+        startSent = true;
     }
 
     /**
      * Whether the cloud takes the machine away before the task can have ended there, as far as its owner's guess goes.
      */
     boolean reclaimedBeforeEnd(long now) {
-        if (stopping || !seen() || job.spec().gang()) {
+        if (stopping || !observed() || job.spec().gang()) {
             return false;
         }
-        long left = (long) (job.spec().estimateS() * 1000) - ranMs(now);
+        long left = (long) (job.spec().estimateS() * 1000) - runtimeMs(now);
         return job.spec().service() || left > machine.reclaimAt() - now;
     }
 
@@ -114,12 +114,12 @@
     }
 
     /** Has the task stopped; it keeps its place until the machine says that it has ended. */
-    public void stop(double graceS) {
+    public void requestStop(double graceS) {
         stopping = true;
-        saveS = graceS;
+        stopGraceS = graceS;
     }
 
     public double stopGraceS() {
-        return saveS;
+        return stopGraceS;
     }
 }
--- a/src/main/java/io/quartzgw/placement/Cluster.java
+++ b/src/main/java/io/quartzgw/scheduling/ClusterState.java
@@ -1,6 +1,6 @@
-package io.quartzgw.placement;
+package io.quartzgw.scheduling;
 
-import io.quartzgw.loop.Kernel;
+import io.quartzgw.eventloop.EventLoop;
 import io.quartzgw.submission.OpenJob;
 import io.quartzgw.submission.Resources;
 import java.util.Collection;
@@ -17,25 +17,25 @@
  * The leader's state: open jobs, machines, and which task has a place where. Only this class books and releases, so
  * that rooms, quotas and zones always add up.
  */
-public final class Cluster {
-    private static final Logger LOG = LoggerFactory.getLogger(Cluster.class);
+public final class ClusterState {
+    private static final Logger LOG = LoggerFactory.getLogger(ClusterState.class);
 
-    private final Kernel kernel;
+    private final EventLoop kernel;
     private final TreeMap<String, Job> jobs = new TreeMap<>();
     private final Map<String, Machine> machines = new TreeMap<>();
-    private final Set<String> gone = new HashSet<>();
-    private final Map<String, Resources> teamUse = new HashMap<>();
+    private final Set<String> wasRemoved = new HashSet<>();
+    private final Map<String, Resources> usageByTeam = new HashMap<>();
     /** Jobs with a task that waits for a place, and jobs with an unaccounted task: few among many that run. */
-    private final Map<String, Job> waiting = new TreeMap<>();
+    private final Map<String, Job> pendingJobs = new TreeMap<>();
 
-    private final Map<String, Job> withUnaccounted = new TreeMap<>();
-    private final Set<Machine> unexplained = new HashSet<>();
-    private Resources unexplainedRoom = Resources.NONE;
+    private final Map<String, Job> jobsWithUnaccountedTasks = new TreeMap<>();
+    private final Set<Machine> unexplainedMachines = new HashSet<>();
+    private Resources unexplainedCapacity = Resources.NONE;
     private final long term;
     private long attempts;
     private boolean changed = true;
 
-    public Cluster(Kernel kernel, long term) {
+    public ClusterState(EventLoop kernel, long term) {
         this.kernel = kernel;
         this.term = term;
     }
@@ -58,45 +58,45 @@
     /** Adds an open job, or returns the one that is there. */
     public Job add(OpenJob open) {
         changed = true;
-        long age = Math.max(0, kernel.wallClock() - open.acceptedAt());
+        long age = Math.max(0, kernel.wallClockMs() - open.acceptedAt());
         return jobs.computeIfAbsent(open.spec().id(), id -> {
-            Job job = new Job(open, kernel.now() - age);
+            Job job = new Job(open, kernel.nowMs() - age);
             LOG.debug("{} is open since {} ms: {}", id, age, open.spec());
-            waiting.put(id, job);
+            pendingJobs.put(id, job);
             return job;
         });
     }
 
     /** Jobs with a task that waits for a place. */
-    public Collection<Job> waitingJobs() {
-        return waiting.values();
+    public Collection<Job> pendingJobs() {
+        return pendingJobs.values();
     }
 
     /** Jobs with an unaccounted task. */
-    public Collection<Job> jobsWithUnaccounted() {
-        return withUnaccounted.values();
+    public Collection<Job> jobsWithUnaccountedTasks() {
+        return jobsWithUnaccountedTasks.values();
     }
 
     /** Marks the waiting tasks of a job as unaccounted that a former leader may have started on a silent machine. */
     public void markUnaccounted(Job job) {
-        alter(job, Job::markStartedUnaccounted);
+        update(job, Job::markStartedUnaccounted);
     }
 
     /** Settles a job: whatever of it is not explained by now runs nowhere. */
     public void resolveUnaccounted(Job job) {
-        alter(job, Job::resolveUnaccounted);
+        update(job, Job::resolveUnaccounted);
     }
 
     // Every change of a job's tasks goes through here, so that the sums and the short lists stay true.
-    private void alter(Job job, Consumer<Job> change) {
+    private void update(Job job, Consumer<Job> change) {
         int before = job.unaccounted().cardinality();
         change.accept(job);
         int more = job.unaccounted().cardinality() - before;
         if (more != 0) {
-            teamUse.merge(job.spec().team(), job.spec().demand().times(more), Resources::plus);
+            usageByTeam.merge(job.spec().team(), job.spec().demand().times(more), Resources::plus);
         }
-        index(waiting, job, !job.waiting().isEmpty());
-        index(withUnaccounted, job, !job.unaccounted().isEmpty());
+        index(pendingJobs, job, !job.pending().isEmpty());
+        index(jobsWithUnaccountedTasks, job, !job.unaccounted().isEmpty());
         changed = true;
     }
 
@@ -109,14 +109,14 @@
     }
 
     /** Ends a job: nothing of it is started any more; it leaves the cluster state with its last booking. */
-    public void end(Job job) {
+    public void terminate(Job job) {
         LOG.debug("{} is over", job.id());
-        alter(job, Job::end);
-        forgetIfGone(job);
+        update(job, Job::terminate);
+        removeIfDrained(job);
     }
 
-    private void forgetIfGone(Job job) {
-        if (job.over() && job.bookings().isEmpty()) {
+    private void removeIfDrained(Job job) {
+        if (job.isTerminal() && job.allocations().isEmpty()) {
             jobs.remove(job.id(), job);
         }
     }
@@ -138,16 +138,16 @@
 
     /** Takes a machine out that is surely gone, with everything that was on it. */
     public void remove(Machine machine) {
-        machine.bookingsCopy().forEach(this::release);
+        machine.allocationsSnapshot().forEach(this::release);
         machines.remove(machine.id(), machine);
-        gone.add(machine.id());
-        unexplained(machine, false);
+        wasRemoved.add(machine.id());
+        unexplainedMachines(machine, false);
         changed = true;
     }
 
     /** Whether a machine is surely gone: a late report of it must not bring it back. */
-    public boolean gone(String machineId) {
-        return gone.contains(machineId);
+    public boolean wasRemoved(String machineId) {
+        return wasRemoved.contains(machineId);
     }
 
     // ---- bookings
@@ -158,32 +158,32 @@
     }
 
     /** Assigns a task to a machine and reserves the resources there. */
-    public Booking book(Job job, int index, Machine machine, long attempt) {
-        if (job.booking(index) != null) {
+    public Allocation allocate(Job job, int index, Machine machine, long attempt) {
+        if (job.allocation(index) != null) {
             throw new IllegalStateException(job.task(index) + " has a place already");
         }
-        Booking booking = new Booking(job, index, attempt, machine, kernel.now());
-        kernel.count("placement.booked", 1);
-        alter(job, booked -> booked.booked(booking));
-        machine.booked(booking);
-        teamUse.merge(job.spec().team(), booking.demand(), Resources::plus);
-        log(booking, "task is booked");
+        Allocation booking = new Allocation(job, index, attempt, machine, kernel.nowMs());
+        kernel.increment("placement.booked", 1);
+        update(job, booked -> booked.addAllocation(booking));
+        machine.addAllocation(booking);
+        usageByTeam.merge(job.spec().team(), booking.demand(), Resources::plus);
+        logAllocation(booking, "task is booked");
         return booking;
     }
 
     /** Frees the place; the task waits again unless it is done or its job over. */
-    public void release(Booking booking) {
-        if (booking.machine().booking(booking.task()) != booking) {
+    public void release(Allocation booking) {
+        if (booking.machine().allocation(booking.task()) != booking) {
             return;
         }
-        alter(booking.job(), job -> job.released(booking));
-        booking.machine().released(booking, kernel.now());
-        teamUse.merge(booking.job().spec().team(), booking.demand(), Resources::minus);
-        log(booking, "booking is released");
-        forgetIfGone(booking.job());
+        update(booking.job(), job -> job.removeAllocation(booking));
+        booking.machine().removeAllocation(booking, kernel.nowMs());
+        usageByTeam.merge(booking.job().spec().team(), booking.demand(), Resources::minus);
+        logAllocation(booking, "booking is released");
+        removeIfDrained(booking.job());
     }
 
-    private static void log(Booking booking, String message) {
+    private static void logAllocation(Allocation booking, String message) {
         LOG.atDebug()
                 .addKeyValue("task", booking.task())
                 .addKeyValue("attempt", booking.attempt())
@@ -194,12 +194,12 @@
     }
 
     public void markDone(Job job, int index) {
-        alter(job, done -> done.markDone(index));
+        update(job, done -> done.markDone(index));
     }
 
     /** What a team's tasks take or may take: booked ones and unaccounted ones. */
-    public Resources teamUse(String team) {
-        return teamUse.getOrDefault(team, Resources.NONE);
+    public Resources usageByTeam(String team) {
+        return usageByTeam.getOrDefault(team, Resources.NONE);
     }
 
     /**
@@ -207,18 +207,18 @@
      * has no place for, there may be tasks of jobs that are over: the open jobs don't tell of those, and until they are
      * gone they count against their team's limit, whichever it is.
      */
-    public Resources mayUse(String team) {
-        return teamUse(team).plus(unexplainedRoom);
+    public Resources maxPossibleUsage(String team) {
+        return usageByTeam(team).plus(unexplainedCapacity);
     }
 
     /** Says whether something may be on a machine that the open jobs don't explain. */
-    public void unexplained(Machine machine, boolean so) {
-        if (so ? unexplained.add(machine) : unexplained.remove(machine)) {
+    public void unexplainedMachines(Machine machine, boolean isUnexplained) {
+        if (isUnexplained ? unexplainedMachines.add(machine) : unexplainedMachines.remove(machine)) {
             Resources size = machine.type().size();
             // Not summed anew, but for none: at a takeover hundreds of machines are explained one by one.
-            unexplainedRoom = unexplained.isEmpty()
+            unexplainedCapacity = unexplainedMachines.isEmpty()
                     ? Resources.NONE
-                    : so ? unexplainedRoom.plus(size) : unexplainedRoom.minus(size);
+                    : isUnexplained ? unexplainedCapacity.plus(size) : unexplainedCapacity.minus(size);
             changed = true;
         }
     }
@@ -230,7 +230,7 @@
         return was;
     }
 
-    public void touch() {
+    public void markChanged() {
         changed = true;
     }
 }
--- a/src/main/java/io/quartzgw/placement/Consolidation.java
+++ b/src/main/java/io/quartzgw/scheduling/Consolidation.java
@@ -1,4 +1,4 @@
-package io.quartzgw.placement;
+package io.quartzgw.scheduling;
 
 import io.quartzgw.submission.Resources;
 import java.util.ArrayList;
@@ -14,21 +14,21 @@
  */
 public final class Consolidation {
     /** Only a machine of which no more than this is in use is cleared. */
-    private static final double LITTLE_USED = 0.6;
+    private static final double MAX_UTILIZATION = 0.6;
     /** A replica that has run for less stays: a start counts only when it lasts. */
-    private static final double SETTLED_LEASES = 2;
+    private static final double MIN_RUNTIME_LEASES = 2;
 
-    private final Cluster cluster;
+    private final ClusterState cluster;
     private final Predicate<Machine> usable;
-    private final TaskControl starter;
-    private final long settledMs;
+    private final TaskLauncher launcher;
+    private final long minRuntimeMs;
 
     /** @param usable whether something may be placed on a machine now */
-    public Consolidation(Cluster cluster, Predicate<Machine> usable, TaskControl starter, long leaseMs) {
+    public Consolidation(ClusterState cluster, Predicate<Machine> usable, TaskLauncher starter, long leaseMs) {
         this.cluster = cluster;
         this.usable = usable;
-        this.starter = starter;
-        this.settledMs = (long) (SETTLED_LEASES * leaseMs);
+        this.launcher = starter;
+        this.minRuntimeMs = (long) (MIN_RUNTIME_LEASES * leaseMs);
     }
 
     /**
@@ -36,68 +36,68 @@
      *
      * @param returnable whether a machine may be returned at all
      */
-    public Machine clearOne(Predicate<Machine> returnable, long now) {
-        if (!cluster.waitingJobs().isEmpty()) {
+    public Machine drainOne(Predicate<Machine> returnable, long now) {
+        if (!cluster.pendingJobs().isEmpty()) {
             return null;
         }
         List<Machine> machines = cluster.machines().stream().filter(usable).toList();
-        List<Machine> little = machines.stream()
+        List<Machine> candidates = machines.stream()
                 .filter(machine -> !machine.empty()
-                        && used(machine) <= LITTLE_USED
+                        && utilization(machine) <= MAX_UTILIZATION
                         && returnable.test(machine)
-                        && machine.bookings().stream().allMatch(booking -> movable(booking, now)))
-                .sorted(Comparator.comparingDouble(Consolidation::used).thenComparing(Machine::id))
+                        && machine.allocations().stream().allMatch(booking -> movable(booking, now)))
+                .sorted(Comparator.comparingDouble(Consolidation::utilization).thenComparing(Machine::id))
                 .toList();
-        for (Machine machine : little) {
+        for (Machine machine : candidates) {
             if (allFitElsewhere(machine, machines)) {
-                machine.leave();
-                machine.bookingsCopy()
-                        .forEach(booking ->
-                                starter.stop(booking, booking.job().spec().saveS(), StopReason.CONSOLIDATED));
+                machine.drain();
+                machine.allocationsSnapshot()
+                        .forEach(booking -> launcher.stop(
+                                booking, booking.job().spec().checkpointGraceS(), StopReason.CONSOLIDATED));
                 return machine;
             }
         }
         return null;
     }
 
-    private boolean movable(Booking booking, long now) {
+    private boolean movable(Allocation booking, long now) {
         return booking.job().spec().service()
                 && !booking.stopping()
-                && booking.phase() == Booking.Phase.RUNNING
-                && booking.ranMs(now) >= settledMs;
+                && booking.phase() == Allocation.Phase.RUNNING
+                && booking.runtimeMs(now) >= minRuntimeMs;
     }
 
-    private static double used(Machine machine) {
+    private static double utilization(Machine machine) {
         Resources size = machine.type().size();
-        return 1 - machine.room().cpus() / size.cpus();
+        return 1 - machine.freeCapacity().cpus() / size.cpus();
     }
 
     // In the same zone, so that no rule on zones is touched, and on machines that are used no less, so that
     // nothing is moved to and fro.
     private static boolean allFitElsewhere(Machine from, List<Machine> machines) {
-        Map<Machine, Resources> rooms = new HashMap<>();
+        Map<Machine, Resources> freeCapacities = new HashMap<>();
         List<Machine> targets = new ArrayList<>();
         for (Machine machine : machines) {
             if (machine != from
                     && machine.zone().equals(from.zone())
-                    && used(machine) >= used(from)
-                    && machine.room().cpus() > 0) {
+                    && utilization(machine) >= utilization(from)
+                    && machine.freeCapacity().cpus() > 0) {
                 targets.add(machine);
-                rooms.put(machine, machine.room());
+                freeCapacities.put(machine, machine.freeCapacity());
             }
         }
-        for (Booking booking : from.bookings()) {
+        for (Allocation booking : from.allocations()) {
             Machine target = targets.stream()
-                    .filter(machine -> booking.demand().fitsIn(rooms.get(machine))
+                    .filter(machine -> booking.demand().fitsIn(freeCapacities.get(machine))
                             && machine.hasImage(booking.job().spec().image())
                             && booking.job().spec().allows(machine.type().name(), machine.zone(), machine.spot())
-                            && !booking.job().avoids(machine.id()))
+                            && !booking.job().excludes(machine.id()))
                     .findFirst()
                     .orElse(null);
             if (target == null) {
                 return false;
             }
-            rooms.merge(target, booking.demand(), Resources::minus);
+            freeCapacities.merge(target, booking.demand(), Resources::minus);
         }
         return true;
     }
--- a/src/main/java/io/quartzgw/placement/Job.java
+++ b/src/main/java/io/quartzgw/scheduling/Job.java
@@ -1,4 +1,4 @@
-package io.quartzgw.placement;
+package io.quartzgw.scheduling;
 
 import io.quartzgw.submission.JobSpec;
 import io.quartzgw.submission.OpenJob;
@@ -19,22 +19,22 @@
     private final OpenJob open;
     private final long submittedAt;
     private final BitSet done = new BitSet();
-    private final BitSet recorded = new BitSet();
-    private final BitSet waiting = new BitSet();
+    private final BitSet recordedDone = new BitSet();
+    private final BitSet pending = new BitSet();
     private final BitSet unaccounted = new BitSet();
-    private final Map<Integer, Booking> bookings = new HashMap<>();
-    private final Map<String, Integer> perZone = new HashMap<>();
-    private final Set<String> avoided = new HashSet<>();
-    private int startBelow;
-    private boolean over;
-    private int errors;
+    private final Map<Integer, Allocation> allocations = new HashMap<>();
+    private final Map<String, Integer> tasksPerZone = new HashMap<>();
+    private final Set<String> excludedMachines = new HashSet<>();
+    private int recordedStartLimit;
+    private boolean isTerminal;
+    private int failures;
     private long retryAt;
 
     /** @param submittedAt when it was accepted, on this node's steady clock */
     Job(OpenJob open, long submittedAt) {
         this.open = open;
         this.submittedAt = submittedAt;
-        waiting.set(0, open.spec().tasks());
+        pending.set(0, open.spec().tasks());
     }
 
     public JobSpec spec() {
@@ -81,159 +81,160 @@
         return !spec().service() && done.cardinality() == spec().tasks();
     }
 
-    public Booking booking(int index) {
-        return bookings.get(index);
+    public Allocation allocation(int index) {
+        return allocations.get(index);
     }
 
-    public Collection<Booking> bookings() {
-        return bookings.values();
+    public Collection<Allocation> allocations() {
+        return allocations.values();
     }
 
-    public List<Booking> bookingsCopy() {
-        return new ArrayList<>(bookings.values());
+    public List<Allocation> allocationsSnapshot() {
+        return new ArrayList<>(allocations.values());
     }
 
     /** The number of tasks that workers report as running. */
     public int runningCount() {
-        return (int) bookings.values().stream()
-                .filter(b -> b.phase() == Booking.Phase.RUNNING)
+        return (int) allocations.values().stream()
+                .filter(b -> b.phase() == Allocation.Phase.RUNNING)
                 .count();
     }
 
-    public BitSet waiting() {
-        return waiting;
+    public BitSet pending() {
+        return pending;
     }
 
-    public int nextWaiting() {
-        return waiting.nextSetBit(0);
+    public int nextPending() {
+        return pending.nextSetBit(0);
     }
 
     public BitSet unaccounted() {
         return unaccounted;
     }
 
-    void booked(Booking booking) {
-        waiting.clear(booking.index());
+    void addAllocation(Allocation booking) {
+        pending.clear(booking.index());
         unaccounted.clear(booking.index());
-        bookings.put(booking.index(), booking);
-        perZone.merge(booking.machine().zone(), 1, Integer::sum);
+        allocations.put(booking.index(), booking);
+        tasksPerZone.merge(booking.machine().zone(), 1, Integer::sum);
     }
 
-    void released(Booking booking) {
-        bookings.remove(booking.index());
-        perZone.merge(booking.machine().zone(), -1, Integer::sum);
-        if (!over && !done.get(booking.index())) {
-            waiting.set(booking.index());
+    void removeAllocation(Allocation booking) {
+        allocations.remove(booking.index());
+        tasksPerZone.merge(booking.machine().zone(), -1, Integer::sum);
+        if (!isTerminal && !done.get(booking.index())) {
+            pending.set(booking.index());
         }
     }
 
     /** Whether the task's finish is in the state service. */
-    public boolean recorded(int index) {
-        return recorded.get(index);
+    public boolean recordedDone(int index) {
+        return recordedDone.get(index);
     }
 
-    public BitSet recorded() {
-        return recorded;
+    public BitSet recordedDone() {
+        return recordedDone;
     }
 
     void markDone(int index) {
         done.set(index);
-        waiting.clear(index);
+        pending.clear(index);
         unaccounted.clear(index);
     }
 
     /** Tasks from this one on have never been started by anyone, as the state service tells. */
-    public int startBelow() {
-        return startBelow;
+    public int recordedStartLimit() {
+        return recordedStartLimit;
     }
 
-    public void startBelow(int recorded) {
-        startBelow = Math.max(startBelow, recorded);
+    public void recordedStartLimit(int recorded) {
+        recordedStartLimit = Math.max(recordedStartLimit, recorded);
     }
 
     void markStartedUnaccounted() {
-        BitSet started = waiting.get(0, startBelow);
+        BitSet started = pending.get(0, recordedStartLimit);
         unaccounted.or(started);
-        waiting.andNot(started);
+        pending.andNot(started);
     }
 
     void resolveUnaccounted() {
-        if (!over) {
-            waiting.or(unaccounted);
+        if (!isTerminal) {
+            pending.or(unaccounted);
         }
         unaccounted.clear();
     }
 
     /** Whether a gang has lost a member while others still have their places: it restarts whole. */
-    public boolean broken() {
-        return spec().gang() && !waiting.isEmpty() && !bookings.isEmpty();
+    public boolean isBrokenGang() {
+        return spec().gang() && !pending.isEmpty() && !allocations.isEmpty();
     }
 
     /** How many tasks are or may be running anywhere. */
-    public int mayRun() {
-        return bookings.size() + unaccounted.cardinality();
+    public int possiblyRunning() {
+        return allocations.size() + unaccounted.cardinality();
     }
 
     /** The CPU time that its waiting tasks will take, as far as its owner guesses. */
-    public double waitingWork() {
-        return waiting.cardinality() * spec().demand().cpus() * spec().estimateS();
+    public double pendingWork() {
+        return pending.cardinality() * spec().demand().cpus() * spec().estimateS();
     }
 
     // ---- zones
 
     /** Whether one more task may start in the zone, given where the others are or may be. */
     public boolean zoneAllowed(String zone) {
-        if (spec().spread() && perZone.getOrDefault(zone, 0) + unaccounted.cardinality() >= spec().tasksPerZone()) {
+        if (spec().spread()
+                && tasksPerZone.getOrDefault(zone, 0) + unaccounted.cardinality() >= spec().tasksPerZone()) {
             return false;
         }
-        if (!spec().oneZone() || mayRun() == 0) {
+        if (!spec().singleZone() || possiblyRunning() == 0) {
             return true;
         }
         // An unaccounted task may be in any zone: until it is found, nothing else of the job starts.
-        return unaccounted.isEmpty() && perZone.getOrDefault(zone, 0) == bookings.size();
+        return unaccounted.isEmpty() && tasksPerZone.getOrDefault(zone, 0) == allocations.size();
     }
 
-    public int inZone(String zone) {
-        return perZone.getOrDefault(zone, 0);
+    public int tasksInZone(String zone) {
+        return tasksPerZone.getOrDefault(zone, 0);
     }
 
     // ---- end and failures
 
-    public boolean over() {
-        return over;
+    public boolean isTerminal() {
+        return isTerminal;
     }
 
-    void end() {
-        over = true;
-        waiting.clear();
+    void terminate() {
+        isTerminal = true;
+        pending.clear();
         unaccounted.clear();
     }
 
     /** Notes a failed attempt: the next one waits, longer each time, and avoids the machine. */
-    public void failedOn(String machine, long now, long firstPauseMs) {
-        avoided.add(machine);
-        errors++;
-        retryAt = now + (firstPauseMs << Math.min(errors - 1, 6));
+    public void recordFailure(String machine, long now, long firstPauseMs) {
+        excludedMachines.add(machine);
+        failures++;
+        retryAt = now + (firstPauseMs << Math.min(failures - 1, 6));
     }
 
-    public void delay(long until) {
+    public void delayRetry(long until) {
         retryAt = Math.max(retryAt, until);
     }
 
-    public int errors() {
-        return errors;
+    public int failures() {
+        return failures;
     }
 
     public long retryAt() {
         return retryAt;
     }
 
-    public boolean avoids(String machine) {
-        return avoided.contains(machine);
+    public boolean excludes(String machine) {
+        return excludedMachines.contains(machine);
     }
 
     /** Forgets which machines failed it, when there is no other left to try. */
-    public void forgiveMachines() {
-        avoided.clear();
+    public void clearExcludedMachines() {
+        excludedMachines.clear();
     }
 }
--- a/src/main/java/io/quartzgw/placement/Machine.java
+++ b/src/main/java/io/quartzgw/scheduling/Machine.java
@@ -1,4 +1,4 @@
-package io.quartzgw.placement;
+package io.quartzgw.scheduling;
 
 import io.quartzgw.fleet.MachineType;
 import io.quartzgw.http.Endpoint;
@@ -23,7 +23,7 @@
         /** Its worker reports. */
         UP,
         /** Nothing is placed on it any more; it will be returned. */
-        LEAVING
+        DRAINING
     }
 
     private final String id;
@@ -33,15 +33,15 @@
     private final long rentedAt;
     private Endpoint address;
     private Status status = Status.BOOTING;
-    private boolean used;
-    private final Presence presence;
-    private boolean released;
+    private boolean hasRunTasks;
+    private final AgentLiveness liveness;
+    private boolean removeAllocation;
     private long reclaimAt = Long.MAX_VALUE;
     private long emptySince;
-    private final Map<String, Booking> bookings = new HashMap<>();
-    private final int[] perPriority = new int[Priority.values().length];
-    private Resources taken = Resources.NONE;
-    private Resources room;
+    private final Map<String, Allocation> allocations = new HashMap<>();
+    private final int[] tasksPerPriority = new int[Priority.values().length];
+    private Resources allocated = Resources.NONE;
+    private Resources freeCapacity;
     private final LinkedHashMap<String, Double> images = new LinkedHashMap<>(8, 0.75f, true);
     private final Set<String> failedJobs = new HashSet<>();
     private Set<String> refusedJobs = Set.of();
@@ -53,11 +53,11 @@
     public Machine(String id, MachineType type, String zone, boolean spot, long rentedAt, long now) {
         this.id = id;
         this.type = type;
-        this.room = type.size();
+        this.freeCapacity = type.size();
         this.zone = zone;
         this.spot = spot;
         this.rentedAt = rentedAt;
-        this.presence = new Presence(now);
+        this.liveness = new AgentLiveness(now);
         this.emptySince = now;
     }
 
@@ -85,8 +85,8 @@
         return address;
     }
 
-    public void address(Endpoint told) {
-        this.address = told;
+    public void address(Endpoint reported) {
+        this.address = reported;
     }
 
     // ---- state
@@ -95,39 +95,39 @@
         return status;
     }
 
-    public void leave() {
-        status = Status.LEAVING;
+    public void drain() {
+        status = Status.DRAINING;
     }
 
     /** Whether its record says that tasks may have been started on it. */
-    public boolean used() {
-        return used;
+    public boolean hasRunTasks() {
+        return hasRunTasks;
     }
 
-    public void markUsed() {
-        used = true;
+    public void markHasRunTasks() {
+        hasRunTasks = true;
     }
 
     /** What was heard from its worker. */
-    public Presence presence() {
-        return presence;
+    public AgentLiveness liveness() {
+        return liveness;
     }
 
     /** A current report has told what is on it. */
-    public void present() {
-        released = false;
+    public void markUp() {
+        removeAllocation = false;
         if (status == Status.BOOTING) {
             status = Status.UP;
         }
     }
 
     /** Whether it was silent for its whole hold: what was on it has ended, and nothing is placed there. */
-    public boolean released() {
-        return released;
+    public boolean removeAllocation() {
+        return removeAllocation;
     }
 
-    public void holdExpired() {
-        released = true;
+    public void expireReservation() {
+        removeAllocation = true;
     }
 
     public long reclaimAt() {
@@ -144,50 +144,50 @@
 
     // ---- room
 
-    public Resources room() {
-        return room;
+    public Resources freeCapacity() {
+        return freeCapacity;
     }
 
     public boolean empty() {
-        return bookings.isEmpty();
+        return allocations.isEmpty();
     }
 
-    public Booking booking(String task) {
-        return bookings.get(task);
+    public Allocation allocation(String task) {
+        return allocations.get(task);
     }
 
-    public Collection<Booking> bookings() {
-        return bookings.values();
+    public Collection<Allocation> allocations() {
+        return allocations.values();
     }
 
-    public List<Booking> bookingsCopy() {
-        return new ArrayList<>(bookings.values());
+    public List<Allocation> allocationsSnapshot() {
+        return new ArrayList<>(allocations.values());
     }
 
     /** Whether it has a task of less priority. */
-    boolean holdsBelow(Priority priority) {
-        for (int lower = priority.ordinal() + 1; lower < perPriority.length; lower++) {
-            if (perPriority[lower] > 0) {
+    boolean runsBelow(Priority priority) {
+        for (int lower = priority.ordinal() + 1; lower < tasksPerPriority.length; lower++) {
+            if (tasksPerPriority[lower] > 0) {
                 return true;
             }
         }
         return false;
     }
 
-    void booked(Booking booking) {
-        bookings.put(booking.task(), booking);
-        perPriority[booking.job().spec().priority().ordinal()]++;
-        taken = taken.plus(booking.demand());
-        room = type.size().minus(taken);
+    void addAllocation(Allocation booking) {
+        allocations.put(booking.task(), booking);
+        tasksPerPriority[booking.job().spec().priority().ordinal()]++;
+        allocated = allocated.plus(booking.demand());
+        freeCapacity = type.size().minus(allocated);
     }
 
-    void released(Booking booking, long now) {
-        bookings.remove(booking.task());
-        perPriority[booking.job().spec().priority().ordinal()]--;
+    void removeAllocation(Allocation booking, long now) {
+        allocations.remove(booking.task());
+        tasksPerPriority[booking.job().spec().priority().ordinal()]--;
         // Summed anew when empty, so that rounding errors of decimals don't add up over a day.
-        taken = bookings.isEmpty() ? Resources.NONE : taken.minus(booking.demand());
-        room = type.size().minus(taken);
-        if (bookings.isEmpty()) {
+        allocated = allocations.isEmpty() ? Resources.NONE : allocated.minus(booking.demand());
+        freeCapacity = type.size().minus(allocated);
+        if (allocations.isEmpty()) {
             emptySince = now;
         }
     }
@@ -199,7 +199,7 @@
     }
 
     /** Notes that an image was fetched or used; the least recently used ones leave the cache. */
-    public void holdsImage(String image, double gb) {
+    public void cacheImage(String image, double gb) {
         images.put(image, gb);
         double held = images.values().stream().mapToDouble(Double::doubleValue).sum();
         var oldest = images.entrySet().iterator();
@@ -222,11 +222,11 @@
         }
         double alone = type.fetchGbPerS() > 0 ? gb / type.fetchGbPerS() : 0;
         int others = 0;
-        for (Booking booking : bookings.values()) {
+        for (Allocation booking : allocations.values()) {
             String fetched = booking.job().spec().image();
-            if (booking.phase() == Booking.Phase.ORDERED || booking.phase() == Booking.Phase.FETCHING) {
+            if (booking.phase() == Allocation.Phase.ASSIGNED || booking.phase() == Allocation.Phase.FETCHING) {
                 if (fetched.equals(image)) {
-                    return Math.max(0, alone - (now - booking.bookedAt()) / 1000.0);
+                    return Math.max(0, alone - (now - booking.allocatedAt()) / 1000.0);
                 }
                 others += hasImage(fetched) ? 0 : 1;
             }
@@ -242,7 +242,7 @@
     }
 
     /** Says which jobs the worker would refuse. */
-    public void refuses(Set<String> jobs) {
+    public void refuseJobs(Set<String> jobs) {
         refusedJobs = jobs;
     }
 
--- a/src/main/java/io/quartzgw/placement/Preemption.java
+++ b/src/main/java/io/quartzgw/scheduling/Preemption.java
@@ -1,4 +1,4 @@
-package io.quartzgw.placement;
+package io.quartzgw.scheduling;
 
 import io.quartzgw.submission.Resources;
 import java.util.ArrayList;
@@ -14,23 +14,23 @@
 final class Preemption {
 
     /** Tasks to stop on a machine so that one more task fits there. */
-    record Plan(Machine machine, List<Booking> victims, double lossCpuMs) {}
+    record Plan(Machine machine, List<Allocation> victims, double lostCpuMs) {}
 
     private final Job job;
     private final Predicate<Machine> allowed;
     private final long now;
-    private final PriorityQueue<Plan> plans = new PriorityQueue<>(Comparator.comparingDouble(Plan::lossCpuMs)
+    private final PriorityQueue<Plan> plans = new PriorityQueue<>(Comparator.comparingDouble(Plan::lostCpuMs)
             .thenComparing(plan -> plan.machine().id()));
 
     Preemption(Job job, List<Machine> machines, Predicate<Machine> allowed, long now) {
         this.job = job;
         this.allowed = allowed;
         this.now = now;
-        machines.forEach(this::offer);
+        machines.forEach(this::addPlan);
     }
 
-    private void offer(Machine machine) {
-        Plan plan = machine.holdsBelow(job.spec().priority()) && allowed.test(machine) ? plan(machine) : null;
+    private void addPlan(Machine machine) {
+        Plan plan = machine.runsBelow(job.spec().priority()) && allowed.test(machine) ? plan(machine) : null;
         if (plan != null) {
             plans.add(plan);
         }
@@ -53,36 +53,36 @@
     }
 
     /** Has a machine looked at again, after a plan for it was carried out. */
-    void again(Machine machine) {
-        offer(machine);
+    void reconsider(Machine machine) {
+        addPlan(machine);
     }
 
     private Plan plan(Machine machine) {
-        Resources room = machine.room();
-        List<Booking> victims = new ArrayList<>();
+        Resources room = machine.freeCapacity();
+        List<Allocation> victims = new ArrayList<>();
         double loss = 0;
-        List<Booking> candidates = machine.bookings().stream()
-                .filter(booking -> booking.seen()
+        List<Allocation> candidates = machine.allocations().stream()
+                .filter(booking -> booking.observed()
                         && !booking.stopping()
                         && job.spec().priority().above(booking.job().spec().priority()))
-                .sorted(Comparator.comparingDouble((Booking booking) -> loss(booking))
-                        .thenComparing(Booking::attempt))
+                .sorted(Comparator.comparingDouble((Allocation booking) -> lostWork(booking))
+                        .thenComparing(Allocation::attempt))
                 .toList();
-        for (Booking candidate : candidates) {
+        for (Allocation candidate : candidates) {
             if (job.spec().demand().fitsIn(room)) {
                 break;
             }
             victims.add(candidate);
             room = room.plus(candidate.demand());
-            loss += loss(candidate);
+            loss += lostWork(candidate);
         }
         return !victims.isEmpty() && job.spec().demand().fitsIn(room) ? new Plan(machine, victims, loss) : null;
     }
 
     /** What is lost when the task is stopped at once: the run since its last checkpoint. */
-    private double loss(Booking booking) {
-        double ran = booking.ranMs(now);
-        double checkpoint = booking.job().spec().checkpointS() * 1000;
+    private double lostWork(Allocation booking) {
+        double ran = booking.runtimeMs(now);
+        double checkpoint = booking.job().spec().checkpointIntervalS() * 1000;
         return (checkpoint > 0 ? ran % checkpoint : ran) * booking.demand().cpus();
     }
 }
--- a/src/main/java/io/quartzgw/placement/Scheduler.java
+++ b/src/main/java/io/quartzgw/scheduling/Scheduler.java
@@ -1,10 +1,10 @@
-package io.quartzgw.placement;
+package io.quartzgw.scheduling;
 
-import io.quartzgw.loop.Kernel;
+import io.quartzgw.agent.AgentTiming;
+import io.quartzgw.eventloop.EventLoop;
 import io.quartzgw.submission.JobSpec;
 import io.quartzgw.submission.Priority;
 import io.quartzgw.submission.Resources;
-import io.quartzgw.worker.WorkerTimes;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -14,22 +14,22 @@
 /** Places waiting tasks; what only lacks room is left for the fleet to rent for. */
 public final class Scheduler {
     /** A machine on which so many different jobs failed in a row gets nothing more. */
-    private static final int DISTRUST_JOBS = 2;
+    private static final int QUARANTINE_FAILED_JOBS = 2;
     /** A job with so many failures gets no new machine. */
-    private static final int RENT_ERRORS = 3;
+    private static final int MAX_FAILURES_FOR_SCALE_OUT = 3;
 
-    private static final double FRESH_REPORTS = 2.5;
+    private static final double FRESH_HEARTBEATS = 2.5;
 
-    private final Kernel kernel;
-    private final Cluster cluster;
-    private final Map<String, Team> teams;
-    private final TaskControl starter;
-    private final Objectives goals;
-    private final Queue queue;
+    private final EventLoop kernel;
+    private final ClusterState cluster;
+    private final Map<String, TeamQuota> teams;
+    private final TaskLauncher launcher;
+    private final ServiceLevelObjectives objectives;
+    private final SchedulingQueue queue;
     private final BestFit bestFit;
     private final BooleanSupplier cloudExhausted;
-    private final long freshMs;
-    private List<Unplaced> unplaced = List.of();
+    private final long maxSilenceMs;
+    private List<UnplacedTasks> unplaced = List.of();
     /** Whether normal work stops low work in this pass. */
     private boolean normalPreempts;
 
@@ -41,82 +41,82 @@
      * @param cloudExhausted whether the cloud gives no more machines at present
      */
     public Scheduler(
-            Kernel kernel,
-            Cluster cluster,
-            Map<String, Team> teams,
-            Objectives goals,
+            EventLoop kernel,
+            ClusterState cluster,
+            Map<String, TeamQuota> teams,
+            ServiceLevelObjectives goals,
             boolean roomIsKept,
-            WorkerTimes times,
+            AgentTiming times,
             BooleanSupplier cloudExhausted,
-            TaskControl starter) {
+            TaskLauncher starter) {
         this.kernel = kernel;
         this.cluster = cluster;
         this.teams = teams;
         this.cloudExhausted = cloudExhausted;
-        this.starter = starter;
-        this.goals = goals;
-        this.queue = new Queue(cluster, teams, goals, times.reportMs());
+        this.launcher = starter;
+        this.objectives = goals;
+        this.queue = new SchedulingQueue(cluster, teams, goals, times.heartbeatMs());
         this.bestFit = new BestFit(kernel.random(), roomIsKept);
-        this.freshMs = (long) (FRESH_REPORTS * times.reportMs());
+        this.maxSilenceMs = (long) (FRESH_HEARTBEATS * times.heartbeatMs());
     }
 
     /** What lacked room the last time. */
-    public List<Unplaced> unplaced() {
+    public List<UnplacedTasks> unplaced() {
         return unplaced;
     }
 
     /** Places all that can be placed now. */
-    public void run() {
-        List.copyOf(cluster.waitingJobs()).stream().filter(Job::broken).forEach(this::stopRest);
+    public void schedule() {
+        List.copyOf(cluster.pendingJobs()).stream().filter(Job::isBrokenGang).forEach(this::stopRemainingMembers);
         cluster.machines().stream()
                 .filter(machine -> machine.reclaimAt() != Long.MAX_VALUE)
                 .toList()
-                .forEach(this::leaveReclaimed);
-        List<Job> order = queue.order(kernel.now());
-        kernel.count("placement.passes", 1);
-        kernel.count("placement.jobs", order.size());
-        List<Unplaced> left = new ArrayList<>();
-        if (!order.isEmpty()) {
+                .forEach(this::evacuateReclaimed);
+        List<Job> queued = queue.order(kernel.nowMs());
+        kernel.increment("placement.passes", 1);
+        kernel.increment("placement.jobs", queued.size());
+        List<UnplacedTasks> left = new ArrayList<>();
+        if (!queued.isEmpty()) {
             List<Machine> machines =
                     cluster.machines().stream().filter(this::usable).toList();
-            List<Machine> roomy = roomyFor(order, machines);
-            bestFit.zoneUse(zoneUse(machines));
+            List<Machine> withCapacity = withFreeCapacity(queued, machines);
+            bestFit.zoneUtilization(zoneUtilization(machines));
             // As a rule no low work runs, and there is nothing to look for.
             normalPreempts = cloudExhausted.getAsBoolean()
-                    && machines.stream().anyMatch(machine -> machine.holdsBelow(Priority.NORMAL));
-            for (Job job : order) {
-                int lacking = job.spec().gang() ? placeGang(job, roomy) : place(job, machines, roomy);
+                    && machines.stream().anyMatch(machine -> machine.runsBelow(Priority.NORMAL));
+            for (Job job : queued) {
+                int lacking = job.spec().gang() ? placeGang(job, withCapacity) : place(job, machines, withCapacity);
                 // A job that fails everywhere must not have machines rented for it.
-                if (lacking > 0 && job.errors() < RENT_ERRORS) {
-                    left.add(new Unplaced(job, lacking));
+                if (lacking > 0 && job.failures() < MAX_FAILURES_FOR_SCALE_OUT) {
+                    left.add(new UnplacedTasks(job, lacking));
                 }
             }
         }
-        kernel.count("placement.looks", bestFit.takeLooks());
+        kernel.increment("placement.looks", bestFit.takeMachinesExamined());
         unplaced = left;
         scheduleRetry();
     }
 
     // Most machines of a busy cluster have no room for anything that waits: they are looked at once a pass,
     // not once for each job.
-    private static List<Machine> roomyFor(List<Job> order, List<Machine> machines) {
+    private static List<Machine> withFreeCapacity(List<Job> order, List<Machine> machines) {
         Resources least = order.get(0).spec().demand();
         for (Job job : order) {
             least = least.least(job.spec().demand());
         }
         Resources needed = least;
         return machines.stream()
-                .filter(machine -> needed.fitsIn(machine.room()))
+                .filter(machine -> needed.fitsIn(machine.freeCapacity()))
                 .toList();
     }
 
-    private static Map<String, Double> zoneUse(List<Machine> machines) {
+    private static Map<String, Double> zoneUtilization(List<Machine> machines) {
         Map<String, Double> size = new HashMap<>();
         Map<String, Double> room = new HashMap<>();
         for (Machine machine : machines) {
             if (!machine.spot()) {
                 size.merge(machine.zone(), machine.type().size().cpus(), Double::sum);
-                room.merge(machine.zone(), machine.room().cpus(), Double::sum);
+                room.merge(machine.zone(), machine.freeCapacity().cpus(), Double::sum);
             }
         }
         size.replaceAll((zone, cpus) -> 1 - room.get(zone) / cpus);
@@ -124,11 +124,11 @@
     }
 
     private void scheduleRetry() {
-        long retry = queue.nextRetry(kernel.now());
-        if (retry < retryAt || retryAt <= kernel.now()) {
+        long retry = queue.nextRetry(kernel.nowMs());
+        if (retry < retryAt || retryAt <= kernel.nowMs()) {
             retryAt = retry;
             if (retry != Long.MAX_VALUE) {
-                kernel.after(retry - kernel.now(), cluster::touch);
+                kernel.after(retry - kernel.nowMs(), cluster::markChanged);
             }
         }
     }
@@ -136,26 +136,27 @@
     /** Whether something may be placed on a machine now. */
     public boolean usable(Machine machine) {
         return machine.status() == Machine.Status.UP
-                && !machine.released()
-                && machine.presence().verified()
-                && !machine.presence().unreachable()
-                && kernel.now() - machine.presence().lastAnswered() < freshMs
+                && !machine.removeAllocation()
+                && machine.liveness().verified()
+                && !machine.liveness().unreachable()
+                && kernel.nowMs() - machine.liveness().lastResponseAt() < maxSilenceMs
                 && machine.reclaimAt() == Long.MAX_VALUE
-                && machine.failedJobs() < DISTRUST_JOBS;
+                && machine.failedJobs() < QUARANTINE_FAILED_JOBS;
     }
 
     /** Returns how many tasks only lack room. */
     private int place(Job job, List<Machine> machines, List<Machine> roomy) {
-        if (job.errors() >= RENT_ERRORS && machines.stream().allMatch(machine -> job.avoids(machine.id()))) {
-            job.forgiveMachines();
+        if (job.failures() >= MAX_FAILURES_FOR_SCALE_OUT
+                && machines.stream().allMatch(machine -> job.excludes(machine.id()))) {
+            job.clearExcludedMachines();
         }
-        Places places = new Places(job, machines, roomy);
-        while (job.nextWaiting() >= 0) {
-            if (!withinLimit(job)) {
+        Candidates places = new Candidates(job, machines, roomy);
+        while (job.nextPending() >= 0) {
+            if (!withinQuota(job)) {
                 return 0;
             }
             if (!places.placeOne()) {
-                return lacking(job);
+                return unplacedWithinQuota(job);
             }
         }
         return 0;
@@ -163,38 +164,38 @@
 
     // Whole or not at all: members that wait for others would only hold room.
     private int placeGang(Job job, List<Machine> machines) {
-        if (job.mayRun() > 0) {
+        if (job.possiblyRunning() > 0) {
             return 0;
         }
-        int members = job.waiting().cardinality();
-        Team team = teams.get(job.spec().team());
+        int members = job.pending().cardinality();
+        TeamQuota team = teams.get(job.spec().team());
         if (!team.withinLimit(
-                cluster.mayUse(team.name()).plus(job.spec().demand().times(members)))) {
+                cluster.maxPossibleUsage(team.name()).plus(job.spec().demand().times(members)))) {
             return 0;
         }
-        List<Booking> placed = new ArrayList<>();
+        List<Allocation> placed = new ArrayList<>();
         List<Machine> candidates = new ArrayList<>(machines);
         // Members come together under one attempt.
         long attempt = cluster.nextAttempt();
-        while (job.nextWaiting() >= 0) {
-            Machine chosen = bestFit.choose(job, candidates, machine -> allowed(job, machine), kernel.now());
+        while (job.nextPending() >= 0) {
+            Machine chosen = bestFit.choose(job, candidates, machine -> isAllowed(job, machine), kernel.nowMs());
             if (chosen == null) {
                 placed.forEach(cluster::release);
                 return members;
             }
-            placed.add(cluster.book(job, job.nextWaiting(), chosen, attempt));
+            placed.add(cluster.allocate(job, job.nextPending(), chosen, attempt));
         }
-        placed.forEach(starter::start);
+        placed.forEach(launcher::start);
         return 0;
     }
 
     // What a machine that is about to be taken away can't finish begins elsewhere now: when the machine is gone, that
     // is only known once the cloud's late list lacks it.
-    private void leaveReclaimed(Machine machine) {
-        for (Booking booking : machine.bookingsCopy()) {
+    private void evacuateReclaimed(Machine machine) {
+        for (Allocation booking : machine.allocationsSnapshot()) {
             JobSpec spec = booking.job().spec();
-            if (booking.reclaimedBeforeEnd(kernel.now()) && (!spec.service() || roomElsewhere(booking.job()))) {
-                starter.stop(booking, spec.saveS(), StopReason.MACHINE_RECLAIMED);
+            if (booking.reclaimedBeforeEnd(kernel.nowMs()) && (!spec.service() || fitsElsewhere(booking.job()))) {
+                launcher.stop(booking, spec.checkpointGraceS(), StopReason.MACHINE_RECLAIMED);
                 if (spec.service()) {
                     // The next replica asks again whether there is room, once this one has taken its place.
                     return;
@@ -203,36 +204,37 @@
         }
     }
 
-    private boolean roomElsewhere(Job job) {
+    private boolean fitsElsewhere(Job job) {
         return cluster.machines().stream()
-                .anyMatch(machine ->
-                        usable(machine) && job.spec().demand().fitsIn(machine.room()) && allowed(job, machine));
+                .anyMatch(machine -> usable(machine)
+                        && job.spec().demand().fitsIn(machine.freeCapacity())
+                        && isAllowed(job, machine));
     }
 
-    private void stopRest(Job job) {
-        job.bookingsCopy().stream()
+    private void stopRemainingMembers(Job job) {
+        job.allocationsSnapshot().stream()
                 .filter(booking -> !booking.stopping())
-                .forEach(booking -> starter.stop(booking, job.spec().saveS(), StopReason.GANG_BROKEN));
+                .forEach(booking -> launcher.stop(booking, job.spec().checkpointGraceS(), StopReason.GANG_BROKEN));
     }
 
-    private boolean withinLimit(Job job) {
-        Team team = teams.get(job.spec().team());
+    private boolean withinQuota(Job job) {
+        TeamQuota team = teams.get(job.spec().team());
         return team != null
-                && team.withinLimit(
-                        cluster.mayUse(job.spec().team()).plus(job.spec().demand()));
+                && team.withinLimit(cluster.maxPossibleUsage(job.spec().team())
+                        .plus(job.spec().demand()));
     }
 
-    private int lacking(Job job) {
-        Team team = teams.get(job.spec().team());
-        Resources use = cluster.mayUse(job.spec().team());
-        return team.tasksWithinLimit(use, job.spec().demand(), job.waiting().cardinality());
+    private int unplacedWithinQuota(Job job) {
+        TeamQuota team = teams.get(job.spec().team());
+        Resources use = cluster.maxPossibleUsage(job.spec().team());
+        return team.tasksWithinLimit(use, job.spec().demand(), job.pending().cardinality());
     }
 
-    private boolean allowed(Job job, Machine machine) {
+    private boolean isAllowed(Job job, Machine machine) {
         JobSpec spec = job.spec();
         return spec.allows(machine.type().name(), machine.zone(), machine.spot())
                 && job.zoneAllowed(machine.zone())
-                && !job.avoids(machine.id())
+                && !job.excludes(machine.id())
                 && !machine.refusedJobs().contains(job.id());
     }
 
@@ -244,30 +246,30 @@
     }
 
     /** Where the tasks of one job may go in this pass. They are alike: what one can't have, none can. */
-    private final class Places {
+    private final class Candidates {
         private final Job job;
         private final List<Machine> machines;
         private final List<Machine> withImage = new ArrayList<>();
         /** Without the image, but it comes in time. */
-        private final List<Machine> quick = new ArrayList<>();
+        private final List<Machine> withFastFetch = new ArrayList<>();
 
-        private final List<Machine> without = new ArrayList<>();
-        private Preemption stopsWithImage;
-        private Preemption stops;
+        private final List<Machine> withoutImage = new ArrayList<>();
+        private Preemption preemptionWithImage;
+        private Preemption preemption;
 
-        Places(Job job, List<Machine> machines, List<Machine> roomy) {
+        Candidates(Job job, List<Machine> machines, List<Machine> roomy) {
             this.job = job;
             this.machines = machines;
             for (Machine machine : roomy) {
-                if (job.spec().demand().fitsIn(machine.room()) && allowed(job, machine)) {
+                if (job.spec().demand().fitsIn(machine.freeCapacity()) && isAllowed(job, machine)) {
                     listFor(machine).add(machine);
                 }
             }
         }
 
         private List<Machine> listFor(Machine machine) {
-            double fetchS = machine.fetchS(job.spec().image(), job.spec().imageGb(), kernel.now());
-            return fetchS == 0 ? withImage : goals.startsInTime(job, fetchS) ? quick : without;
+            double fetchS = machine.fetchS(job.spec().image(), job.spec().imageGb(), kernel.nowMs());
+            return fetchS == 0 ? withImage : objectives.startsInTime(job, fetchS) ? withFastFetch : withoutImage;
         }
 
         private boolean holdsImage(Machine machine) {
@@ -275,34 +277,34 @@
         }
 
         boolean placeOne() {
-            if (take(withImage) || take(quick)) {
+            if (allocateFrom(withImage) || allocateFrom(withFastFetch)) {
                 return true;
             }
             if (preempts(job)) {
-                if (stopsWithImage == null) {
-                    stopsWithImage = new Preemption(
-                            job, machines, machine -> holdsImage(machine) && allowed(job, machine), kernel.now());
+                if (preemptionWithImage == null) {
+                    preemptionWithImage = new Preemption(
+                            job, machines, machine -> holdsImage(machine) && isAllowed(job, machine), kernel.nowMs());
                 }
-                if (preempt(stopsWithImage)) {
+                if (preempt(preemptionWithImage)) {
                     return true;
                 }
             }
-            if (take(without)) {
+            if (allocateFrom(withoutImage)) {
                 return true;
             }
             if (preempts(job)) {
-                if (stops == null) {
-                    stops = new Preemption(job, machines, machine -> allowed(job, machine), kernel.now());
+                if (preemption == null) {
+                    preemption = new Preemption(job, machines, machine -> isAllowed(job, machine), kernel.nowMs());
                 }
-                return preempt(stops);
+                return preempt(preemption);
             }
             return false;
         }
 
-        private boolean take(List<Machine> candidates) {
-            Machine chosen = bestFit.choose(job, candidates, machine -> allowed(job, machine), kernel.now());
+        private boolean allocateFrom(List<Machine> candidates) {
+            Machine chosen = bestFit.choose(job, candidates, machine -> isAllowed(job, machine), kernel.nowMs());
             if (chosen != null) {
-                book(job, chosen);
+                allocate(job, chosen);
             }
             return chosen != null;
         }
@@ -313,14 +315,14 @@
                 return false;
             }
             // Orders are executed in order: the stops make the room that the start needs.
-            plan.victims().forEach(victim -> starter.stop(victim, 0, StopReason.PREEMPTED));
-            book(job, plan.machine());
-            preemption.again(plan.machine());
+            plan.victims().forEach(victim -> launcher.stop(victim, 0, StopReason.PREEMPTED));
+            allocate(job, plan.machine());
+            preemption.reconsider(plan.machine());
             return true;
         }
     }
 
-    private void book(Job job, Machine machine) {
-        starter.start(cluster.book(job, job.nextWaiting(), machine, cluster.nextAttempt()));
+    private void allocate(Job job, Machine machine) {
+        launcher.start(cluster.allocate(job, job.nextPending(), machine, cluster.nextAttempt()));
     }
 }
--- a/src/main/java/io/quartzgw/placement/Queue.java
+++ b/src/main/java/io/quartzgw/scheduling/SchedulingQueue.java
@@ -1,4 +1,4 @@
-package io.quartzgw.placement;
+package io.quartzgw.scheduling;
 
 import io.quartzgw.submission.Resources;
 import java.util.ArrayList;
@@ -14,46 +14,49 @@
  * <p>Under a steady stream of small jobs that alone would starve the large and the late. So a job that has not begun
  * for a while goes first, work weighs less the longer it waits, and lateness counts only so long.
  */
-final class Queue {
+final class SchedulingQueue {
     /** A job that has no task running or done by now goes first. */
-    private static final int BEGUN_REPORTS = 24;
+    private static final int STARVED_AFTER_HEARTBEATS = 24;
     /** After so long, waiting work counts for a quarter, after twice as long for a ninth. */
-    private static final int WEIGHED_REPORTS = 12;
+    private static final int AGEING_HEARTBEATS = 12;
     /** After so long, a job that can't be in time any more waits no longer than others. */
-    private static final int LATE_REPORTS = 72;
+    private static final int LATENESS_EXPIRES_HEARTBEATS = 72;
 
-    private final Cluster cluster;
-    private final Map<String, Team> teams;
-    private final Objectives goals;
-    private final long reportMs;
+    private final ClusterState cluster;
+    private final Map<String, TeamQuota> teams;
+    private final ServiceLevelObjectives objectives;
+    private final long heartbeatMs;
 
-    Queue(Cluster cluster, Map<String, Team> teams, Objectives goals, long reportMs) {
+    SchedulingQueue(ClusterState cluster, Map<String, TeamQuota> teams, ServiceLevelObjectives goals, long reportMs) {
         this.cluster = cluster;
-        this.reportMs = reportMs;
-        this.goals = goals;
+        this.heartbeatMs = reportMs;
+        this.objectives = goals;
         this.teams = teams;
     }
 
-    private record Ranked(Job job, boolean guaranteed, boolean starved, boolean late, double work, double teamShare) {}
+    private record RankedJob(
+            Job job, boolean guaranteed, boolean starved, boolean late, double work, double teamShare) {}
 
     /** Jobs with a task to place, first things first. */
     List<Job> order(long now) {
-        List<Ranked> ranked = new ArrayList<>();
-        for (Job job : cluster.waitingJobs()) {
+        List<RankedJob> ranked = new ArrayList<>();
+        for (Job job : cluster.pendingJobs()) {
             if (job.retryAt() <= now) {
-                Resources use = cluster.teamUse(job.spec().team());
-                Team team = teams.get(job.spec().team());
+                Resources use = cluster.usageByTeam(job.spec().team());
+                TeamQuota team = teams.get(job.spec().team());
                 boolean guaranteed =
                         team != null && team.withinGuarantee(use.plus(job.spec().demand()));
                 long age = now - job.submittedAt();
-                boolean late = !goals.reachable(job, now) && age < LATE_REPORTS * reportMs;
-                boolean starved = age >= BEGUN_REPORTS * reportMs && job.doneCount() == 0 && job.mayRun() == 0;
-                double weight = 1 + Math.max(0.0, age) / (WEIGHED_REPORTS * reportMs);
-                ranked.add(
-                        new Ranked(job, guaranteed, starved, late, job.waitingWork() / (weight * weight), use.cpus()));
+                boolean late = !objectives.isReachable(job, now) && age < LATENESS_EXPIRES_HEARTBEATS * heartbeatMs;
+                boolean starved = age >= STARVED_AFTER_HEARTBEATS * heartbeatMs
+                        && job.doneCount() == 0
+                        && job.possiblyRunning() == 0;
+                double weight = 1 + Math.max(0.0, age) / (AGEING_HEARTBEATS * heartbeatMs);
+                ranked.add(new RankedJob(
+                        job, guaranteed, starved, late, job.pendingWork() / (weight * weight), use.cpus()));
             }
         }
-        ranked.sort(Comparator.comparing((Ranked r) -> r.job.spec().priority())
+        ranked.sort(Comparator.comparing((RankedJob r) -> r.job.spec().priority())
                 .thenComparing(r -> !r.guaranteed)
                 .thenComparing(r -> !r.starved)
                 .thenComparing(r -> r.late && !r.starved)
@@ -61,12 +64,12 @@
                 .thenComparing(r -> r.starved ? 0 : r.teamShare)
                 .thenComparing(r -> r.job.submittedAt())
                 .thenComparing(r -> r.job.id()));
-        return ranked.stream().map(Ranked::job).toList();
+        return ranked.stream().map(RankedJob::job).toList();
     }
 
     /** When a paused job may be tried again, or {@code Long.MAX_VALUE}. */
     long nextRetry(long now) {
-        return cluster.waitingJobs().stream()
+        return cluster.pendingJobs().stream()
                 .filter(job -> job.retryAt() > now)
                 .mapToLong(Job::retryAt)
                 .min()
--- a/src/main/java/io/quartzgw/placement/Objectives.java
+++ b/src/main/java/io/quartzgw/scheduling/ServiceLevelObjectives.java
@@ -1,4 +1,4 @@
-package io.quartzgw.placement;
+package io.quartzgw.scheduling;
 
 import io.quartzgw.submission.JobSpec;
 import java.util.Arrays;
@@ -7,24 +7,24 @@
 import java.util.stream.Collectors;
 
 /** By when users want jobs of each class to be finished, as the objectives and deadlines say. */
-public final class Objectives {
+public final class ServiceLevelObjectives {
     /** The part of the time to start that a fetch may take, as far as it can be foretold. */
-    private static final double FETCH_PART = 0.75;
+    private static final double MAX_FETCH_FRACTION = 0.75;
 
-    private final Map<String, double[]> withinS;
-    private final Map<String, Double> deadlineTimes;
-    private final Map<String, Double> startS;
+    private final Map<String, double[]> completionTargetsS;
+    private final Map<String, Double> deadlineMultiples;
+    private final Map<String, Double> startTargetsS;
 
     /**
-     * @param withinS by class, the times from submission within which its jobs should be finished
-     * @param deadlineTimes by class, the largest multiple of a job's deadline within which it should be finished
-     * @param startS by class, the time from submission within which its tasks should be started
+     * @param completionTargetsS by class, the times from submission within which its jobs should be finished
+     * @param deadlineMultiples by class, the largest multiple of a job's deadline within which it should be finished
+     * @param startTargetsS by class, the time from submission within which its tasks should be started
      */
-    public Objectives(
+    public ServiceLevelObjectives(
             Map<String, List<Double>> withinS, Map<String, Double> deadlineTimes, Map<String, Double> startS) {
-        this.deadlineTimes = Map.copyOf(deadlineTimes);
-        this.startS = Map.copyOf(startS);
-        this.withinS = withinS.entrySet().stream()
+        this.deadlineMultiples = Map.copyOf(deadlineTimes);
+        this.startTargetsS = Map.copyOf(startS);
+        this.completionTargetsS = withinS.entrySet().stream()
                 .collect(Collectors.toUnmodifiableMap(Map.Entry::getKey, entry -> entry.getValue().stream()
                         .mapToDouble(Double::doubleValue)
                         .toArray()));
@@ -32,19 +32,19 @@
 
     /** Whether a task that has to wait so long for its image still starts in good time. */
     boolean startsInTime(Job job, double fetchS) {
-        Double goal = startS.get(job.spec().workload());
-        return goal != null && fetchS <= FETCH_PART * goal;
+        Double goal = startTargetsS.get(job.spec().jobClass());
+        return goal != null && fetchS <= MAX_FETCH_FRACTION * goal;
     }
 
     /** Whether the job can still be finished in time for some goal, if its tasks start now. */
-    boolean reachable(Job job, long now) {
+    boolean isReachable(Job job, long now) {
         JobSpec spec = job.spec();
-        double[] goals = withinS.get(spec.workload());
+        double[] goals = completionTargetsS.get(spec.jobClass());
         if (goals == null && spec.deadlineS() == null) {
             return true;
         }
         long finished = now + (long) (spec.estimateS() * 1000);
-        double times = deadlineTimes.getOrDefault(spec.workload(), 1.0);
+        double times = deadlineMultiples.getOrDefault(spec.jobClass(), 1.0);
         return spec.deadlineS() != null && finished <= job.submittedAt() + times * spec.deadlineS() * 1000
                 || goals != null && Arrays.stream(goals).anyMatch(goal -> finished <= job.submittedAt() + goal * 1000);
     }
--- a/src/main/java/io/quartzgw/placement/StopReason.java
+++ b/src/main/java/io/quartzgw/scheduling/StopReason.java
@@ -1,4 +1,4 @@
-package io.quartzgw.placement;
+package io.quartzgw.scheduling;
 
 /** Why a task is stopped by this leader; it decides nothing, and is logged with every stop. */
 public enum StopReason {
--- a/src/main/java/io/quartzgw/placement/Team.java
+++ b/src/main/java/io/quartzgw/scheduling/TeamQuota.java
@@ -1,18 +1,18 @@
-package io.quartzgw.placement;
+package io.quartzgw.scheduling;
 
 import io.quartzgw.submission.Resources;
 
 /** A team's guarantee and limit; 0 means none. */
-public record Team(String name, double cpus, double cpusLimit, double gpus, double gpusLimit) {
+public record TeamQuota(String name, double guaranteedCpus, double maxCpus, double guaranteedGpus, double maxGpus) {
     private static final double EPSILON = 1e-6;
 
     public boolean withinLimit(Resources used) {
-        return within(used.cpus(), cpusLimit) && within(used.gpus(), gpusLimit);
+        return within(used.cpus(), maxCpus) && within(used.gpus(), maxGpus);
     }
 
     /** Whether so much lies inside the team's guarantee; a team without one has nothing inside it. */
     public boolean withinGuarantee(Resources used) {
-        return used.cpus() <= cpus + EPSILON && used.gpus() <= gpus + EPSILON;
+        return used.cpus() <= guaranteedCpus + EPSILON && used.gpus() <= guaranteedGpus + EPSILON;
     }
 
     private static boolean within(double used, double limit) {
--- a/src/main/java/io/quartzgw/store/Entry.java
+++ b/src/main/java/io/quartzgw/store/KeyValue.java
@@ -3,4 +3,4 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /** A key's value and the revision of its last change. */
-public record Entry(String key, JsonNode value, long revision) {}
+public record KeyValue(String key, JsonNode value, long revision) {}
