--- a/src/main/java/io/quartzgw/store/PackedRecords.java
+++ b/src/main/java/io/quartzgw/store/PackedRecords.java
@@ -22,25 +22,25 @@
  */
 public final class PackedRecords {
     /** The part of a value that records may fill; the rest is for punctuation. */
-    private static final double FILLED = 0.85;
+    private static final double FILL_FACTOR = 0.85;
     /** All pages of a transaction together; the service takes 64 KiB with everything around them. */
-    private static final int TXN_BYTES = 48 * 1024;
+    private static final int MAX_TRANSACTION_BYTES = 48 * 1024;
 
-    private static final int PUNCTUATION = 6;
+    private static final int PUNCTUATION_BYTES = 6;
 
     private final StoreClient store;
     private final String prefix;
-    private final Supplier<Txn> guarded;
+    private final Supplier<Transaction> transactions;
     private final int pageBytes;
-    private final int pagesPerTxn;
+    private final int pagesPerTransaction;
     private final Map<Integer, Page> pages = new TreeMap<>();
-    private final Map<String, Page> pageOf = new HashMap<>();
+    private final Map<String, Page> pageByKey = new HashMap<>();
 
     private static final class Page {
         private final int number;
         private final Map<String, JsonNode> records = new LinkedHashMap<>();
-        private final Map<String, Integer> sizes = new HashMap<>();
-        private long revision = Txn.ABSENT;
+        private final Map<String, Integer> recordBytes = new HashMap<>();
+        private long revision = Transaction.NO_REVISION;
         private int bytes;
         private boolean dirty;
 
@@ -51,42 +51,43 @@
         void put(String key, JsonNode record, int size) {
             records.put(key, record);
             bytes += size;
-            Integer before = sizes.put(key, size);
+            Integer before = recordBytes.put(key, size);
             bytes -= before == null ? 0 : before;
         }
 
         void remove(String key) {
             records.remove(key);
-            bytes -= sizes.remove(key);
+            bytes -= recordBytes.remove(key);
         }
     }
 
-    /** @param guarded an empty transaction that only the present leader can commit */
-    public PackedRecords(StoreClient store, String prefix, Supplier<Txn> guarded) {
+    /** @param transactions an empty transaction that only the present leader can commit */
+    public PackedRecords(StoreClient store, String prefix, Supplier<Transaction> guarded) {
         this.store = store;
         this.prefix = prefix;
-        this.guarded = guarded;
-        this.pageBytes = (int) (store.valueBytes() * FILLED);
-        this.pagesPerTxn = Math.max(1, Math.min(store.txnOps(), TXN_BYTES / store.valueBytes()));
+        this.transactions = guarded;
+        this.pageBytes = (int) (store.maxValueBytes() * FILL_FACTOR);
+        this.pagesPerTransaction =
+                Math.max(1, Math.min(store.maxTransactionWrites(), MAX_TRANSACTION_BYTES / store.maxValueBytes()));
     }
 
     /** Takes the pages that the state service holds, and tells each record. */
-    public void load(List<Entry> entries, BiConsumer<String, JsonNode> record) {
-        for (Entry entry : entries) {
+    public void load(List<KeyValue> entries, BiConsumer<String, JsonNode> record) {
+        for (KeyValue entry : entries) {
             Page page = new Page(Integer.parseInt(entry.key().substring(prefix.length())));
             page.revision = entry.revision();
             pages.put(page.number, page);
             entry.value().properties().forEach(item -> {
                 page.put(item.getKey(), item.getValue(), size(item.getKey(), item.getValue(), 0));
-                pageOf.put(item.getKey(), page);
+                pageByKey.put(item.getKey(), page);
             });
         }
-        List.copyOf(pageOf.keySet())
-                .forEach(key -> record.accept(key, pageOf.get(key).records.get(key)));
+        List.copyOf(pageByKey.keySet())
+                .forEach(key -> record.accept(key, pageByKey.get(key).records.get(key)));
     }
 
     private static int size(String key, JsonNode record, int reserved) {
-        return key.length() + PUNCTUATION + Math.max(reserved, Json.write(record).length);
+        return key.length() + PUNCTUATION_BYTES + Math.max(reserved, Json.write(record).length);
     }
 
     /**
@@ -96,8 +97,8 @@
      */
     public void put(String key, JsonNode record, int reserved) {
         int size = size(key, record, reserved);
-        Page page = pageOf.get(key);
-        if (page != null && page.bytes - page.sizes.get(key) + size > store.valueBytes()) {
+        Page page = pageByKey.get(key);
+        if (page != null && page.bytes - page.recordBytes.get(key) + size > store.maxValueBytes()) {
             // A page that the service refuses would hold up all others for good.
             throw new IllegalArgumentException(key + " has outgrown what was reserved for it");
         }
@@ -110,25 +111,25 @@
                 page = new Page(pages.size());
                 pages.put(page.number, page);
             }
-            pageOf.put(key, page);
+            pageByKey.put(key, page);
         }
         page.put(key, record, size);
         page.dirty = true;
     }
 
     /** Whether there is a record with this key. */
-    public boolean has(String key) {
-        return pageOf.containsKey(key);
+    public boolean contains(String key) {
+        return pageByKey.containsKey(key);
     }
 
     /** How many changes the next write takes. */
-    public int changedPages() {
+    public int dirtyPageCount() {
         return (int) pages.values().stream().filter(page -> page.dirty).count();
     }
 
     /** Removes a record; it leaves the state service with the next change of its page. */
-    public void removeLater(String key) {
-        Page page = pageOf.remove(key);
+    public void removeLazily(String key) {
+        Page page = pageByKey.remove(key);
         if (page != null) {
             page.remove(key);
         }
@@ -136,8 +137,8 @@
 
     /** Removes a record, to be written with the next {@link #write}. */
     public void remove(String key) {
-        Page page = pageOf.get(key);
-        removeLater(key);
+        Page page = pageByKey.get(key);
+        removeLazily(key);
         if (page != null) {
             page.dirty = true;
         }
@@ -148,54 +149,55 @@
      * changes meanwhile is left for the next write: where the budget is short something always does, and a write that
      * took it along would never be told as done.
      */
-    public void write(Urgency urgency, Consumer<Boolean> then) {
-        writePages(pages.values().stream().filter(page -> page.dirty).toList(), urgency, then);
+    public void write(RequestUrgency urgency, Consumer<Boolean> callback) {
+        writePages(pages.values().stream().filter(page -> page.dirty).toList(), urgency, callback);
     }
 
-    private void writePages(List<Page> changed, Urgency urgency, Consumer<Boolean> then) {
-        if (changed.isEmpty()) {
-            then.accept(true);
+    private void writePages(List<Page> dirtyPages, RequestUrgency urgency, Consumer<Boolean> callback) {
+        if (dirtyPages.isEmpty()) {
+            callback.accept(true);
             return;
         }
         // No more than a second's worth, so that others get their turn.
-        int pagesNow = Math.max(1, Math.min(pagesPerTxn, (int) store.writesPerS()));
-        List<Page> batch = changed.subList(0, Math.min(pagesNow, changed.size()));
-        List<Page> rest = changed.subList(batch.size(), changed.size());
-        Txn txn = guarded.get();
+        int pagesNow = Math.max(1, Math.min(pagesPerTransaction, (int) store.writesPerS()));
+        List<Page> batch = dirtyPages.subList(0, Math.min(pagesNow, dirtyPages.size()));
+        List<Page> rest = dirtyPages.subList(batch.size(), dirtyPages.size());
+        Transaction transaction = transactions.get();
         for (Page page : batch) {
             ObjectNode value = Json.object();
             page.records.forEach(value::set);
-            txn.guard(key(page), page.revision).put(key(page), value);
+            transaction.require(key(page), page.revision).put(key(page), value);
             page.dirty = false;
         }
-        store.commit(txn, urgency, outcome -> {
-            if (outcome instanceof TxnOutcome.Committed committed) {
+        store.commit(transaction, urgency, outcome -> {
+            if (outcome instanceof TransactionOutcome.Committed committed) {
                 batch.forEach(page -> page.revision = committed.revision());
-                writePages(rest, urgency, then);
+                writePages(rest, urgency, callback);
                 return;
             }
             batch.forEach(page -> page.dirty = true);
-            List<Page> moved = outcome instanceof TxnOutcome.Conflict conflict
+            List<Page> conflicting = outcome instanceof TransactionOutcome.Conflict conflict
                     ? batch.stream()
-                            .filter(page -> conflict.failed().contains(key(page)))
+                            .filter(page -> conflict.failedKeys().contains(key(page)))
                             .toList()
                     : List.of();
-            relearn(new ArrayList<>(moved), () -> then.accept(false));
+            reloadRevisions(new ArrayList<>(conflicting), () -> callback.accept(false));
         });
     }
 
     // A write without an answer has been applied after all: its revision has to be read.
-    private void relearn(List<Page> moved, Runnable then) {
-        if (moved.isEmpty()) {
-            then.run();
+    private void reloadRevisions(List<Page> conflicting, Runnable callback) {
+        if (conflicting.isEmpty()) {
+            callback.run();
             return;
         }
-        Page page = moved.remove(moved.size() - 1);
+        Page page = conflicting.remove(conflicting.size() - 1);
         store.get(key(page), found -> {
             if (found != null) {
-                page.revision = found.isEmpty() ? Txn.ABSENT : found.get(0).revision();
+                page.revision =
+                        found.isEmpty() ? Transaction.NO_REVISION : found.get(0).revision();
             }
-            relearn(moved, then);
+            reloadRevisions(conflicting, callback);
         });
     }
 
--- a/src/main/java/io/quartzgw/store/Urgency.java
+++ b/src/main/java/io/quartzgw/store/RequestUrgency.java
@@ -1,11 +1,11 @@
 package io.quartzgw.store;
 
 /** Which requests go first when the budget is short. */
-public enum Urgency {
+public enum RequestUrgency {
     /** Renewal of leadership, aborts, ends of jobs, and records that starts wait for. */
-    FIRST,
+    HIGH,
     /** Users' submissions and polls. */
     NORMAL,
     /** Records that nothing waits for; they are never refused. */
-    LAST
+    BACKGROUND
 }
--- a/src/main/java/io/quartzgw/store/StoreClient.java
+++ b/src/main/java/io/quartzgw/store/StoreClient.java
@@ -3,11 +3,11 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.quartzgw.eventloop.EventLoop;
 import io.quartzgw.http.Call;
 import io.quartzgw.http.Endpoint;
 import io.quartzgw.http.Json;
 import io.quartzgw.http.Reply;
-import io.quartzgw.loop.Kernel;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -19,43 +19,43 @@
 /** Talks to the state service inside this node's budget; every call ends in one answer. */
 public final class StoreClient {
     private static final Logger LOG = LoggerFactory.getLogger(StoreClient.class);
-    private static final String HOLD_ENDED = "no such lease";
-    private static final int PAGE = 1000;
-    private static final int TIMEOUT_MS = 1_500;
+    private static final String NO_SUCH_LEASE = "no such lease";
+    private static final int LIST_PAGE_SIZE = 1000;
+    private static final int CALL_TIMEOUT_MS = 1_500;
     /** How much later than its hold time an unanswered follow is given up. */
-    private static final int FOLLOW_SLACK_MS = 3_000;
+    private static final int WATCH_TIMEOUT_SLACK_MS = 3_000;
 
-    private static final int FOLLOW_MS = 20_000;
+    private static final int WATCH_MS = 20_000;
     /** Failures in a row for this long mean that the service is away for this node. */
-    private static final int AWAY_MS = 400;
+    private static final int UNAVAILABLE_AFTER_MS = 400;
 
-    private final Kernel kernel;
+    private final EventLoop kernel;
     private final Endpoint endpoint;
     private final StoreLimits share;
-    private final CallQueue calls;
+    private final RequestQueue requests;
     private boolean probing;
-    private long lastAnswered = Long.MIN_VALUE / 2;
+    private long lastResponseAt = Long.MIN_VALUE / 2;
     private long failingSince = Long.MAX_VALUE;
 
     /** @param share the part of the state service's limits that this node may use */
-    public StoreClient(Kernel kernel, Endpoint endpoint, StoreLimits share) {
+    public StoreClient(EventLoop kernel, Endpoint endpoint, StoreLimits share) {
         this.kernel = kernel;
         this.endpoint = endpoint;
         this.share = share;
-        this.calls = new CallQueue(kernel, share, this::noteHealth);
+        this.requests = new RequestQueue(kernel, share, this::recordHealth);
     }
 
     /** How many changes a second this node may make now. */
     public double writesPerS() {
-        return calls.writesPerS();
+        return requests.writesPerS();
     }
 
-    public int txnOps() {
-        return share.txnOps();
+    public int maxTransactionWrites() {
+        return share.maxTransactionWrites();
     }
 
-    public int valueBytes() {
-        return share.valueBytes();
+    public int maxValueBytes() {
+        return share.maxValueBytes();
     }
 
     /**
@@ -63,43 +63,43 @@
      * than a part of this node's share.
      */
     public long pauseMsAfter(int changes, double part) {
-        return (long) (changes * 1000 / (part * calls.writesPerS()));
+        return (long) (changes * 1000 / (part * requests.writesPerS()));
     }
 
     /** Lends this node more changes a second until a moment, in place of what was lent before. */
-    public void lendWrites(double perS, long until) {
-        calls.lendWrites(perS, until);
+    public void borrowWrites(double perS, long until) {
+        requests.borrowWrites(perS, until);
     }
 
     /** How many changes wait or were asked for since this was last asked. */
-    public int takeWantedWrites() {
-        return calls.takeWantedWrites();
+    public int takeWriteDemand() {
+        return requests.takeWriteDemand();
     }
 
     /** Whether the service answers this node, as far as recent calls tell. */
     public boolean reachable() {
-        return kernel.now() - failingSince < AWAY_MS;
+        return kernel.nowMs() - failingSince < UNAVAILABLE_AFTER_MS;
     }
 
     /** Whether the service has only failed this node for longer than the given time. */
     public boolean failingLongerThan(long ms) {
-        return kernel.now() - failingSince > ms;
+        return kernel.nowMs() - failingSince > ms;
     }
 
     /** Whether the service has answered this node at all within the given time. */
-    public boolean answeredWithin(long ms) {
-        return kernel.now() - lastAnswered <= ms;
+    public boolean respondedWithin(long ms) {
+        return kernel.nowMs() - lastResponseAt <= ms;
     }
 
     // ---- reads
 
     /** The entry; an empty list when there is none; null when the service did not tell. */
-    public void get(String key, Consumer<List<Entry>> then) {
-        calls.submit(Call.get(endpoint, "/keys/" + key, TIMEOUT_MS), 0, Urgency.NORMAL, reply -> {
+    public void get(String key, Consumer<List<KeyValue>> callback) {
+        requests.submit(Call.get(endpoint, "/keys/" + key, CALL_TIMEOUT_MS), 0, RequestUrgency.NORMAL, reply -> {
             if (reply.ok()) {
-                then.accept(List.of(entry(reply.json())));
+                callback.accept(List.of(entry(reply.json())));
             } else {
-                then.accept(reply.status() == 404 ? List.of() : null);
+                callback.accept(reply.status() == 404 ? List.of() : null);
             }
         });
     }
@@ -108,36 +108,43 @@
      * Every entry with the prefix, read page by page.
      *
      * @param revision the one before the first page
-     * @param at when the first page was asked for: all changes made before are in it
+     * @param readAt when the first page was asked for: all changes made before are in it
      */
-    public record Listing(List<Entry> entries, long revision, long at) {}
+    public record Listing(List<KeyValue> entries, long revision, long readAt) {}
 
     /** The listing, or null when the service did not tell. */
-    public void list(String prefix, Consumer<Listing> then) {
-        page(prefix, null, new ArrayList<>(), Long.MAX_VALUE, kernel.now(), then);
+    public void list(String prefix, Consumer<Listing> callback) {
+        readPage(prefix, null, new ArrayList<>(), Long.MAX_VALUE, kernel.nowMs(), callback);
     }
 
-    private void page(String prefix, String since, List<Entry> sofar, long revision, long at, Consumer<Listing> then) {
-        String path = "/keys?starts=" + prefix + (since == null ? "" : "&since=" + since) + "&most=" + PAGE;
-        calls.submit(Call.get(endpoint, path, TIMEOUT_MS), 0, Urgency.FIRST, reply -> {
+    private void readPage(
+            String prefix,
+            String afterKey,
+            List<KeyValue> entries,
+            long revision,
+            long readAt,
+            Consumer<Listing> callback) {
+        String path =
+                "/keys?starts=" + prefix + (afterKey == null ? "" : "&since=" + afterKey) + "&most=" + LIST_PAGE_SIZE;
+        requests.submit(Call.get(endpoint, path, CALL_TIMEOUT_MS), 0, RequestUrgency.HIGH, reply -> {
             if (!reply.ok()) {
-                then.accept(null);
+                callback.accept(null);
                 return;
             }
             JsonNode body = reply.json();
-            body.path("items").forEach(item -> sofar.add(entry(item)));
+            body.path("items").forEach(item -> entries.add(entry(item)));
             // A follow from the first page's revision sees again what changed between the pages.
-            long from = Math.min(revision, body.path("store_rev").asLong());
-            if (body.path("more").asBoolean() && !sofar.isEmpty()) {
-                page(prefix, sofar.get(sofar.size() - 1).key(), sofar, from, at, then);
+            long firstRevision = Math.min(revision, body.path("store_rev").asLong());
+            if (body.path("more").asBoolean() && !entries.isEmpty()) {
+                readPage(prefix, entries.get(entries.size() - 1).key(), entries, firstRevision, readAt, callback);
             } else {
-                then.accept(new Listing(sofar, from, at));
+                callback.accept(new Listing(entries, firstRevision, readAt));
             }
         });
     }
 
-    private static Entry entry(JsonNode item) {
-        return new Entry(
+    private static KeyValue entry(JsonNode item) {
+        return new KeyValue(
                 item.path("path").asText(),
                 item.path("data"),
                 item.path("key_rev").asLong());
@@ -146,138 +153,145 @@
     // ---- transactions
 
     /** Sends a transaction; an outcome that is not known is reported as such and must not be taken for a failure. */
-    public void commit(Txn txn, Urgency urgency, Consumer<TxnOutcome> then) {
+    public void commit(Transaction transaction, RequestUrgency urgency, Consumer<TransactionOutcome> callback) {
         ObjectNode body = Json.object();
         ArrayNode guards = body.putArray("guards");
-        txn.guards.forEach(guard -> guards.addObject().put("path", guard.key()).put("key_rev", guard.revision()));
+        transaction.preconditions.forEach(
+                guard -> guards.addObject().put("path", guard.key()).put("key_rev", guard.revision()));
         // Without changes a transaction only compares.
-        ArrayNode apply = txn.writes.isEmpty() ? Json.array() : body.putArray("apply");
-        for (Txn.Write write : txn.writes) {
+        ArrayNode apply = transaction.writes.isEmpty() ? Json.array() : body.putArray("apply");
+        for (Transaction.Write write : transaction.writes) {
             if (write.value() == null) {
                 apply.addObject().put("drop", write.key());
                 continue;
             }
-            ObjectNode put = apply.addObject().put("write", write.key());
-            put.set("data", write.value());
-            if (write.hold() != Txn.NO_HOLD) {
-                put.put("permit", write.hold());
+            ObjectNode change = apply.addObject().put("write", write.key());
+            change.set("data", write.value());
+            if (write.leaseId() != Transaction.NO_LEASE) {
+                change.put("permit", write.leaseId());
             }
         }
-        calls.submit(
-                Call.post(endpoint, "/multi", body, TIMEOUT_MS),
-                txn.size(),
+        requests.submit(
+                Call.post(endpoint, "/multi", body, CALL_TIMEOUT_MS),
+                transaction.writeCount(),
                 urgency,
-                reply -> then.accept(outcome(reply)));
+                reply -> callback.accept(outcome(reply)));
     }
 
-    private static TxnOutcome outcome(Reply reply) {
+    private static TransactionOutcome outcome(Reply reply) {
         switch (reply.status()) {
             case 200:
-                return new TxnOutcome.Committed(reply.json().path("store_rev").asLong());
+                return new TransactionOutcome.Committed(
+                        reply.json().path("store_rev").asLong());
             case 409:
                 Set<String> failed = new HashSet<>();
                 reply.json().path("failed").forEach(key -> failed.add(key.asText()));
-                return new TxnOutcome.Conflict(failed);
+                return new TransactionOutcome.Conflict(failed);
             case 400:
-                if (!reply.json().path("error").asText().equals(HOLD_ENDED)) {
+                if (!reply.json().path("error").asText().equals(NO_SUCH_LEASE)) {
                     LOG.error("the state service refuses a transaction: {}", reply.json());
                 }
-                return new TxnOutcome.HoldEnded();
+                return new TransactionOutcome.LeaseExpired();
             case 429:
             case 503:
-                return new TxnOutcome.Refused();
+                return new TransactionOutcome.Refused();
             default:
-                return new TxnOutcome.Unknown();
+                return new TransactionOutcome.Unknown();
         }
     }
 
     // ---- holds
 
     /** The hold's number, or null when none was granted. */
-    public void grantHold(long lifeMs, Consumer<Long> then) {
-        calls.submit(
-                Call.post(endpoint, "/holds", Json.object().put("life_ms", lifeMs), TIMEOUT_MS),
+    public void grantLease(long ttlMs, Consumer<Long> callback) {
+        requests.submit(
+                Call.post(endpoint, "/holds", Json.object().put("life_ms", ttlMs), CALL_TIMEOUT_MS),
                 0,
-                Urgency.FIRST,
-                reply -> then.accept(reply.ok() ? reply.json().path("permit").asLong() : null));
+                RequestUrgency.HIGH,
+                reply ->
+                        callback.accept(reply.ok() ? reply.json().path("permit").asLong() : null));
     }
 
     /** What an extension brought. */
-    public enum Extension {
-        EXTENDED,
-        ENDED,
+    public enum LeaseRenewal {
+        RENEWED,
+        EXPIRED,
         UNKNOWN
     }
 
     /** Renews a lease of the state service. */
-    public void extendHold(long hold, Consumer<Extension> then) {
-        calls.submit(
-                Call.post(endpoint, "/holds/" + hold + "/extend", Json.object(), TIMEOUT_MS),
+    public void renewLease(long leaseId, Consumer<LeaseRenewal> callback) {
+        requests.submit(
+                Call.post(endpoint, "/holds/" + leaseId + "/extend", Json.object(), CALL_TIMEOUT_MS),
                 0,
-                Urgency.FIRST,
-                reply -> then.accept(
-                        reply.ok() ? Extension.EXTENDED : reply.status() == 404 ? Extension.ENDED : Extension.UNKNOWN));
+                RequestUrgency.HIGH,
+                reply -> callback.accept(
+                        reply.ok()
+                                ? LeaseRenewal.RENEWED
+                                : reply.status() == 404 ? LeaseRenewal.EXPIRED : LeaseRenewal.UNKNOWN));
     }
 
-    public void dropHold(long hold) {
-        calls.submit(Call.delete(endpoint, "/holds/" + hold, TIMEOUT_MS), 0, Urgency.NORMAL, reply -> {});
+    public void revokeLease(long leaseId) {
+        requests.submit(
+                Call.delete(endpoint, "/holds/" + leaseId, CALL_TIMEOUT_MS), 0, RequestUrgency.NORMAL, reply -> {});
     }
 
     // ---- follows
 
     /** Receives changes until it says that it wants no more. */
-    public interface Follower {
-        boolean wanted();
+    public interface Watcher {
+        boolean active();
 
         /** All changes up to a revision have been told, and so all that were made before a moment. */
-        default void reached(long revision, long at) {}
+        default void caughtUp(long revision, long readAt) {}
 
         /** How long the service may wait for a change before it answers that there was none. */
-        default long waitMs() {
-            return FOLLOW_MS;
+        default long pollMs() {
+            return WATCH_MS;
         }
 
-        void changed(List<Change> changes);
+        void onChanges(List<KeyChange> changes);
 
         /** Changes were missed: everything has to be read again. */
-        void outdated();
+        void onCompacted();
     }
 
     /**
      * Follows a prefix from a revision until the follower wants no more or is outdated.
      *
-     * @param at a moment before which nothing was changed that the revision lacks
+     * @param readAt a moment before which nothing was changed that the revision lacks
      */
-    public void follow(String prefix, long since, long at, Follower follower) {
-        if (!follower.wanted()) {
+    public void watch(String prefix, long fromRevision, long readAt, Watcher watcher) {
+        if (!watcher.active()) {
             return;
         }
-        follower.reached(since, at);
-        long sent = kernel.now();
-        String path = "/follow?starts=" + prefix + "&since=" + since + "&hold_ms=" + follower.waitMs();
-        calls.submit(Call.get(endpoint, path, follower.waitMs() + FOLLOW_SLACK_MS), 0, Urgency.FIRST, reply -> {
-            if (!follower.wanted()) {
-                return;
-            }
-            if (reply.status() == 410) {
-                follower.outdated();
-            } else if (reply.ok()) {
-                JsonNode body = reply.json();
-                List<Change> changes = new ArrayList<>();
-                body.path("news").forEach(item -> changes.add(change(item)));
-                if (!changes.isEmpty()) {
-                    follower.changed(changes);
-                }
-                follow(prefix, body.path("store_rev").asLong(), sent, follower);
-            } else {
-                kernel.after(AWAY_MS / 2, () -> follow(prefix, since, at, follower));
-            }
-        });
+        watcher.caughtUp(fromRevision, readAt);
+        long sentAt = kernel.nowMs();
+        String path = "/follow?starts=" + prefix + "&since=" + fromRevision + "&hold_ms=" + watcher.pollMs();
+        requests.submit(
+                Call.get(endpoint, path, watcher.pollMs() + WATCH_TIMEOUT_SLACK_MS), 0, RequestUrgency.HIGH, reply -> {
+                    if (!watcher.active()) {
+                        return;
+                    }
+                    if (reply.status() == 410) {
+                        watcher.onCompacted();
+                    } else if (reply.ok()) {
+                        JsonNode body = reply.json();
+                        List<KeyChange> changes = new ArrayList<>();
+                        body.path("news").forEach(item -> changes.add(change(item)));
+                        if (!changes.isEmpty()) {
+                            watcher.onChanges(changes);
+                        }
+                        watch(prefix, body.path("store_rev").asLong(), sentAt, watcher);
+                    } else {
+                        kernel.after(UNAVAILABLE_AFTER_MS / 2, () -> watch(prefix, fromRevision, readAt, watcher));
+                    }
+                });
     }
 
-    private static Change change(JsonNode item) {
+    private static KeyChange change(JsonNode item) {
         boolean dropped = item.hasNonNull("drop");
-        return new Change(
+        return new KeyChange(
                 item.path(dropped ? "drop" : "write").asText(),
                 dropped ? null : item.path("data"),
                 item.path("key_rev").asLong());
@@ -286,27 +300,30 @@
     // ---- health
 
     // Users are refused at once while the service is away, so nothing else would find it back.
-    private void probeSoon() {
+    private void scheduleProbe() {
         if (!probing) {
             probing = true;
             kernel.after(
-                    AWAY_MS,
-                    () -> calls.submit(
-                            Call.get(endpoint, "/keys?starts=probe/&most=1", TIMEOUT_MS), 0, Urgency.FIRST, reply -> {
+                    UNAVAILABLE_AFTER_MS,
+                    () -> requests.submit(
+                            Call.get(endpoint, "/keys?starts=probe/&most=1", CALL_TIMEOUT_MS),
+                            0,
+                            RequestUrgency.HIGH,
+                            reply -> {
                                 probing = false;
                                 if (failingSince != Long.MAX_VALUE) {
-                                    probeSoon();
+                                    scheduleProbe();
                                 }
                             }));
         }
     }
 
-    private void noteHealth(Reply reply) {
+    private void recordHealth(Reply reply) {
         if (reply.status() == Reply.LOST || reply.status() == 503) {
-            failingSince = Math.min(failingSince, kernel.now());
-            probeSoon();
+            failingSince = Math.min(failingSince, kernel.nowMs());
+            scheduleProbe();
         } else {
-            lastAnswered = kernel.now();
+            lastResponseAt = kernel.nowMs();
             failingSince = Long.MAX_VALUE;
         }
     }
--- a/src/main/java/io/quartzgw/submission/Admission.java
+++ b/src/main/java/io/quartzgw/submission/Admission.java
@@ -1,21 +1,21 @@
 package io.quartzgw.submission;
 
 import io.quartzgw.fleet.MachineType;
-import io.quartzgw.placement.Team;
+import io.quartzgw.scheduling.TeamQuota;
 import java.util.Collection;
 import java.util.Map;
 
 /** Decides whether a well-formed job can ever run. */
 public final class Admission {
-    private final Map<String, Team> teams;
+    private final Map<String, TeamQuota> teams;
 
-    public Admission(Map<String, Team> teams) {
+    public Admission(Map<String, TeamQuota> teams) {
         this.teams = teams;
     }
 
     /** Why the job can never run, or null when it can. */
     public String refusal(JobSpec job, Collection<MachineType> types) {
-        Team team = teams.get(job.team());
+        TeamQuota team = teams.get(job.team());
         if (team == null) {
             return "unknown crew";
         }
--- a/src/main/java/io/quartzgw/submission/InvalidJob.java
+++ b/src/main/java/io/quartzgw/submission/InvalidJobException.java
@@ -1,10 +1,10 @@
 package io.quartzgw.submission;
 
 /** A job description that is malformed; the message names the field. */
-public final class InvalidJob extends Exception {
+public final class InvalidJobException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    InvalidJob(String message) {
+    InvalidJobException(String message) {
         super(message);
     }
 }
--- a/src/main/java/io/quartzgw/submission/JobCodec.java
+++ b/src/main/java/io/quartzgw/submission/JobCodec.java
@@ -15,8 +15,8 @@
     private static final int MAX_TASKS = 100_000;
     private static final int MAX_NAME = 200;
     private static final int MAX_TYPES = 64;
-    private static final Map<String, Shape> SHAPES =
-            Map.of("array", Shape.ARRAY, "gang", Shape.GANG, "daemon", Shape.SERVICE);
+    private static final Map<String, JobShape> SHAPES =
+            Map.of("array", JobShape.ARRAY, "gang", JobShape.GANG, "daemon", JobShape.SERVICE);
     private static final Map<String, Priority> PRIORITIES = Map.of(
             "critical", Priority.PRODUCTION, "urgent", Priority.HIGH, "standard", Priority.NORMAL, "low", Priority.LOW);
 
@@ -27,19 +27,19 @@
     }
 
     /** Reads and checks a submission. */
-    public static JobSpec read(JsonNode node) throws InvalidJob {
+    public static JobSpec read(JsonNode node) throws InvalidJobException {
         String id = text(node, "id");
         if (!validId(id)) {
-            throw new InvalidJob("id: not a job id");
+            throw new InvalidJobException("id: not a job id");
         }
-        Shape shape = choice(node, "shape", SHAPES);
+        JobShape shape = choice(node, "shape", SHAPES);
         JsonNode tasks = node.path("shards");
         if (!tasks.isIntegralNumber() || !tasks.canConvertToInt() || tasks.asInt() < 1 || tasks.asInt() > MAX_TASKS) {
-            throw new InvalidJob("shards: a whole number from 1 to " + MAX_TASKS);
+            throw new InvalidJobException("shards: a whole number from 1 to " + MAX_TASKS);
         }
         Resources demand = new Resources(amount(node, "cpus"), amount(node, "gpus"), amount(node, "ram_gb"));
         if (demand.equals(Resources.NONE)) {
-            throw new InvalidJob("cpus: a task has to take something of its machine");
+            throw new InvalidJobException("cpus: a task has to take something of its machine");
         }
         Double deadline = node.hasNonNull("due_by_s") ? (Double) amount(node, "due_by_s") : null;
         return new JobSpec(
@@ -67,7 +67,7 @@
     public static ObjectNode write(JobSpec job) {
         ObjectNode node = Json.object()
                 .put("id", job.id())
-                .put("workload", job.workload())
+                .put("workload", job.jobClass())
                 .put("crew", job.team())
                 .put("shape", spelling(SHAPES, job.shape()))
                 .put("urgency", spelling(PRIORITIES, job.priority()))
@@ -84,51 +84,51 @@
         if (job.zone() != null) {
             node.put("yard", job.zone());
         }
-        node.put("together", job.oneZone())
+        node.put("together", job.singleZone())
                 .put("scatter", job.spread())
-                .put("loaner", job.spot())
+                .put("loaner", job.spotAllowed())
                 .put("runtime_guess_s", job.estimateS())
-                .put("snapshot_every_s", job.checkpointS())
-                .put("snapshot_cost_s", job.saveS());
+                .put("snapshot_every_s", job.checkpointIntervalS())
+                .put("snapshot_cost_s", job.checkpointGraceS());
         if (job.deadlineS() != null) {
             node.put("due_by_s", job.deadlineS());
         }
         return node;
     }
 
-    private static String text(JsonNode node, String field) throws InvalidJob {
+    private static String text(JsonNode node, String field) throws InvalidJobException {
         JsonNode value = node.path(field);
         if (!value.isTextual()
                 || value.textValue().isEmpty()
                 || value.textValue().length() > MAX_NAME) {
-            throw new InvalidJob(field + ": a text of 1 to " + MAX_NAME + " characters");
+            throw new InvalidJobException(field + ": a text of 1 to " + MAX_NAME + " characters");
         }
         return value.textValue();
     }
 
-    private static double amount(JsonNode node, String field) throws InvalidJob {
+    private static double amount(JsonNode node, String field) throws InvalidJobException {
         JsonNode value = node.path(field);
         if (!value.isNumber() || !Double.isFinite(value.doubleValue()) || value.doubleValue() < 0) {
-            throw new InvalidJob(field + ": a number, 0 or more");
+            throw new InvalidJobException(field + ": a number, 0 or more");
         }
         return value.doubleValue();
     }
 
-    private static boolean flag(JsonNode node, String field) throws InvalidJob {
+    private static boolean flag(JsonNode node, String field) throws InvalidJobException {
         JsonNode value = node.path(field);
         if (value.isMissingNode() || value.isNull()) {
-            throw new InvalidJob(field + ": missing");
+            throw new InvalidJobException(field + ": missing");
         }
         if (!value.isBoolean()) {
-            throw new InvalidJob(field + ": true or false");
+            throw new InvalidJobException(field + ": true or false");
         }
         return value.booleanValue();
     }
 
-    private static <T> T choice(JsonNode node, String field, Map<String, T> choices) throws InvalidJob {
+    private static <T> T choice(JsonNode node, String field, Map<String, T> choices) throws InvalidJobException {
         T chosen = choices.get(text(node, field));
         if (chosen == null) {
-            throw new InvalidJob(field + ": unknown");
+            throw new InvalidJobException(field + ": unknown");
         }
         return chosen;
     }
@@ -141,18 +141,18 @@
                 .getKey();
     }
 
-    private static Set<String> types(JsonNode node) throws InvalidJob {
+    private static Set<String> types(JsonNode node) throws InvalidJobException {
         if (!node.hasNonNull("host_types")) {
             return null;
         }
         JsonNode array = node.get("host_types");
         if (!array.isArray() || array.size() > MAX_TYPES) {
-            throw new InvalidJob("host_types: a list of names, or null");
+            throw new InvalidJobException("host_types: a list of names, or null");
         }
         Set<String> types = new LinkedHashSet<>();
         for (JsonNode item : array) {
             if (!item.isTextual() || item.textValue().length() > MAX_NAME) {
-                throw new InvalidJob("host_types: a list of names, or null");
+                throw new InvalidJobException("host_types: a list of names, or null");
             }
             types.add(item.textValue());
         }
--- a/src/main/java/io/quartzgw/submission/JobCounts.java
+++ b/src/main/java/io/quartzgw/submission/JobCounts.java
@@ -13,21 +13,21 @@
  * @param after the range begins after this name
  * @param upTo the last name of the range, or null when it has no end
  */
-public record JobCounts(String after, String upTo, Map<String, Counts> jobs) {
+public record JobCounts(String after, String upTo, Map<String, TaskCounts> jobs) {
 
     /** How many of a job's tasks are done and running. */
-    public record Counts(int done, int running) {
-        static final Counts NONE = new Counts(0, 0);
+    public record TaskCounts(int done, int running) {
+        static final TaskCounts NONE = new TaskCounts(0, 0);
     }
 
     /** Reads one page of counts from a message between controllers. */
     public static JobCounts fromJson(JsonNode node) {
-        Map<String, Counts> jobs = new HashMap<>();
+        Map<String, TaskCounts> jobs = new HashMap<>();
         node.path("jobs")
                 .properties()
                 .forEach(entry -> jobs.put(
                         entry.getKey(),
-                        new Counts(
+                        new TaskCounts(
                                 entry.getValue().path(0).asInt(),
                                 entry.getValue().path(1).asInt())));
         return new JobCounts(
@@ -45,7 +45,7 @@
     }
 
     /** Puts this page in the place of what is known of its range. */
-    void into(TreeMap<String, Counts> known) {
+    void mergeInto(TreeMap<String, TaskCounts> known) {
         (upTo == null ? known.tailMap(after, false) : known.subMap(after, false, upTo, true)).clear();
         known.putAll(jobs);
     }
--- a/src/main/java/io/quartzgw/submission/JobKeys.java
+++ b/src/main/java/io/quartzgw/submission/JobKeys.java
@@ -2,11 +2,11 @@
 
 /**
  * Where jobs are kept in the state service. A job is under {@link #OPEN} with its description until it moves, in one
- * transaction, to {@link #OVER}: a takeover reads unfinished jobs only.
+ * transaction, to {@link #TERMINAL}: a takeover reads unfinished jobs only.
  */
 public final class JobKeys {
     public static final String OPEN = "open/";
-    public static final String OVER = "over/";
+    public static final String TERMINAL = "over/";
 
     private JobKeys() {}
 
@@ -14,7 +14,7 @@
         return OPEN + id;
     }
 
-    public static String over(String id) {
-        return OVER + id;
+    public static String terminal(String id) {
+        return TERMINAL + id;
     }
 }
--- a/src/main/java/io/quartzgw/submission/Shape.java
+++ b/src/main/java/io/quartzgw/submission/JobShape.java
@@ -1,7 +1,7 @@
 package io.quartzgw.submission;
 
 /** What kind of work a job is. */
-public enum Shape {
+public enum JobShape {
     /** Independent tasks, each of which runs to completion. */
     ARRAY,
     /** Tasks that run only together: all start at once, and one that is lost takes the others along. */
--- a/src/main/java/io/quartzgw/submission/JobSpec.java
+++ b/src/main/java/io/quartzgw/submission/JobSpec.java
@@ -7,18 +7,18 @@
  *
  * @param machineTypes allowed machine types, or null for any
  * @param zone the only allowed zone, or null
- * @param oneZone all tasks have to be in one zone
+ * @param singleZone all tasks have to be in one zone
  * @param spread at most half of the tasks, rounded up, may be in one zone
- * @param spot whether spot machines are allowed
+ * @param spotAllowed whether spot machines are allowed
  * @param estimateS the owner's guess of a task's run time; 0 for services
- * @param checkpointS progress after which a task saves by itself; 0: never saves
+ * @param checkpointIntervalS progress after which a task saves by itself; 0: never saves
  * @param deadlineS when the job should be done, from its submission; null: no deadline
  */
 public record JobSpec(
         String id,
-        String workload,
+        String jobClass,
         String team,
-        Shape shape,
+        JobShape shape,
         Priority priority,
         int tasks,
         Resources demand,
@@ -26,25 +26,25 @@
         double imageGb,
         Set<String> machineTypes,
         String zone,
-        boolean oneZone,
+        boolean singleZone,
         boolean spread,
-        boolean spot,
+        boolean spotAllowed,
         double estimateS,
-        double checkpointS,
-        double saveS,
+        double checkpointIntervalS,
+        double checkpointGraceS,
         Double deadlineS) {
 
     public boolean service() {
-        return shape == Shape.SERVICE;
+        return shape == JobShape.SERVICE;
     }
 
     public boolean gang() {
-        return shape == Shape.GANG;
+        return shape == JobShape.GANG;
     }
 
     /** What the job has to hold at once to get anywhere: an array can run one task after the other. */
     public Resources neededAtOnce() {
-        return shape == Shape.ARRAY ? demand : demand.times(tasks);
+        return shape == JobShape.ARRAY ? demand : demand.times(tasks);
     }
 
     /** How many of the tasks may be in one zone. */
@@ -56,6 +56,6 @@
     public boolean allows(String machineType, String inZone, boolean onSpot) {
         return (machineTypes == null || machineTypes.contains(machineType))
                 && (zone == null || zone.equals(inZone))
-                && (spot || !onSpot);
+                && (spotAllowed || !onSpot);
     }
 }
--- a/src/main/java/io/quartzgw/submission/JobStore.java
+++ b/src/main/java/io/quartzgw/submission/JobStore.java
@@ -2,10 +2,10 @@
 
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
+import io.quartzgw.store.RequestUrgency;
 import io.quartzgw.store.StoreClient;
-import io.quartzgw.store.Txn;
-import io.quartzgw.store.TxnOutcome;
-import io.quartzgw.store.Urgency;
+import io.quartzgw.store.Transaction;
+import io.quartzgw.store.TransactionOutcome;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -19,75 +19,79 @@
  * asks whether it is still there, for many jobs in one request.
  */
 public final class JobStore {
-    private static final int CACHED = 20_000;
+    private static final int CACHE_SIZE = 20_000;
     /** The service compares so many keys for each change that a transaction may hold. */
-    private static final int GUARDS_PER_OP = 4;
+    private static final int PRECONDITIONS_PER_WRITE = 4;
 
     private final StoreClient store;
-    private final Cache<String, FinalPhase> finished =
-            Caffeine.newBuilder().maximumSize(CACHED).executor(Runnable::run).build();
+    private final Cache<String, TerminalState> terminalStates = Caffeine.newBuilder()
+            .maximumSize(CACHE_SIZE)
+            .executor(Runnable::run)
+            .build();
     /** The revisions of open records that this node has seen. */
-    private final Cache<String, Long> open =
-            Caffeine.newBuilder().maximumSize(CACHED).executor(Runnable::run).build();
+    private final Cache<String, Long> openRevisions = Caffeine.newBuilder()
+            .maximumSize(CACHE_SIZE)
+            .executor(Runnable::run)
+            .build();
 
     private final Map<String, SharedRead> reads = new HashMap<>();
-    private final Map<String, List<Consumer<Found>>> toRevalidate = new LinkedHashMap<>();
+    private final Map<String, List<Consumer<LookupResult>>> toRevalidate = new LinkedHashMap<>();
     private boolean revalidating;
 
     /** What the state service knows of a job. */
-    public sealed interface Found {
+    public sealed interface LookupResult {
         /** @param revision of its record */
-        record Open(long revision) implements Found {}
+        record Open(long revision) implements LookupResult {}
 
         /** The job has ended. */
-        record Over(FinalPhase phase) implements Found {}
+        record Terminal(TerminalState phase) implements LookupResult {}
 
         /** No job has this id. */
-        record Nothing() implements Found {}
+        record NotFound() implements LookupResult {}
 
         /** The state service did not tell. */
-        record Unclear() implements Found {}
+        record Unavailable() implements LookupResult {}
     }
 
     /** How an acceptance ended. */
-    public sealed interface Accepted {
+    public sealed interface AcceptResult {
         /** The job was recorded. */
-        record New(OpenJob job) implements Accepted {}
+        record New(OpenJob job) implements AcceptResult {}
 
         /** The id is known already. */
-        record Known() implements Accepted {}
+        record Known() implements AcceptResult {}
 
         /** Whether the job was recorded is not known. */
-        record Unclear() implements Accepted {}
+        record Unknown() implements AcceptResult {}
     }
 
     /** Callers of one read; those that come while it is under way wait for the next one. */
     private static final class SharedRead {
-        private final List<Consumer<Found>> callers = new ArrayList<>();
-        private final List<Consumer<Found>> next = new ArrayList<>();
+        private final List<Consumer<LookupResult>> callers = new ArrayList<>();
+        private final List<Consumer<LookupResult>> next = new ArrayList<>();
     }
 
     public JobStore(StoreClient store) {
         this.store = store;
     }
 
-    public FinalPhase cached(String id) {
-        return finished.getIfPresent(id);
+    public TerminalState cachedTerminalState(String id) {
+        return terminalStates.getIfPresent(id);
     }
 
     /** Notes that a job is over, as a committed transaction or a read has told. */
-    public void over(String id, FinalPhase phase) {
-        finished.put(id, phase);
+    public void recordTerminal(String id, TerminalState phase) {
+        terminalStates.put(id, phase);
     }
 
     /** Looks a job up; the answer is never older than the question. */
-    public void find(String id, Consumer<Found> then) {
-        FinalPhase known = cached(id);
+    public void lookUp(String id, Consumer<LookupResult> then) {
+        TerminalState known = cachedTerminalState(id);
         if (known != null) {
-            then.accept(new Found.Over(known));
+            then.accept(new LookupResult.Terminal(known));
             return;
         }
-        if (open.getIfPresent(id) != null) {
+        if (openRevisions.getIfPresent(id) != null) {
             toRevalidate.computeIfAbsent(id, key -> new ArrayList<>()).add(then);
             revalidate();
             return;
@@ -101,50 +105,51 @@
         if (revalidating || toRevalidate.isEmpty()) {
             return;
         }
-        Map<String, List<Consumer<Found>>> batch = new LinkedHashMap<>();
+        Map<String, List<Consumer<LookupResult>>> batch = new LinkedHashMap<>();
         Map<String, Long> revisions = new LinkedHashMap<>();
-        Txn txn = new Txn();
+        Transaction txn = new Transaction();
         var each = toRevalidate.entrySet().iterator();
-        while (each.hasNext() && batch.size() < GUARDS_PER_OP * store.txnOps()) {
-            Map.Entry<String, List<Consumer<Found>>> next = each.next();
+        while (each.hasNext() && batch.size() < PRECONDITIONS_PER_WRITE * store.maxTransactionWrites()) {
+            Map.Entry<String, List<Consumer<LookupResult>>> next = each.next();
             each.remove();
-            Long revision = open.getIfPresent(next.getKey());
+            Long revision = openRevisions.getIfPresent(next.getKey());
             if (revision == null) {
                 next.getValue().forEach(caller -> read(next.getKey(), caller));
                 continue;
             }
             batch.put(next.getKey(), next.getValue());
             revisions.put(next.getKey(), revision);
-            txn.guard(JobKeys.open(next.getKey()), revision);
+            txn.require(JobKeys.open(next.getKey()), revision);
         }
         if (batch.isEmpty()) {
             return;
         }
         revalidating = true;
-        store.commit(txn, Urgency.NORMAL, outcome -> {
+        store.commit(txn, RequestUrgency.NORMAL, outcome -> {
             revalidating = false;
             batch.forEach((id, callers) -> revalidated(id, callers, revisions.get(id), outcome));
             revalidate();
         });
     }
 
-    private void revalidated(String id, List<Consumer<Found>> callers, long revision, TxnOutcome outcome) {
-        if (outcome instanceof TxnOutcome.Committed) {
-            callers.forEach(caller -> caller.accept(new Found.Open(revision)));
-        } else if (outcome instanceof TxnOutcome.Conflict conflict) {
-            if (conflict.failed().contains(JobKeys.open(id))) {
-                open.invalidate(id);
+    private void revalidated(
+            String id, List<Consumer<LookupResult>> callers, long revision, TransactionOutcome outcome) {
+        if (outcome instanceof TransactionOutcome.Committed) {
+            callers.forEach(caller -> caller.accept(new LookupResult.Open(revision)));
+        } else if (outcome instanceof TransactionOutcome.Conflict conflict) {
+            if (conflict.failedKeys().contains(JobKeys.open(id))) {
+                openRevisions.invalidate(id);
                 callers.forEach(caller -> read(id, caller));
             } else {
                 // Nothing says that every key that has changed is named: ask again without those that were.
                 toRevalidate.computeIfAbsent(id, key -> new ArrayList<>()).addAll(callers);
             }
         } else {
-            callers.forEach(caller -> caller.accept(new Found.Unclear()));
+            callers.forEach(caller -> caller.accept(new LookupResult.Unavailable()));
         }
     }
 
-    private void read(String id, Consumer<Found> then) {
+    private void read(String id, Consumer<LookupResult> then) {
         SharedRead running = reads.get(id);
         if (running != null) {
             // A read under way may have been answered before this caller asked: its answer could be
@@ -162,28 +167,28 @@
         // A job moves from open to over in one transaction, so reading in this order can't miss it.
         store.get(JobKeys.open(id), found -> {
             if (found == null) {
-                end(id, read, new Found.Unclear());
+                end(id, read, new LookupResult.Unavailable());
             } else if (!found.isEmpty()) {
                 long revision = found.get(0).revision();
-                open.put(id, revision);
-                end(id, read, new Found.Open(revision));
+                openRevisions.put(id, revision);
+                end(id, read, new LookupResult.Open(revision));
             } else {
-                store.get(JobKeys.over(id), over -> {
+                store.get(JobKeys.terminal(id), over -> {
                     if (over == null) {
-                        end(id, read, new Found.Unclear());
+                        end(id, read, new LookupResult.Unavailable());
                     } else if (over.isEmpty()) {
-                        end(id, read, new Found.Nothing());
+                        end(id, read, new LookupResult.NotFound());
                     } else {
-                        FinalPhase phase = FinalPhase.fromJson(over.get(0).value());
-                        over(id, phase);
-                        end(id, read, new Found.Over(phase));
+                        TerminalState phase = TerminalState.fromJson(over.get(0).value());
+                        recordTerminal(id, phase);
+                        end(id, read, new LookupResult.Terminal(phase));
                     }
                 });
             }
         });
     }
 
-    private void end(String id, SharedRead read, Found found) {
+    private void end(String id, SharedRead read, LookupResult found) {
         if (read.next.isEmpty()) {
             reads.remove(id);
         } else {
@@ -196,33 +201,33 @@
     }
 
     /** Records a new job, unless its id is known already. */
-    public void accept(JobSpec spec, long acceptedAt, Consumer<Accepted> then) {
-        Txn txn = new Txn()
-                .guard(JobKeys.open(spec.id()), Txn.ABSENT)
-                .guard(JobKeys.over(spec.id()), Txn.ABSENT)
+    public void accept(JobSpec spec, long acceptedAt, Consumer<AcceptResult> then) {
+        Transaction txn = new Transaction()
+                .require(JobKeys.open(spec.id()), Transaction.NO_REVISION)
+                .require(JobKeys.terminal(spec.id()), Transaction.NO_REVISION)
                 .put(JobKeys.open(spec.id()), OpenJob.record(spec, acceptedAt));
-        store.commit(txn, Urgency.NORMAL, outcome -> {
-            if (outcome instanceof TxnOutcome.Committed committed) {
-                open.put(spec.id(), committed.revision());
-                then.accept(new Accepted.New(new OpenJob(spec, committed.revision(), acceptedAt)));
-            } else if (outcome instanceof TxnOutcome.Conflict) {
-                then.accept(new Accepted.Known());
+        store.commit(txn, RequestUrgency.NORMAL, outcome -> {
+            if (outcome instanceof TransactionOutcome.Committed committed) {
+                openRevisions.put(spec.id(), committed.revision());
+                then.accept(new AcceptResult.New(new OpenJob(spec, committed.revision(), acceptedAt)));
+            } else if (outcome instanceof TransactionOutcome.Conflict) {
+                then.accept(new AcceptResult.Known());
             } else {
-                then.accept(new Accepted.Unclear());
+                then.accept(new AcceptResult.Unknown());
             }
         });
     }
 
     /** Cancels an open job, unless it has ended otherwise; says whether it was cancelled by this. */
-    public void cancel(String id, long revision, int done, Consumer<TxnOutcome> then) {
-        FinalPhase phase = new FinalPhase(true, done);
-        Txn txn = new Txn()
-                .guard(JobKeys.open(id), revision)
-                .drop(JobKeys.open(id))
-                .put(JobKeys.over(id), phase.toJson());
-        store.commit(txn, Urgency.FIRST, outcome -> {
-            if (outcome instanceof TxnOutcome.Committed) {
-                over(id, phase);
+    public void cancel(String id, long revision, int done, Consumer<TransactionOutcome> then) {
+        TerminalState phase = new TerminalState(true, done);
+        Transaction txn = new Transaction()
+                .require(JobKeys.open(id), revision)
+                .delete(JobKeys.open(id))
+                .put(JobKeys.terminal(id), phase.toJson());
+        store.commit(txn, RequestUrgency.HIGH, outcome -> {
+            if (outcome instanceof TransactionOutcome.Committed) {
+                recordTerminal(id, phase);
             }
             then.accept(outcome);
         });
--- a/src/main/java/io/quartzgw/submission/OpenJob.java
+++ b/src/main/java/io/quartzgw/submission/OpenJob.java
@@ -20,7 +20,7 @@
         try {
             return new OpenJob(
                     JobCodec.read(record), revision, record.path("accepted_ms").asLong());
-        } catch (InvalidJob e) {
+        } catch (InvalidJobException e) {
             throw new IllegalStateException("unreadable job record: " + e.getMessage(), e);
         }
     }
--- a/src/main/java/io/quartzgw/submission/Submissions.java
+++ b/src/main/java/io/quartzgw/submission/SubmissionHandler.java
@@ -2,18 +2,18 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quartzgw.fleet.MachineTypes;
+import io.quartzgw.eventloop.EventLoop;
+import io.quartzgw.fleet.MachineCatalog;
 import io.quartzgw.http.Json;
 import io.quartzgw.http.Request;
 import io.quartzgw.http.Response;
-import io.quartzgw.loop.Kernel;
 import io.quartzgw.store.StoreClient;
-import io.quartzgw.store.TxnOutcome;
+import io.quartzgw.store.TransactionOutcome;
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
 /** Serves the users: every request gets its answer as soon as the state service has told. */
-public final class Submissions {
+public final class SubmissionHandler {
     public static final String PATH = "/submissions";
     private static final String ABORT = "/abort";
     /** When a user should come back while the state service is away. */
@@ -29,20 +29,20 @@
         void cancelled(String id);
     }
 
-    private final Kernel kernel;
+    private final EventLoop kernel;
     private final StoreClient store;
     private final JobStore jobs;
-    private final MachineTypes types;
+    private final MachineCatalog types;
     private final Admission admission;
     private final Listener listener;
-    private final TreeMap<String, JobCounts.Counts> counts = new TreeMap<>();
+    private final TreeMap<String, JobCounts.TaskCounts> taskCounts = new TreeMap<>();
 
     /** @param listener learns of accepted jobs, and of cancellations before a user is told */
-    public Submissions(
-            Kernel kernel,
+    public SubmissionHandler(
+            EventLoop kernel,
             StoreClient store,
             JobStore jobs,
-            MachineTypes types,
+            MachineCatalog types,
             Admission admission,
             Listener listener) {
         this.kernel = kernel;
@@ -54,8 +54,8 @@
     }
 
     /** Takes the leader's counts for display. */
-    public void counts(JobCounts page) {
-        page.into(counts);
+    public void taskCounts(JobCounts page) {
+        page.mergeInto(taskCounts);
     }
 
     /** Serves a request whose path begins with {@link #PATH}. */
@@ -94,53 +94,54 @@
         JobSpec spec;
         try {
             spec = JobCodec.read(body);
-        } catch (InvalidJob e) {
-            answerUnlessKnown(request, id, Response.error(400, e.getMessage()));
+        } catch (InvalidJobException e) {
+            respondUnlessKnown(request, id, Response.error(400, e.getMessage()));
             return;
         }
-        if (Json.write(OpenJob.record(spec, kernel.wallClock())).length > store.valueBytes()) {
-            answerUnlessKnown(request, id, Response.error(400, "the description is too long"));
+        if (Json.write(OpenJob.record(spec, kernel.wallClockMs())).length > store.maxValueBytes()) {
+            respondUnlessKnown(request, id, Response.error(400, "the description is too long"));
             return;
         }
-        if (!types.known()) {
-            answerUnlessKnown(request, id, Response.unavailable("machine types not known yet", AWAY_RETRY_S));
+        if (!types.isKnown()) {
+            respondUnlessKnown(request, id, Response.unavailable("machine types not known yet", AWAY_RETRY_S));
             return;
         }
         String refusal = admission.refusal(spec, types.all());
         if (refusal != null) {
-            answerUnlessKnown(request, id, Response.error(422, refusal));
+            respondUnlessKnown(request, id, Response.error(422, refusal));
             return;
         }
         accept(request, spec);
     }
 
     // A repeat of an accepted submission gets 200, whatever its body says now.
-    private void answerUnlessKnown(Request request, String id, Response otherwise) {
+    private void respondUnlessKnown(Request request, String id, Response otherwise) {
         lookUp(
                 request,
                 id,
                 found -> kernel.answer(
-                        request.exchange(), found instanceof JobStore.Found.Nothing ? otherwise : state(id, found)));
+                        request.exchange(),
+                        found instanceof JobStore.LookupResult.NotFound ? otherwise : stateResponse(id, found)));
     }
 
     private void accept(Request request, JobSpec spec) {
-        FinalPhase known = jobs.cached(spec.id());
+        TerminalState known = jobs.cachedTerminalState(spec.id());
         if (known != null) {
-            kernel.answer(request.exchange(), state(spec.id(), new JobStore.Found.Over(known)));
+            kernel.answer(request.exchange(), stateResponse(spec.id(), new JobStore.LookupResult.Terminal(known)));
             return;
         }
         if (!store.reachable()) {
-            answerAway(request);
+            respondUnavailable(request);
             return;
         }
-        jobs.accept(spec, kernel.wallClock(), accepted -> {
-            if (accepted instanceof JobStore.Accepted.New created) {
+        jobs.accept(spec, kernel.wallClockMs(), accepted -> {
+            if (accepted instanceof JobStore.AcceptResult.New created) {
                 kernel.answer(request.exchange(), Response.json(201, body(spec.id(), "pending")));
                 listener.accepted(created.job());
-            } else if (accepted instanceof JobStore.Accepted.Known) {
-                answerUnlessKnown(request, spec.id(), Response.unavailable("try again", 1));
+            } else if (accepted instanceof JobStore.AcceptResult.Known) {
+                respondUnlessKnown(request, spec.id(), Response.unavailable("try again", 1));
             } else {
-                answerAway(request);
+                respondUnavailable(request);
             }
         });
     }
@@ -152,33 +153,33 @@
             kernel.answer(request.exchange(), Response.error(404, "no such job"));
             return;
         }
-        lookUp(request, id, found -> kernel.answer(request.exchange(), state(id, found)));
+        lookUp(request, id, found -> kernel.answer(request.exchange(), stateResponse(id, found)));
     }
 
-    private void lookUp(Request request, String id, Consumer<JobStore.Found> then) {
-        if (jobs.cached(id) == null && !store.reachable()) {
-            answerAway(request);
+    private void lookUp(Request request, String id, Consumer<JobStore.LookupResult> then) {
+        if (jobs.cachedTerminalState(id) == null && !store.reachable()) {
+            respondUnavailable(request);
             return;
         }
-        jobs.find(id, found -> {
-            if (found instanceof JobStore.Found.Unclear) {
-                answerAway(request);
+        jobs.lookUp(id, found -> {
+            if (found instanceof JobStore.LookupResult.Unavailable) {
+                respondUnavailable(request);
             } else {
                 then.accept(found);
             }
         });
     }
 
-    private Response state(String id, JobStore.Found found) {
-        if (found instanceof JobStore.Found.Open) {
-            JobCounts.Counts now = counts.getOrDefault(id, JobCounts.Counts.NONE);
+    private Response stateResponse(String id, JobStore.LookupResult found) {
+        if (found instanceof JobStore.LookupResult.Open) {
+            JobCounts.TaskCounts now = taskCounts.getOrDefault(id, JobCounts.TaskCounts.NONE);
             return Response.json(
                     200,
                     body(id, now.running() > 0 ? "running" : "pending")
                             .put("done", now.done())
                             .put("running", now.running()));
         }
-        if (found instanceof JobStore.Found.Over over) {
+        if (found instanceof JobStore.LookupResult.Terminal over) {
             if (over.phase().cancelled()) {
                 // Guards the user whose abort was carried out while its answer got lost: this one may be the first to
                 // tell.
@@ -187,7 +188,7 @@
             return Response.json(
                     200,
                     body(id, over.phase().cancelled() ? "withdrawn" : "done")
-                            .put("done", over.phase().done())
+                            .put("done", over.phase().doneTasks())
                             .put("running", 0));
         }
         return Response.error(404, "no such job");
@@ -205,29 +206,29 @@
 
     private void abort(Request request, String id, int tries) {
         lookUp(request, id, found -> {
-            if (!(found instanceof JobStore.Found.Open open)) {
-                kernel.answer(request.exchange(), state(id, found));
+            if (!(found instanceof JobStore.LookupResult.Open open)) {
+                kernel.answer(request.exchange(), stateResponse(id, found));
                 return;
             }
             jobs.cancel(
                     id,
                     open.revision(),
-                    counts.getOrDefault(id, JobCounts.Counts.NONE).done(),
+                    taskCounts.getOrDefault(id, JobCounts.TaskCounts.NONE).done(),
                     outcome -> {
-                        if (outcome instanceof TxnOutcome.Committed) {
+                        if (outcome instanceof TransactionOutcome.Committed) {
                             listener.cancelled(id);
                             kernel.answer(request.exchange(), Response.json(200, body(id, "withdrawn")));
-                        } else if (outcome instanceof TxnOutcome.Conflict && tries > 1) {
+                        } else if (outcome instanceof TransactionOutcome.Conflict && tries > 1) {
                             // The job has just ended some other way: the first end wins, read which.
                             abort(request, id, tries - 1);
                         } else {
-                            answerAway(request);
+                            respondUnavailable(request);
                         }
                     });
         });
     }
 
-    private void answerAway(Request request) {
+    private void respondUnavailable(Request request) {
         kernel.answer(request.exchange(), Response.unavailable("the state service does not answer", AWAY_RETRY_S));
     }
 
--- a/src/main/java/io/quartzgw/submission/FinalPhase.java
+++ b/src/main/java/io/quartzgw/submission/TerminalState.java
@@ -7,16 +7,16 @@
 /**
  * How a job ended, for good.
  *
- * @param done how many tasks were done, for display
+ * @param doneTasks how many tasks were done, for display
  */
-public record FinalPhase(boolean cancelled, int done) {
+public record TerminalState(boolean cancelled, int doneTasks) {
 
     public ObjectNode toJson() {
-        return Json.object().put("phase", cancelled ? "withdrawn" : "done").put("done", done);
+        return Json.object().put("phase", cancelled ? "withdrawn" : "done").put("done", doneTasks);
     }
 
-    static FinalPhase fromJson(JsonNode node) {
-        return new FinalPhase(
+    static TerminalState fromJson(JsonNode node) {
+        return new TerminalState(
                 node.path("phase").asText().equals("withdrawn"),
                 node.path("done").asInt());
     }
--- a/src/test/java/io/quartzgw/worker/WorkersTest.java
+++ b/src/test/java/io/quartzgw/agent/AgentManagerTest.java
@@ -1,4 +1,4 @@
-package io.quartzgw.worker;
+package io.quartzgw.agent;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,32 +7,32 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.quartzgw.eventloop.ClockReading;
+import io.quartzgw.eventloop.Command;
+import io.quartzgw.eventloop.Effect;
+import io.quartzgw.eventloop.EventLoop;
 import io.quartzgw.fleet.CloudClient;
 import io.quartzgw.fleet.CloudLimits;
+import io.quartzgw.fleet.MachineCatalog;
 import io.quartzgw.fleet.MachineType;
-import io.quartzgw.fleet.MachineTypes;
 import io.quartzgw.http.Endpoint;
 import io.quartzgw.http.Json;
 import io.quartzgw.http.Reply;
 import io.quartzgw.leadership.LeaderTerm;
 import io.quartzgw.leadership.Leadership;
-import io.quartzgw.loop.Command;
-import io.quartzgw.loop.Effect;
-import io.quartzgw.loop.Kernel;
-import io.quartzgw.loop.Time;
-import io.quartzgw.placement.Booking;
-import io.quartzgw.placement.Cluster;
-import io.quartzgw.placement.Job;
-import io.quartzgw.placement.Machine;
-import io.quartzgw.placement.StopReason;
-import io.quartzgw.standin.Elections;
-import io.quartzgw.standin.JobSpecs;
-import io.quartzgw.standin.StoreStandIn;
+import io.quartzgw.scheduling.Allocation;
+import io.quartzgw.scheduling.ClusterState;
+import io.quartzgw.scheduling.Job;
+import io.quartzgw.scheduling.Machine;
+import io.quartzgw.scheduling.StopReason;
+import io.quartzgw.simulation.Elections;
+import io.quartzgw.simulation.JobSpecs;
+import io.quartzgw.simulation.SimulatedStore;
 import io.quartzgw.store.StoreClient;
 import io.quartzgw.store.StoreLimits;
+import io.quartzgw.submission.JobShape;
 import io.quartzgw.submission.OpenJob;
 import io.quartzgw.submission.Resources;
-import io.quartzgw.submission.Shape;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
@@ -42,77 +42,77 @@
  * A start that was ordered directly: while the call is under way, when its answer is lost, and when the attempt ends
  * meanwhile. Copies of the start may reach the worker in the direct order and in responses to its reports.
  */
-class WorkersTest {
+class AgentManagerTest {
     private static final Endpoint STATE = new Endpoint("10.2.0.1", 1);
     private static final MachineType TYPE =
             new MachineType("t", new Resources(8, 0, 32), 40, 1, 1, 0.3, 10, List.of("a"));
 
-    private final Kernel kernel = new Kernel(1);
-    private final StoreStandIn service = new StoreStandIn();
+    private final EventLoop kernel = new EventLoop(1);
+    private final SimulatedStore service = new SimulatedStore();
     private final StoreClient store = new StoreClient(kernel, STATE, new StoreLimits(100_000, 100_000, 8192, 16));
     private final Leadership leadership = Elections.candidate(kernel, store);
     private long now;
     private long counter;
-    private Cluster cluster;
-    private Workers workers;
+    private ClusterState cluster;
+    private AgentManager workers;
     private Machine machine;
-    private Booking booking;
+    private Allocation booking;
     private final List<Effect.Send> callsUnderWay = new ArrayList<>();
 
     @BeforeEach
     void startOneTaskWhoseOrderIsUnderWay() {
         Elections.elect(leadership, this::pass);
-        cluster = new Cluster(kernel, 1);
+        cluster = new ClusterState(kernel, 1);
         CloudClient cloud = new CloudClient(kernel, STATE, new CloudLimits(4, 5_000));
-        workers = new Workers(
+        workers = new AgentManager(
                 kernel,
                 new LeaderTerm(leadership),
                 cluster,
-                new MachineTypes(kernel, store, cloud, () -> true),
-                new WorkerTimes(2_500, 16_000, 36_000),
+                new MachineCatalog(kernel, store, cloud, () -> true),
+                new AgentTiming(2_500, 16_000, 36_000),
                 10,
                 id -> false,
                 new NoRecords());
-        workers.beginApplying();
+        workers.beginReconciling();
         machine = new Machine("i-1", TYPE, "a", false, now, now);
-        machine.markUsed();
+        machine.markHasRunTasks();
         cluster.add(machine);
         report("");
         booking = book("j-000001");
-        workers.start(booking);
-        workers.flush();
+        workers.requestStart(booking);
+        workers.sendPendingCommands();
         pass(0);
         assertEquals(1, callsUnderWay.size());
     }
 
-    private Booking book(String id) {
+    private Allocation book(String id) {
         Job job = cluster.add(new OpenJob(
                 JobSpecs.named(id)
                         .team("team")
-                        .shape(Shape.SERVICE)
+                        .shape(JobShape.SERVICE)
                         .demand(2, 0, 4)
                         .spec(),
                 1,
                 0));
-        job.startBelow(1);
-        return cluster.book(job, 0, machine, cluster.nextAttempt());
+        job.recordedStartLimit(1);
+        return cluster.allocate(job, 0, machine, cluster.nextAttempt());
     }
 
-    private static final class NoRecords implements Workers.Listener {
+    private static final class NoRecords implements AgentManager.Listener {
         @Override
-        public void finished(Job job, int index) {}
+        public void taskFinished(Job job, int index) {}
 
         @Override
-        public void needsRecord(Machine machine) {}
+        public void recordNeeded(Machine machine) {}
 
         @Override
-        public void needsRecord(Job job, int index) {}
+        public void recordNeeded(Job job, int index) {}
     }
 
     /** Lets time pass; the state service answers, direct orders stay under way. */
     private void pass(long ms) {
         now += ms;
-        carry(kernel.handle(List.of(), new Time(now, now)));
+        carry(kernel.processBatch(List.of(), new ClockReading(now, now)));
     }
 
     private void carry(List<Effect> first) {
@@ -127,14 +127,14 @@
                     service.handle(send.request(), now, reply -> ends.add(new Command.CallEnded(send.call(), reply)));
                 }
             }
-            effects = ends.isEmpty() ? List.of() : kernel.handle(ends, new Time(++now, now));
+            effects = ends.isEmpty() ? List.of() : kernel.processBatch(ends, new ClockReading(++now, now));
         }
     }
 
     /** Ends the direct call under way. */
     private void endCall(Reply reply) {
         Command ended = new Command.CallEnded(callsUnderWay.remove(0).call(), reply);
-        carry(kernel.handle(List.of(ended), new Time(++now, now)));
+        carry(kernel.processBatch(List.of(ended), new ClockReading(++now, now)));
     }
 
     /** The orders of the direct call under way. */
@@ -150,7 +150,7 @@
 
     /** Has the worker report, with what it says of the attempt, and returns the orders of the answer. */
     private List<String> report(String phase) {
-        return verbs(workers.report(Report.read(Json.write(listing(phase)))));
+        return verbs(workers.handleHeartbeat(Heartbeat.read(Json.write(listing(phase)))));
     }
 
     private ObjectNode listing(String phase) {
@@ -194,7 +194,7 @@
     void anEndedAttemptIsNotRemovedWhileACopyOfItsStartMayStillArrive() {
         endCall(Reply.lost());
         report("running");
-        workers.stop(booking, 0, StopReason.PREEMPTED);
+        workers.requestStop(booking, 0, StopReason.PREEMPTED);
         assertEquals(List.of("kill"), report("running"));
         assertFalse(report("ended").contains("reap"));
         assertTrue(machine.empty(), "its place is free all the same");
@@ -205,7 +205,7 @@
     @Test
     void anEndedAttemptIsNotRemovedWhileTheDirectStartIsUnderWay() {
         report("running");
-        workers.stop(booking, 0, StopReason.MACHINE_RECLAIMED);
+        workers.requestStop(booking, 0, StopReason.MACHINE_RECLAIMED);
         assertEquals(List.of("kill"), report("running"));
         assertFalse(report("ended").contains("reap"), "the call is under way");
         endCall(Reply.lost());
@@ -215,7 +215,7 @@
     @Test
     void anEndedAttemptIsRemovedOnceTheDirectStartIsAnswered() {
         report("running");
-        workers.stop(booking, 0, StopReason.MACHINE_RECLAIMED);
+        workers.requestStop(booking, 0, StopReason.MACHINE_RECLAIMED);
         report("running");
         assertFalse(report("ended").contains("reap"), "the call is under way");
         endCall(executed("ended"));
@@ -230,8 +230,8 @@
         workers.contact(machine);
         pass(0);
         endCall(executed("ended"));
-        workers.start(book("j-000002"));
-        workers.flush();
+        workers.requestStart(book("j-000002"));
+        workers.sendPendingCommands();
         pass(0);
         assertFalse(directOrders().contains("reap"), "the response may still be executed");
         assertEquals(List.of("reap"), report("ended"), "the response was executed, or dropped");
@@ -244,8 +244,8 @@
         assertTrue(workers.startMayArriveLate(booking), "under way");
         endCall(refused());
         assertFalse(workers.startMayArriveLate(booking), "refused");
-        workers.start(booking);
-        workers.flush();
+        workers.requestStart(booking);
+        workers.sendPendingCommands();
         pass(0);
         endCall(Reply.lost());
         assertTrue(workers.startMayArriveLate(booking), "not answered");
@@ -261,7 +261,7 @@
         pass(0);
         counter = 0;
         endCall(executed(""));
-        assertSame(booking, machine.booking(booking.task()));
+        assertSame(booking, machine.allocation(booking.task()));
         assertEquals(List.of("run"), report(""), "the new worker is offered the same attempt");
     }
 
@@ -270,7 +270,7 @@
     void aStoppedAttemptWhoseStartCameToNothingFreesItsPlace() {
         endCall(refused());
         assertEquals(List.of("run"), report(""));
-        workers.stop(booking, 0, StopReason.PREEMPTED);
+        workers.requestStop(booking, 0, StopReason.PREEMPTED);
         report("");
         assertTrue(machine.empty(), "nothing can start the attempt any more");
     }
@@ -279,7 +279,7 @@
     @Test
     void anAttemptThatWasNeverSeenIsStartedAndStoppedInOneAnswer() {
         endCall(Reply.lost());
-        workers.stop(booking, 0, StopReason.PREEMPTED);
+        workers.requestStop(booking, 0, StopReason.PREEMPTED);
         assertEquals(List.of("run", "kill"), report(""));
     }
 }
--- a/src/test/java/io/quartzgw/worker/package-info.java
+++ b/src/test/java/io/quartzgw/agent/package-info.java
@@ -1,2 +1,2 @@
 /** Tests of the orders that workers get. */
-package io.quartzgw.worker;
+package io.quartzgw.agent;
--- a/src/test/java/io/quartzgw/app/BadInputTest.java
+++ b/src/test/java/io/quartzgw/app/BadInputTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quartzgw.standin.LoopbackWorld;
+import io.quartzgw.simulation.LoopbackCluster;
 import java.net.URI;
 import java.net.http.HttpClient;
 import java.net.http.HttpRequest;
@@ -30,13 +30,13 @@
 
     private final HttpClient http =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-    private LoopbackWorld world;
-    private Service service;
+    private LoopbackCluster world;
+    private ControllerProcess service;
 
     @BeforeEach
     void start() throws Exception {
-        world = new LoopbackWorld(1);
-        service = new Service(SettingsReader.read(world.settings(0, folder)), 100);
+        world = new LoopbackCluster(1);
+        service = new ControllerProcess(SettingsReader.read(world.settings(0, folder)), 100);
         service.start();
     }
 
@@ -63,7 +63,7 @@
 
     private void untilReady() throws Exception {
         for (int i = 0; i < TRIES && status("GET", "/ready", "") != 200; i++) {
-            LoopbackWorld.pause(50);
+            LoopbackCluster.pause(50);
         }
         assertEquals(200, status("GET", "/ready", ""));
     }
@@ -122,7 +122,7 @@
         world.storeOutage(true);
         HttpResponse<String> refused = ask("POST", JOBS, job("j-000001").toString());
         for (int i = 0; i < TRIES && refused.statusCode() != 503; i++) {
-            LoopbackWorld.pause(50);
+            LoopbackCluster.pause(50);
             refused = ask("POST", JOBS, job("j-00" + (1_000 + i)).toString());
         }
         assertEquals(503, refused.statusCode());
--- a/src/test/java/io/quartzgw/app/CancellationTest.java
+++ b/src/test/java/io/quartzgw/app/CancellationTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.quartzgw.agent.AgentTiming;
 import io.quartzgw.http.Reply;
-import io.quartzgw.standin.SimWorld;
-import io.quartzgw.worker.WorkerTimes;
+import io.quartzgw.simulation.ClusterSimulation;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -30,13 +30,13 @@
                 "a user was told");
     }
 
-    private static void assertGone(SimWorld world) {
+    private static void assertGone(ClusterSimulation world) {
         assertGone(world, JOB);
     }
 
-    private static void assertGone(SimWorld world, String job) {
-        assertEquals(List.of(), world.rules.broken());
-        assertTrue(world.rules.runningTasks().stream().noneMatch(task -> task.startsWith(job + "/")));
+    private static void assertGone(ClusterSimulation world, String job) {
+        assertEquals(List.of(), world.invariants.broken());
+        assertTrue(world.invariants.runningTasks().stream().noneMatch(task -> task.startsWith(job + "/")));
         assertEquals(0, world.failures());
     }
 
@@ -45,32 +45,32 @@
     }
 
     /** The state service refuses the leader alone, then something is done to the job, then it is out for all. */
-    private SimWorld gap(long refusedMs, BiConsumer<SimWorld, Integer> cancelling) {
-        SimWorld world = ScenarioTest.withServices();
+    private ClusterSimulation gap(long refusedMs, BiConsumer<ClusterSimulation, Integer> cancelling) {
+        ClusterSimulation world = ScenarioTest.withServices();
         int leader = world.leader();
         world.refuse(leader, true);
-        world.play(200);
+        world.run(200);
         cancelling.accept(world, leader);
-        world.play(refusedMs - 200);
+        world.run(refusedMs - 200);
         world.store.outage(true);
         assertEquals(leader, world.leader(), "workers report to the old leader");
         return world;
     }
 
-    private void afterOutage(SimWorld world, int leader) {
-        world.play(OUTAGE_MS);
+    private void afterOutage(ClusterSimulation world, int leader) {
+        world.run(OUTAGE_MS);
         assertTold();
         assertGone(world);
         world.refuse(leader, false);
         world.store.outage(false);
-        world.play(40_000);
+        world.run(40_000);
         assertGone(world);
-        assertEquals(List.of(), world.rules.missingReplicas(), "what was not cancelled runs");
+        assertEquals(List.of(), world.invariants.missingReplicas(), "what was not cancelled runs");
     }
 
     @Test
     void anotherControllerTellsTheUserAndThenNobodyReachesTheStateService() {
-        SimWorld world = gap(2_000, (w, leader) -> w.abort(other(leader, 1), JOB, told::add));
+        ClusterSimulation world = gap(2_000, (w, leader) -> w.abort(other(leader, 1), JOB, told::add));
         afterOutage(world, world.leader());
     }
 
@@ -78,12 +78,13 @@
     // between controllers that come late, and both operators' figures: there cancel limit less lease is 20 and 30 s.
     @Test
     void neighboursOfTheGap() {
-        List<WorkerTimes> figures =
-                List.of(new WorkerTimes(2_500, 16_000, 36_000), new WorkerTimes(2_500, 18_000, 48_000));
+        List<AgentTiming> figures =
+                List.of(new AgentTiming(2_500, 16_000, 36_000), new AgentTiming(2_500, 18_000, 48_000));
         SplittableRandom random = new SplittableRandom(4);
         for (int i = 0; i < 40; i++) {
             told.clear();
-            SimWorld world = ScenarioTest.withServices(new SimWorld(i, 3, 12, 50, figures.get(i % 2)));
+            ClusterSimulation world =
+                    ScenarioTest.withServices(new ClusterSimulation(i, 3, 12, 50, figures.get(i % 2)));
             world.lateCopies(i % 3 == 0 ? 0.2 : 0);
             int leader = world.leader();
             List<String> some = world.machines().subList(0, 2);
@@ -121,9 +122,9 @@
                 }
                 default -> world.heldOrders(0.5);
             }
-            world.play(150_000);
-            assertEquals(List.of(), world.rules.broken(), "world " + i);
-            assertEquals(List.of(), world.rules.missingReplicas(), "world " + i);
+            world.run(150_000);
+            assertEquals(List.of(), world.invariants.broken(), "world " + i);
+            assertEquals(List.of(), world.invariants.missingReplicas(), "world " + i);
             assertEquals(0, world.failures());
         }
     }
@@ -133,7 +134,7 @@
     void theStateServiceAnswersSlowlyThenRefusesTheLeaderThenEverybody() {
         for (long mostMs : List.of(1_000L, 2_500L, 5_000L)) {
             told.clear();
-            SimWorld world = ScenarioTest.withServices();
+            ClusterSimulation world = ScenarioTest.withServices();
             world.slowStore(mostMs);
             for (int second = 0; second < 12; second++) {
                 for (int node = 0; node < 3; node++) {
@@ -142,21 +143,21 @@
                         world.abort(node, "j-00000" + second % 3, told::add);
                     }
                 }
-                world.play(1_000);
+                world.run(1_000);
             }
             int leader = Math.max(0, world.leader());
             world.refuse(leader, true);
             world.abort(other(leader, 1), "j-000002", told::add);
-            world.play(2_000);
+            world.run(2_000);
             world.store.outage(true);
-            world.play(OUTAGE_MS);
+            world.run(OUTAGE_MS);
             world.slowStore(0);
             world.refuse(leader, false);
             world.store.outage(false);
-            world.play(40_000);
+            world.run(40_000);
             assertTold();
-            assertEquals(List.of(), world.rules.broken());
-            assertEquals(List.of(), world.rules.missingReplicas());
+            assertEquals(List.of(), world.invariants.broken());
+            assertEquals(List.of(), world.invariants.missingReplicas());
             assertEquals(0, world.failures());
         }
     }
@@ -165,18 +166,18 @@
     // another controller, in the answer to a repeated abort, to a poll, or to a repeated submission.
     @Test
     void theAnswerToTheAbortIsLostAndAnotherAnswerTellsTheUser() {
-        List<BiConsumer<SimWorld, Integer>> again = List.of(
+        List<BiConsumer<ClusterSimulation, Integer>> again = List.of(
                 (w, node) -> w.abort(node, JOB, told::add),
                 (w, node) -> w.poll(node, JOB, told::add),
                 (w, node) -> w.submit(node, w.submitted(JOB), told::add));
-        for (BiConsumer<SimWorld, Integer> ask : again) {
+        for (BiConsumer<ClusterSimulation, Integer> ask : again) {
             for (int by = 1; by <= 2; by++) {
                 int teller = by;
                 told.clear();
-                SimWorld world = gap(1_500, (w, leader) -> {
+                ClusterSimulation world = gap(1_500, (w, leader) -> {
                     w.lostAnswers(1);
                     w.abort(other(leader, 1), JOB, reply -> {});
-                    w.play(300);
+                    w.run(300);
                     w.lostAnswers(0);
                     ask.accept(w, other(leader, teller));
                 });
@@ -190,12 +191,12 @@
     void theControllerThatToldTheUserIsRestartedOnceOrTwice() {
         for (int restarts = 1; restarts <= 2; restarts++) {
             told.clear();
-            SimWorld world = gap(2_000, (w, leader) -> {
+            ClusterSimulation world = gap(2_000, (w, leader) -> {
                 // Nothing that the teller says reaches the others before it ends.
                 w.cut("rig-" + other(leader, 1), "rig-" + leader);
                 w.cut("rig-" + other(leader, 1), "rig-" + other(leader, 2));
                 w.abort(other(leader, 1), JOB, told::add);
-                w.play(300);
+                w.run(300);
                 w.crash(other(leader, 1));
                 w.drop("rig-" + other(leader, 1), "rig-" + leader);
                 w.drop("rig-" + other(leader, 1), "rig-" + other(leader, 2));
@@ -203,9 +204,9 @@
             int leader = world.leader();
             for (int i = 0; i < restarts; i++) {
                 world.crash(other(leader, 1));
-                world.play(200);
+                world.run(200);
                 world.start(other(leader, 1));
-                world.play(2_500);
+                world.run(2_500);
             }
             afterOutage(world, leader);
         }
@@ -218,7 +219,7 @@
         for (long silentMs = 28_000; silentMs <= 30_400; silentMs += 200) {
             told.clear();
             long cutMs = silentMs;
-            SimWorld world = gap(2_000, (w, leader) -> {
+            ClusterSimulation world = gap(2_000, (w, leader) -> {
                 w.cut("rig-" + other(leader, 1), "rig-" + leader);
                 w.cut("rig-" + other(leader, 1), "rig-" + other(leader, 2));
                 w.abort(other(leader, 1), JOB, told::add);
@@ -236,7 +237,7 @@
     void aNewLeaderIsElectedAndTheOutageKeepsItFromReading() {
         for (long seed = 5; seed < 13; seed++) {
             told.clear();
-            SimWorld world = ScenarioTest.withServices(seed);
+            ClusterSimulation world = ScenarioTest.withServices(seed);
             int former = world.leader();
             world.cut("rig-" + former, "rig-" + other(former, 1));
             if (seed % 2 == 0) {
@@ -244,7 +245,7 @@
                 world.cut("rig-" + former, "rig-" + other(former, 2));
             }
             world.refuse(former, true);
-            world.play(200);
+            world.run(200);
             world.abort(other(former, 1), JOB, told::add);
             world.runUntil(world.now() + 1_000);
             while (world.leader() == former || world.leader() < 0) {
@@ -260,11 +261,11 @@
     // Guards chains of leaders none of which reads: each renews leases with its first answers.
     @Test
     void leadersFollowEachOtherWithoutReadingAnything() {
-        SimWorld world = ScenarioTest.withServices();
+        ClusterSimulation world = ScenarioTest.withServices();
         int first = world.leader();
         world.crash(first);
         world.abort(other(first, 1), JOB, told::add);
-        world.play(500);
+        world.run(500);
         world.start(first);
         for (int change = 0; change < 10; change++) {
             for (int ms = 0; world.leader() < 0 && ms < 10_000; ms++) {
@@ -273,12 +274,12 @@
             int leader = world.leader();
             assertTrue(leader >= 0, "somebody is elected");
             world.store.outage(true);
-            world.play(4_500);
+            world.run(4_500);
             world.crash(leader);
             world.store.outage(false);
             world.start(leader);
         }
-        world.play(60_000);
+        world.run(60_000);
         assertTold();
         assertGone(world);
     }
@@ -288,23 +289,23 @@
     void anAcceptanceThatComesAfterTheCancellationStartsNothing() {
         for (long seed = 5; seed < 13; seed++) {
             told.clear();
-            SimWorld world = ScenarioTest.withServices(seed);
+            ClusterSimulation world = ScenarioTest.withServices(seed);
             int leader = world.leader();
             int teller = other(leader, 1);
             world.store.holdFollows(true);
             world.cut("rig-" + teller, "rig-" + leader);
             world.submit(teller, FailureTest.job("j-000070", "blue", "daemon", 2, 2, 0), reply -> {});
-            world.play(400);
+            world.run(400);
             world.abort(teller, "j-000070", told::add);
-            world.play(300);
-            int before = world.rules.started();
+            world.run(300);
+            int before = world.invariants.started();
             // Held back, and delivered in any order now.
             world.heal("rig-" + teller, "rig-" + leader);
-            world.play(10_000);
+            world.run(10_000);
             world.store.holdFollows(false);
-            world.play(30_000);
+            world.run(30_000);
             assertTold();
-            assertEquals(before, world.rules.started(), "nothing starts after the confirmation");
+            assertEquals(before, world.invariants.started(), "nothing starts after the confirmation");
             assertGone(world, "j-000070");
         }
     }
--- a/src/test/java/io/quartzgw/app/ConcurrentFaultsTest.java
+++ b/src/test/java/io/quartzgw/app/ConcurrentFaultsTest.java
@@ -8,7 +8,7 @@
 import static io.quartzgw.app.PairedFaultsTest.firstHalf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.quartzgw.standin.SimWorld;
+import io.quartzgw.simulation.ClusterSimulation;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -18,7 +18,7 @@
     // Guards against a leader that falls behind: every job costs an acceptance, a start, an end and questions.
     @Test
     void oneTaskJobsFourASecondWithAQuarterCancelled() {
-        SimWorld world = ScenarioTest.withServices();
+        ClusterSimulation world = ScenarioTest.withServices();
         List<String> jobs = new ArrayList<>();
         for (int i = 0; i < 240; i++) {
             String id = String.format("j-%06d", 1_000 + i);
@@ -29,13 +29,13 @@
                             FailureTest.job(id, "blue", "array", 1, 1, 2), cancelled ? world.now() + 1_500 : null));
             jobs.add(id);
         }
-        world.play(60_000);
+        world.run(60_000);
         world.crash(Math.max(0, world.leader()), 5_000);
-        world.play(90_000);
+        world.run(90_000);
         assertAllWell(world);
         assertAllEnded(world, jobs);
         assertTrue(
-                jobs.stream().anyMatch(id -> "withdrawn".equals(world.rules.finalPhase(id))),
+                jobs.stream().anyMatch(id -> "withdrawn".equals(world.invariants.finalPhase(id))),
                 "some are cancelled before their end");
     }
 
@@ -43,7 +43,7 @@
     // submission is repeated and some users cancel.
     @Test
     void usersAskAllControllersWithinMillisecondsOfEachChange() {
-        SimWorld world = ScenarioTest.withServices();
+        ClusterSimulation world = ScenarioTest.withServices();
         List<String> jobs = arrays(world, 9, 2, 3, "blue");
         for (int step = 0; step < 900; step++) {
             String id = jobs.get(step % jobs.size());
@@ -59,7 +59,7 @@
                 world.abort(step % 3, id, reply -> {});
             }
         }
-        world.play(40_000);
+        world.run(40_000);
         assertAllWell(world);
         assertAllEnded(world, jobs);
     }
@@ -68,13 +68,13 @@
     @Test
     void jobsAreCancelledAsWorkChangesHands() {
         for (long crashAfterMs : List.of(-400L, -50L, 0L, 100L, 700L, 2_000L)) {
-            SimWorld world = ScenarioTest.withServices();
+            ClusterSimulation world = ScenarioTest.withServices();
             List<String> jobs = arrays(world, 8, 4, 30, "red");
-            world.play(9_000);
+            world.run(9_000);
             int leader = world.leader();
             world.at(world.now() + 500, () -> world.cancelNow(6, 0));
             world.at(world.now() + 500 + crashAfterMs, () -> world.crash(leader, 5_000));
-            world.play(120_000);
+            world.run(120_000);
             assertAllWell(world);
             assertAllEnded(world, jobs);
         }
@@ -83,7 +83,7 @@
     // Guards what other controllers read of a transaction whose own answer got lost.
     @Test
     void answersOfTransactionsAreLostWhileOthersReadWhatTheyWrote() {
-        SimWorld world = ScenarioTest.withServices();
+        ClusterSimulation world = ScenarioTest.withServices();
         world.lostAnswers(0.4);
         List<String> jobs = arrays(world, 10, 3, 5, "blue");
         for (int step = 0; step < 400; step++) {
@@ -97,9 +97,9 @@
             }
         }
         world.crash(Math.max(0, world.leader()), 5_000);
-        world.play(10_000);
+        world.run(10_000);
         world.lostAnswers(0);
-        world.play(80_000);
+        world.run(80_000);
         assertAllWell(world);
         assertAllEnded(world, jobs);
     }
@@ -108,20 +108,20 @@
     @Test
     void ordersOfAFormerLeaderArriveAfterItsSuccessors() {
         for (boolean ends : List.of(true, false)) {
-            SimWorld world = ScenarioTest.withServices();
+            ClusterSimulation world = ScenarioTest.withServices();
             List<String> jobs = arrays(world, 8, 4, 15, "red");
             world.heldOrders(0.9);
-            world.play(3_000);
+            world.run(3_000);
             int leader = world.leader();
             if (ends) {
                 world.crash(leader, 5_000);
             } else {
                 world.freeze(leader, 12_000);
             }
-            world.play(6_000);
+            world.run(6_000);
             world.heldOrders(0);
             world.cancelNow(3, 0);
-            world.play(120_000);
+            world.run(120_000);
             assertAllWell(world);
             assertAllEnded(world, jobs);
         }
@@ -131,22 +131,22 @@
     @Test
     void everyTeamIsAtItsLimitWhileJobsAreCancelledOnMachinesThatAreCutOffOrHang() {
         for (long hangMs : List.of(0L, 10_000L)) {
-            SimWorld world = ScenarioTest.withServices();
+            ClusterSimulation world = ScenarioTest.withServices();
             List<String> jobs = new ArrayList<>(arrays(world, 4, 6, 25, "green"));
             for (int i = 0; i < 4; i++) {
                 String id = "j-00050" + i;
                 world.job(FailureTest.job(id, "red", "array", 6, 4, 25), null);
                 jobs.add(id);
             }
-            world.play(20_000);
+            world.run(20_000);
             List<String> cutOff = firstHalf(world.machines());
             cutOff.forEach(machine -> world.cut(machine, "*"));
             world.cancelNow(5, hangMs);
-            world.play(400);
+            world.run(400);
             world.crash(Math.max(0, world.leader()), 5_000);
-            world.play(LEASE_MS - 3_000);
+            world.run(LEASE_MS - 3_000);
             cutOff.forEach(machine -> world.heal(machine, "*"));
-            world.play(250_000);
+            world.run(250_000);
             assertAllWell(world);
             assertAllEnded(world, jobs);
         }
@@ -155,16 +155,16 @@
     // Guards a new leader against word from before its term, which comes to every controller just as it begins.
     @Test
     void copiesOfOldReportsReachEveryControllerAtATakeover() {
-        SimWorld world = ScenarioTest.withServices();
+        ClusterSimulation world = ScenarioTest.withServices();
         List<String> jobs = arrays(world, 6, 4, 12, "red");
         world.lateCopies(0.8);
-        world.play(15_000);
+        world.run(15_000);
         for (int change = 0; change < 3; change++) {
             world.crash(Math.max(0, world.leader()), 5_000);
-            world.play(9_000);
+            world.run(9_000);
         }
         world.lateCopies(0);
-        world.play(120_000);
+        world.run(120_000);
         assertAllWell(world);
         assertDone(world, jobs);
     }
@@ -174,15 +174,15 @@
     @Test
     void newMachinesGetWorkAtOnceWhileWritesLagAndTheLeaderEnds() {
         for (long crashAfterMs : List.of(500L, 1_500L, 3_000L)) {
-            SimWorld world = ScenarioTest.withServices();
+            ClusterSimulation world = ScenarioTest.withServices();
             world.slowStore(900);
             world.cloud.bootMs(1_000);
             List<String> jobs = arrays(world, 8, 5, 10, "red");
-            world.play(crashAfterMs);
+            world.run(crashAfterMs);
             world.crash(Math.max(0, world.leader()), 700);
-            world.play(20_000);
+            world.run(20_000);
             world.slowStore(0);
-            world.play(100_000);
+            world.run(100_000);
             assertAllWell(world);
             assertDone(world, jobs);
         }
--- a/src/test/java/io/quartzgw/app/DecisionDigestTest.java
+++ b/src/test/java/io/quartzgw/app/DecisionDigestTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import io.quartzgw.standin.SimWorld;
+import io.quartzgw.simulation.ClusterSimulation;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
@@ -21,7 +21,7 @@
         "310494, 14195 ff76b13ec548e003"
     })
     void controllersDecideAsBeforeThroughSingleFailures(long seed, String expected) {
-        SimWorld world = new SimWorld(seed, 3);
+        ClusterSimulation world = new ClusterSimulation(seed, 3);
         FailureTest.runSingleFailures(world, seed);
         assertEquals(expected, world.decisions());
     }
@@ -34,7 +34,7 @@
         "40, 25024 cb91e689f8edfc53"
     })
     void controllersDecideAsBeforeUnderConcurrentFaults(long seed, String expected) {
-        SimWorld world = new SimWorld(seed, 3);
+        ClusterSimulation world = new ClusterSimulation(seed, 3);
         FailureTest.runConcurrentFaults(world, seed);
         assertEquals(expected, world.decisions());
     }
--- a/src/test/java/io/quartzgw/app/LateOrdersTest.java
+++ b/src/test/java/io/quartzgw/app/DelayedCommandsTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quartzgw.standin.Seeds;
-import io.quartzgw.standin.SimWorld;
-import io.quartzgw.worker.WorkerTimes;
+import io.quartzgw.agent.AgentTiming;
+import io.quartzgw.simulation.ClusterSimulation;
+import io.quartzgw.simulation.SeedRanges;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -21,7 +21,7 @@
  * Every direct order is carried out late, by up to most of a lease, while the same starts also leave in the responses
  * to reports, tasks are stopped soon after they began and leaders change: no rule may break.
  */
-class LateOrdersTest {
+class DelayedCommandsTest {
     private static final long MOST_LATE_MS = 16_000;
     private static final int MOST_BATCH_MS = 400;
     /** A report, its response, an order or its answer takes up to so long. */
@@ -34,10 +34,10 @@
     private static final int CAPACITY = 8;
     private static final int STEP_MS = 50;
     /** Workers report often beside the time for which a direct order is waited for, as they do when tasks change. */
-    private static final WorkerTimes TIMES = new WorkerTimes(5_000, 26_500, 56_500);
+    private static final AgentTiming TIMES = new AgentTiming(5_000, 26_500, 56_500);
 
     static LongStream seeds() {
-        return Seeds.range("late", 1, 120);
+        return SeedRanges.range("late", 1, 120);
     }
 
     /** Seeds in which a task ran twice, or was refused for ever by a machine, before removals waited for every copy. */
@@ -74,22 +74,22 @@
      */
     @Test
     void aStartOfAFormerSessionRunsOnNoWorkerThatCountsItsSessionsAnew() {
-        SimWorld world = ScenarioTest.withServices();
+        ClusterSimulation world = ScenarioTest.withServices();
         ObjectNode filling = FailureTest.job("j-000700", "blue", "array", 4, 4, 90);
         world.job(filling, null);
-        world.play(30_000);
+        world.run(30_000);
         String machine = world.machines().get(world.machines().size() - 1);
         world.deafen(machine, true);
         world.job(FailureTest.job("j-000701", "blue", "array", 4, 2, 60), null);
-        world.play(LEASE_MS + 8_000);
+        world.run(LEASE_MS + 8_000);
         world.reboot(machine, false);
         world.deafen(machine, false);
-        world.play(120_000);
-        assertEquals(List.of(), world.rules.broken());
+        world.run(120_000);
+        assertEquals(List.of(), world.invariants.broken());
     }
 
     private static void play(long seed, boolean reboots) {
-        SimWorld world = new SimWorld(seed, 3, CAPACITY, STEP_MS, TIMES);
+        ClusterSimulation world = new ClusterSimulation(seed, 3, CAPACITY, STEP_MS, TIMES);
         SplittableRandom random = new SplittableRandom(seed);
         world.batches(1 + random.nextInt(MOST_BATCH_MS));
         world.lateOrders(MOST_LATE_MS);
@@ -97,26 +97,28 @@
         world.lateCopies(LATE_COPIES);
         List<String> arrays = load(world, random);
         faults(world, random, reboots);
-        world.play(FAULTS_END);
+        world.run(FAULTS_END);
         world.lateOrders(0);
         world.slowLinks(0);
-        world.rules.troublesOver(world.now());
+        world.invariants.troublesOver(world.now());
         while (world.now() < END) {
-            world.play(1_000);
+            world.run(1_000);
             world.sweepWaiting();
         }
-        assertEquals(List.of(), world.rules.broken());
+        assertEquals(List.of(), world.invariants.broken());
         assertEquals(0, world.failures(), "commands that failed inside a node");
-        assertEquals(List.of(), world.rules.missingReplicas(), "every service runs");
+        assertEquals(List.of(), world.invariants.missingReplicas(), "every service runs");
         assertEquals(
                 List.of(),
-                arrays.stream().filter(id -> world.rules.finalPhase(id) == null).toList(),
+                arrays.stream()
+                        .filter(id -> world.invariants.finalPhase(id) == null)
+                        .toList(),
                 "every array is over, long after the last failure");
-        assertTrue(world.rules.started() > 20, "tasks were started");
+        assertTrue(world.invariants.started() > 20, "tasks were started");
     }
 
     /** Low work that urgent work stops, jobs that fail at their start until they are cancelled, and cancellations. */
-    private static List<String> load(SimWorld world, SplittableRandom random) {
+    private static List<String> load(ClusterSimulation world, SplittableRandom random) {
         List<String> arrays = new ArrayList<>();
         for (int i = 0; i < 24; i++) {
             String id = String.format("j-%06d", 3000 + i);
@@ -140,7 +142,7 @@
         return arrays;
     }
 
-    private static void faults(SimWorld world, SplittableRandom random, boolean reboots) {
+    private static void faults(ClusterSimulation world, SplittableRandom random, boolean reboots) {
         for (long at = 15_000; at < FAULTS_END - 20_000; at += 1_000 + random.nextInt(6_000)) {
             int kind = random.nextInt(10);
             int pick = random.nextInt(1_000);
--- a/src/test/java/io/quartzgw/app/EndToEndTest.java
+++ b/src/test/java/io/quartzgw/app/EndToEndTest.java
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quartzgw.http.Json;
 import io.quartzgw.http.Reply;
-import io.quartzgw.standin.LoopbackWorld;
+import io.quartzgw.simulation.LoopbackCluster;
 import java.net.http.HttpRequest;
 import java.nio.file.Path;
 import java.util.function.BooleanSupplier;
@@ -20,10 +20,10 @@
     @Test
     @Timeout(120)
     void jobsRunThroughTheLossOfANode(@TempDir Path folder) throws Exception {
-        try (LoopbackWorld world = new LoopbackWorld(3)) {
-            Service[] services = new Service[3];
+        try (LoopbackCluster world = new LoopbackCluster(3)) {
+            ControllerProcess[] services = new ControllerProcess[3];
             for (int i = 0; i < 3; i++) {
-                services[i] = new Service(SettingsReader.read(world.settings(i, folder)), 100 + i);
+                services[i] = new ControllerProcess(SettingsReader.read(world.settings(i, folder)), 100 + i);
                 services[i].start();
             }
             ObjectNode array = FailureTest.job("j-000001", "blue", "array", 3, 2, 0.3);
@@ -64,13 +64,13 @@
                             .path("count")
                             .asDouble()
                     > 0);
-            for (Service service : services) {
+            for (ControllerProcess service : services) {
                 service.stop();
             }
         }
     }
 
-    private static String phase(LoopbackWorld world, int node, String job) {
+    private static String phase(LoopbackCluster world, int node, String job) {
         return world.request(node, "GET", "/submissions/" + job, null)
                 .json()
                 .path("phase")
@@ -79,7 +79,7 @@
 
     private static void until(BooleanSupplier condition) {
         for (int i = 0; i < 500 && !condition.getAsBoolean(); i++) {
-            LoopbackWorld.pause(100);
+            LoopbackCluster.pause(100);
         }
         assertTrue(condition.getAsBoolean(), "in time");
     }
--- a/src/test/java/io/quartzgw/app/FailureTest.java
+++ b/src/test/java/io/quartzgw/app/FailureTest.java
@@ -5,8 +5,8 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quartzgw.http.Json;
-import io.quartzgw.standin.Seeds;
-import io.quartzgw.standin.SimWorld;
+import io.quartzgw.simulation.ClusterSimulation;
+import io.quartzgw.simulation.SeedRanges;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -46,7 +46,7 @@
         return job;
     }
 
-    private static List<String> load(SimWorld world, SplittableRandom random) {
+    private static List<String> load(ClusterSimulation world, SplittableRandom random) {
         List<String> arrays = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
             String id = String.format("j-%06d", 1000 + i);
@@ -68,11 +68,11 @@
         return arrays;
     }
 
-    private static void faults(SimWorld world, SplittableRandom random) {
+    private static void faults(ClusterSimulation world, SplittableRandom random) {
         for (long at = 20_000; at < 180_000; at += 8_000 + random.nextInt(12_000)) {
             long lasts = 2_000 + random.nextInt(28_000);
             int node = random.nextInt(3);
-            String other = List.of("rig-0", "rig-1", "rig-2", SimWorld.STORE, SimWorld.CLOUD, "*")
+            String other = List.of("rig-0", "rig-1", "rig-2", ClusterSimulation.STORE, ClusterSimulation.CLOUD, "*")
                     .get(random.nextInt(6));
             int kind = random.nextInt(12);
             long start = at;
@@ -131,7 +131,7 @@
                         }
                     }
                     default -> {
-                        for (String far : List.of("rig-0", "rig-1", "rig-2", SimWorld.STORE)) {
+                        for (String far : List.of("rig-0", "rig-1", "rig-2", ClusterSimulation.STORE)) {
                             if (!far.equals("rig-" + node)) {
                                 world.cut("rig-" + node, far);
                                 world.at(start + lasts, () -> world.heal("rig-" + node, far));
@@ -146,7 +146,7 @@
     /**
      * Jobs of two or three tasks that end far apart, jobs bound to a zone, teams at their limit, more work than room.
      */
-    private static List<String> moreLoad(SimWorld world, SplittableRandom random) {
+    private static List<String> moreLoad(ClusterSimulation world, SplittableRandom random) {
         List<String> arrays = new ArrayList<>();
         for (int i = 0; i < 24; i++) {
             String id = String.format("j-%06d", 2000 + i);
@@ -182,7 +182,7 @@
      * The troubles that operators saw meet, in any order and over each other; those of {@link #faults} go on beside
      * them.
      */
-    private static void concurrentFaults(SimWorld world, SplittableRandom random) {
+    private static void concurrentFaults(ClusterSimulation world, SplittableRandom random) {
         for (long at = 15_000; at < 180_000; at += 3_000 + random.nextInt(14_000)) {
             long start = at;
             long lasts = Math.min(2_000 + random.nextInt(58_000), TROUBLES_END - at);
@@ -241,7 +241,7 @@
                     }
                     case 10 -> refuse(world, leader, end);
                     case 11 -> {
-                        for (String far : List.of("rig-0", "rig-1", "rig-2", SimWorld.STORE)) {
+                        for (String far : List.of("rig-0", "rig-1", "rig-2", ClusterSimulation.STORE)) {
                             if (!far.equals("rig-" + leader)) {
                                 world.cut("rig-" + leader, far);
                                 world.at(end, () -> world.heal("rig-" + leader, far));
@@ -274,36 +274,37 @@
         }
     }
 
-    private static void refuse(SimWorld world, int node, long until) {
+    private static void refuse(ClusterSimulation world, int node, long until) {
         world.refuse(node, true);
         world.at(until, () -> world.refuse(node, false));
     }
 
-    private static void outage(SimWorld world, long until) {
+    private static void outage(ClusterSimulation world, long until) {
         world.store.outage(true);
         world.at(until, () -> world.store.outage(false));
     }
 
-    private static void assertAllWell(SimWorld world, List<String> arrays) {
-        assertEquals(List.of(), world.rules.broken());
+    private static void assertAllWell(ClusterSimulation world, List<String> arrays) {
+        assertEquals(List.of(), world.invariants.broken());
         assertEquals(0, world.failures(), "commands that failed inside a node");
-        assertEquals(List.of(), world.rules.missingReplicas(), "every service runs");
-        List<String> unfinished =
-                arrays.stream().filter(id -> world.rules.finalPhase(id) == null).toList();
+        assertEquals(List.of(), world.invariants.missingReplicas(), "every service runs");
+        List<String> unfinished = arrays.stream()
+                .filter(id -> world.invariants.finalPhase(id) == null)
+                .toList();
         assertEquals(List.of(), unfinished, "every array is over, long after the last failure");
     }
 
     @Test
     void aQuietDayEndsWithEveryArrayDone() {
-        SimWorld world = new SimWorld(1, 3);
+        ClusterSimulation world = new ClusterSimulation(1, 3);
         List<String> arrays = load(world, new SplittableRandom(1));
-        world.play(END);
-        assertEquals(List.of(), world.rules.broken());
-        assertTrue(arrays.stream().allMatch(id -> world.rules.finalPhase(id) != null), "every array is over");
+        world.run(END);
+        assertEquals(List.of(), world.invariants.broken());
+        assertTrue(arrays.stream().allMatch(id -> world.invariants.finalPhase(id) != null), "every array is over");
     }
 
     static LongStream seeds() {
-        return Seeds.range("single", 11, 24);
+        return SeedRanges.range("single", 11, 24);
     }
 
     /**
@@ -320,38 +321,38 @@
     @ParameterizedTest
     @MethodSource("seeds")
     void rulesHoldThroughRandomFailures(long seed) {
-        SimWorld world = new SimWorld(seed, 3);
+        ClusterSimulation world = new ClusterSimulation(seed, 3);
         List<String> arrays = runSingleFailures(world, seed);
         assertAllWell(world, arrays);
-        assertTrue(world.rules.started() > 50, "tasks were started");
+        assertTrue(world.invariants.started() > 50, "tasks were started");
     }
 
     /** Runs random failures, one after the other, and returns the arrays that were submitted. */
-    static List<String> runSingleFailures(SimWorld world, long seed) {
+    static List<String> runSingleFailures(ClusterSimulation world, long seed) {
         world.lateTransactions(0.01);
         world.lateCopies(0.02);
         SplittableRandom random = new SplittableRandom(seed);
         List<String> arrays = load(world, random);
         faults(world, random);
-        world.at(TROUBLES_END, () -> world.rules.troublesOver(TROUBLES_END));
-        world.play(END);
+        world.at(TROUBLES_END, () -> world.invariants.troublesOver(TROUBLES_END));
+        world.run(END);
         return arrays;
     }
 
     static LongStream concurrentSeeds() {
-        return Seeds.range("concurrent", 1, 40);
+        return SeedRanges.range("concurrent", 1, 40);
     }
 
     @ParameterizedTest
     @MethodSource("concurrentSeeds")
     void rulesHoldUnderConcurrentFaults(long seed) {
-        SimWorld world = new SimWorld(seed, 3);
+        ClusterSimulation world = new ClusterSimulation(seed, 3);
         List<String> arrays = runConcurrentFaults(world, seed);
         assertAllWell(world, arrays);
     }
 
     /** Runs random faults over each other, and returns the arrays that were submitted. */
-    static List<String> runConcurrentFaults(SimWorld world, long seed) {
+    static List<String> runConcurrentFaults(ClusterSimulation world, long seed) {
         world.lateTransactions(0.01);
         world.lateCopies(0.02);
         SplittableRandom random = new SplittableRandom(seed);
@@ -363,10 +364,10 @@
         if (random.nextInt(3) == 0) {
             faults(world, random);
         }
-        world.at(TROUBLES_END, () -> world.rules.troublesOver(TROUBLES_END));
-        world.play(TROUBLES_END);
+        world.at(TROUBLES_END, () -> world.invariants.troublesOver(TROUBLES_END));
+        world.run(TROUBLES_END);
         while (world.now() < LONG_END) {
-            world.play(1_000);
+            world.run(1_000);
             world.sweepWaiting();
         }
         return arrays;
--- a/src/test/java/io/quartzgw/app/FiveControllersTest.java
+++ b/src/test/java/io/quartzgw/app/FiveControllersTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quartzgw.standin.SimWorld;
+import io.quartzgw.agent.AgentTiming;
+import io.quartzgw.simulation.ClusterSimulation;
 import io.quartzgw.store.StoreLimits;
-import io.quartzgw.worker.WorkerTimes;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -16,15 +16,15 @@
 /** Five controllers on a state service that takes few changes and holds small values. */
 class FiveControllersTest {
     private static final int CONTROLLERS = 5;
-    private static final WorkerTimes TIMES = new WorkerTimes(2_500, 14_000, 44_000);
+    private static final AgentTiming TIMES = new AgentTiming(2_500, 14_000, 44_000);
     private static final StoreLimits LIMITS = new StoreLimits(100, 15, 4096, 12);
 
-    private static SimWorld world(long seed) {
-        return new SimWorld(seed, CONTROLLERS, 40, 100, TIMES, LIMITS);
+    private static ClusterSimulation world(long seed) {
+        return new ClusterSimulation(seed, CONTROLLERS, 40, 100, TIMES, LIMITS);
     }
 
     /** Five services at once, and arrays one after the other. */
-    private static List<String> load(SimWorld world, int arrayCount, int tasks, long pauseMs) {
+    private static List<String> load(ClusterSimulation world, int arrayCount, int tasks, long pauseMs) {
         List<String> arrays = new ArrayList<>();
         for (int i = 0; i < arrayCount; i++) {
             ObjectNode spec = FailureTest.job(String.format("j-%06d", 100 + i), "blue", "array", tasks, 4, 8);
@@ -38,19 +38,20 @@
         return arrays;
     }
 
-    private static void assertServed(SimWorld world, List<String> arrays) {
-        assertEquals(List.of(), world.rules.broken());
-        arrays.forEach(id -> assertEquals("done", world.rules.finalPhase(id), id));
-        assertEquals(ScenarioTest.SERVICES * 2, world.rules.runningTasks().size(), "replicas run, and nothing else");
+    private static void assertServed(ClusterSimulation world, List<String> arrays) {
+        assertEquals(List.of(), world.invariants.broken());
+        arrays.forEach(id -> assertEquals("done", world.invariants.finalPhase(id), id));
+        assertEquals(
+                ScenarioTest.SERVICES * 2, world.invariants.runningTasks().size(), "replicas run, and nothing else");
         assertEquals(0, world.failures());
     }
 
     // Guards the limit of changes that all controllers share, and what has to be done within it.
     @Test
     void aSmallStateServiceRefusesNothingAndAllIsDone() {
-        SimWorld world = world(1);
+        ClusterSimulation world = world(1);
         List<String> arrays = load(world, 200, 2, 20);
-        world.play(120_000);
+        world.run(120_000);
         assertEquals(0, world.store.refusedWrites(), "together they stay within the limit");
         assertServed(world, arrays);
     }
@@ -60,15 +61,15 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 2})
     void allGoesOnWithControllersAway(int away) {
-        SimWorld world = world(10 + away);
+        ClusterSimulation world = world(10 + away);
         List<String> arrays = load(world, 30, 10, 2_000);
-        world.play(30_000);
+        world.run(30_000);
         for (int i = 0; i < away; i++) {
             world.crash((world.leader() + 1 + i) % CONTROLLERS);
         }
-        world.play(20_000);
+        world.run(20_000);
         world.crash(world.leader(), 6_000);
-        world.play(110_000);
+        world.run(110_000);
         assertServed(world, arrays);
     }
 
@@ -76,9 +77,9 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 2})
     void allGoesOnWithControllersCutOff(int away) {
-        SimWorld world = world(20 + away);
+        ClusterSimulation world = world(20 + away);
         List<String> arrays = load(world, 30, 10, 2_000);
-        world.play(30_000);
+        world.run(30_000);
         int leader = world.leader();
         List<Integer> cutOff = new ArrayList<>();
         for (int i = 0; i < away; i++) {
@@ -86,9 +87,9 @@
             cutOff.add((leader + i) % CONTROLLERS);
         }
         cutOff.forEach(node -> world.cut("rig-" + node, "*"));
-        world.play(40_000);
+        world.run(40_000);
         assertTrue(world.leader() >= 0 && !cutOff.contains(world.leader()), "another one leads");
-        world.play(90_000);
+        world.run(90_000);
         assertServed(world, arrays);
     }
 }
--- a/src/test/java/io/quartzgw/app/LoneController.java
+++ b/src/test/java/io/quartzgw/app/LoneController.java
@@ -8,18 +8,18 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.quartzgw.eventloop.ClockReading;
+import io.quartzgw.eventloop.Command;
+import io.quartzgw.eventloop.Effect;
+import io.quartzgw.eventloop.EventLoop;
 import io.quartzgw.http.Call;
 import io.quartzgw.http.ListenerKind;
 import io.quartzgw.http.Reply;
 import io.quartzgw.http.Request;
 import io.quartzgw.http.Response;
-import io.quartzgw.loop.Command;
-import io.quartzgw.loop.Effect;
-import io.quartzgw.loop.Kernel;
-import io.quartzgw.loop.Time;
-import io.quartzgw.standin.SimWorld;
-import io.quartzgw.standin.StoreStandIn;
-import io.quartzgw.standin.WorkerStandIn;
+import io.quartzgw.simulation.ClusterSimulation;
+import io.quartzgw.simulation.SimulatedAgent;
+import io.quartzgw.simulation.SimulatedStore;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -37,16 +37,16 @@
     private static final long MIDNIGHT = 1_800_000_000_000L;
 
     private final String types;
-    private final Settings settings = new SimWorld(1, 2).settings(0);
-    private final Kernel kernel = new Kernel(1);
-    final StoreStandIn store = new StoreStandIn();
-    private final Node node = new Node(kernel, settings, 17, () -> json("{\"given\":1}"));
+    private final Settings settings = new ClusterSimulation(1, 2).settings(0);
+    private final EventLoop kernel = new EventLoop(1);
+    final SimulatedStore store = new SimulatedStore();
+    private final Controller node = new Controller(kernel, settings, 17, () -> json("{\"given\":1}"));
     private final TreeMap<Long, List<Command>> due = new TreeMap<>();
     final Map<Long, Response> answers = new HashMap<>();
     /** By address, the workers that orders reach. */
-    private final Map<String, WorkerStandIn> workers = new HashMap<>();
+    private final Map<String, SimulatedAgent> workers = new HashMap<>();
     /** Of those, the ones that report by themselves. */
-    private final List<WorkerStandIn> reporting = new ArrayList<>();
+    private final List<SimulatedAgent> reporting = new ArrayList<>();
 
     private final List<Call> calls = new ArrayList<>();
     final List<Call> messages = new ArrayList<>();
@@ -91,8 +91,8 @@
 
     // ---- time
 
-    private Time time() {
-        return new Time(now, wallClock());
+    private ClockReading time() {
+        return new ClockReading(now, wallClock());
     }
 
     long wallClock() {
@@ -100,13 +100,13 @@
     }
 
     void start() {
-        kernel.handle(List.of(), time());
+        kernel.processBatch(List.of(), time());
         node.start();
         handle(List.of());
     }
 
     private void handle(List<Command> commands) {
-        for (Effect effect : kernel.handle(commands, time())) {
+        for (Effect effect : kernel.processBatch(commands, time())) {
             if (effect instanceof Effect.Answer answer) {
                 answers.put(answer.exchange(), answer.response());
             } else if (effect instanceof Effect.Send send) {
@@ -147,16 +147,16 @@
     // ---- what the controller calls
 
     private void serve(Call call, long id) {
-        if (call.to().equals(settings.state())) {
+        if (call.endpoint().equals(settings.state())) {
             store.handle(call, now, reply -> reply(id, 1, reply));
-        } else if (call.to().equals(settings.cloud())) {
+        } else if (call.endpoint().equals(settings.cloud())) {
             reply(id, 1, cloud(call));
-        } else if (call.to().equals(settings.peers().get("rig-1"))) {
+        } else if (call.endpoint().equals(settings.peers().get("rig-1"))) {
             messages.add(call);
             JsonNode answer = peer.apply(cbor(call.body()));
             answered(id, call, answer == null ? null : new Reply(200, cbor(answer)));
         } else {
-            WorkerStandIn worker = workers.get(call.to().toString());
+            SimulatedAgent worker = workers.get(call.endpoint().toString());
             answered(id, call, worker == null ? null : order(worker, call));
         }
     }
@@ -165,7 +165,7 @@
         reply(id, reply == null ? call.timeoutMs() : 1, reply == null ? Reply.lost() : reply);
     }
 
-    private Reply order(WorkerStandIn worker, Call call) {
+    private Reply order(SimulatedAgent worker, Call call) {
         if (call.path().equals("/show")) {
             return new Reply(200, bytes(worker.report(now).toString()));
         }
@@ -173,7 +173,7 @@
         return worker.orders(json(call.body()), now);
     }
 
-    private void noteStarts(WorkerStandIn worker, JsonNode message) {
+    private void noteStarts(SimulatedAgent worker, JsonNode message) {
         for (JsonNode order : message.path("orders")) {
             if (order.path("verb").asText().equals("run")) {
                 starts.put(order.path("shard").asText(), worker.id);
@@ -229,8 +229,8 @@
         return "10.1.0.1:" + (10_000 + number);
     }
 
-    WorkerStandIn worker(int number, String zone, boolean spot) {
-        return new WorkerStandIn(
+    SimulatedAgent worker(int number, String zone, boolean spot) {
+        return new SimulatedAgent(
                 machine(number),
                 address(number),
                 "small",
@@ -242,29 +242,29 @@
                 new Unwatched());
     }
 
-    private static WorkerStandIn.Description job(String id) {
+    private static SimulatedAgent.Description job(String id) {
         boolean endless = !id.equals("j-000001");
-        return new WorkerStandIn.Description(1, 2, 0.5, 0, endless, false);
+        return new SimulatedAgent.Description(1, 2, 0.5, 0, endless, false);
     }
 
     /** Orders reach this worker from now on. */
-    void reachable(WorkerStandIn worker) {
+    void reachable(SimulatedAgent worker) {
         int number = Integer.parseInt(worker.id.substring(2));
         workers.put(address(number), worker);
     }
 
     /** This worker is reached by orders and reports by itself from now on. */
-    void add(WorkerStandIn worker) {
+    void add(SimulatedAgent worker) {
         reachable(worker);
         reporting.add(worker);
     }
 
-    void silence(WorkerStandIn worker) {
+    void silence(SimulatedAgent worker) {
         workers.values().remove(worker);
         reporting.remove(worker);
     }
 
-    Response hello(WorkerStandIn worker) {
+    Response hello(SimulatedAgent worker) {
         long session = worker.session();
         long sentAt = now;
         Response response =
@@ -282,8 +282,8 @@
 
     List<Call> ordersTo(String address) {
         return calls.stream()
-                .filter(call ->
-                        call.path().equals("/orders") && call.to().toString().equals(address))
+                .filter(call -> call.path().equals("/orders")
+                        && call.endpoint().toString().equals(address))
                 .toList();
     }
 
@@ -345,12 +345,12 @@
         assertEquals(0, figures().path("counts").path("failures").asLong(-1));
     }
 
-    private static final class Unwatched implements WorkerStandIn.Watcher {
+    private static final class Unwatched implements SimulatedAgent.Watcher {
         @Override
-        public void started(WorkerStandIn on, String task) {}
+        public void started(SimulatedAgent on, String task) {}
 
         @Override
-        public void ended(WorkerStandIn on, String task) {}
+        public void ended(SimulatedAgent on, String task) {}
 
         @Override
         public void completed(String task) {}
--- a/src/test/java/io/quartzgw/app/PairedFaultsTest.java
+++ b/src/test/java/io/quartzgw/app/PairedFaultsTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quartzgw.standin.SimWorld;
+import io.quartzgw.simulation.ClusterSimulation;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.IntStream;
@@ -14,13 +14,13 @@
 class PairedFaultsTest {
     static final long LEASE_MS = 16_000;
 
-    static void assertAllWell(SimWorld world) {
-        assertEquals(List.of(), world.rules.broken());
-        assertEquals(List.of(), world.rules.missingReplicas());
+    static void assertAllWell(ClusterSimulation world) {
+        assertEquals(List.of(), world.invariants.broken());
+        assertEquals(List.of(), world.invariants.missingReplicas());
         assertEquals(0, world.failures());
     }
 
-    static List<String> arrays(SimWorld world, int jobs, int tasks, double runS, String crew) {
+    static List<String> arrays(ClusterSimulation world, int jobs, int tasks, double runS, String crew) {
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < jobs; i++) {
             String id = String.format("j-%06d", 300 + i);
@@ -30,17 +30,19 @@
         return ids;
     }
 
-    static void assertAllEnded(SimWorld world, List<String> jobs) {
+    static void assertAllEnded(ClusterSimulation world, List<String> jobs) {
         assertEquals(
                 List.of(),
-                jobs.stream().filter(id -> world.rules.finalPhase(id) == null).toList());
+                jobs.stream()
+                        .filter(id -> world.invariants.finalPhase(id) == null)
+                        .toList());
     }
 
-    static void assertDone(SimWorld world, List<String> jobs) {
+    static void assertDone(ClusterSimulation world, List<String> jobs) {
         assertEquals(
                 List.of(),
                 jobs.stream()
-                        .filter(id -> !"done".equals(world.rules.finalPhase(id)))
+                        .filter(id -> !"done".equals(world.invariants.finalPhase(id)))
                         .toList());
     }
 
@@ -50,15 +52,15 @@
 
     @Test
     void allControllersAreAwayForLongerThanALease() {
-        SimWorld world = ScenarioTest.withServices();
+        ClusterSimulation world = ScenarioTest.withServices();
         List<String> jobs = arrays(world, 4, 5, 25, "red");
-        world.play(10_000);
+        world.run(10_000);
         IntStream.range(0, 3).forEach(world::crash);
-        world.play(LEASE_MS + 9_000);
+        world.run(LEASE_MS + 9_000);
         IntStream.range(0, 3).forEach(world::start);
-        world.play(30_000);
+        world.run(30_000);
         assertAllWell(world);
-        world.play(90_000);
+        world.run(90_000);
         assertDone(world, jobs);
     }
 
@@ -66,16 +68,16 @@
     @Test
     void tasksOfOneJobEndFarApartAcrossAChangeOfLeader() {
         for (long crashAt = 4_000; crashAt <= 40_000; crashAt += 2_000) {
-            SimWorld world = ScenarioTest.withServices();
+            ClusterSimulation world = ScenarioTest.withServices();
             List<String> jobs = new ArrayList<>();
             for (int i = 0; i < 6; i++) {
                 ObjectNode spec = FailureTest.job("j-00040" + i, "blue", "array", 2 + i % 2, 4, 3);
                 world.job(spec.put("each_longer_s", 10 + 2 * i), null);
                 jobs.add("j-00040" + i);
             }
-            world.play(crashAt);
+            world.run(crashAt);
             world.crash(world.leader(), 5_000);
-            world.play(75_000);
+            world.run(75_000);
             assertAllWell(world);
             assertDone(world, jobs);
         }
@@ -83,7 +85,7 @@
 
     @Test
     void jobsBoundToAZoneLoseMachines() {
-        SimWorld world = ScenarioTest.withServices();
+        ClusterSimulation world = ScenarioTest.withServices();
         List<String> jobs = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             ObjectNode spec = FailureTest.job("j-00040" + i, "blue", "array", 4 + i, 4, 15);
@@ -91,7 +93,7 @@
             jobs.add("j-00040" + i);
         }
         world.job(FailureTest.job("j-000410", "blue", "daemon", 3, 2, 0).put("yard", "a"), null);
-        world.play(14_000);
+        world.run(14_000);
         List<String> lost = world.machines();
         for (int i = 0; i < lost.size(); i += 2) {
             String machine = lost.get(i);
@@ -105,9 +107,9 @@
                 world.crash(world.leader());
             }
         }
-        world.play(10_000);
+        world.run(10_000);
         IntStream.range(0, 3).filter(node -> !world.isUp(node)).forEach(world::start);
-        world.play(120_000);
+        world.run(120_000);
         assertAllWell(world);
         assertDone(world, jobs);
     }
@@ -116,20 +118,20 @@
     @Test
     void workersThatReachNoControllerStillTakeOrders() {
         for (boolean leaderEnds : List.of(false, true)) {
-            SimWorld world = ScenarioTest.withServices();
+            ClusterSimulation world = ScenarioTest.withServices();
             List<String> jobs = arrays(world, 5, 4, 30, "red");
-            world.play(8_000);
+            world.run(8_000);
             List<String> mute = firstHalf(world.machines());
             mute.forEach(machine -> world.mute(machine, true));
             world.cancelNow(2, 0);
             if (leaderEnds) {
-                world.play(1_000);
+                world.run(1_000);
                 world.crash(world.leader(), 5_000);
             }
-            world.play(3 * LEASE_MS);
-            assertEquals(List.of(), world.rules.missingReplicas(), "replicas run where reports arrive");
+            world.run(3 * LEASE_MS);
+            assertEquals(List.of(), world.invariants.missingReplicas(), "replicas run where reports arrive");
             mute.forEach(machine -> world.mute(machine, false));
-            world.play(90_000);
+            world.run(90_000);
             assertAllWell(world);
             assertAllEnded(world, jobs);
         }
@@ -137,16 +139,16 @@
 
     @Test
     void transactionsAreCarriedOutLateAfterNewerOnes() {
-        SimWorld world = ScenarioTest.withServices();
+        ClusterSimulation world = ScenarioTest.withServices();
         world.lateTransactions(0.3);
         List<String> jobs = arrays(world, 8, 5, 6, "red");
-        world.play(8_000);
+        world.run(8_000);
         world.crash(world.leader(), 700);
-        world.play(10_000);
+        world.run(10_000);
         world.cancelNow(2, 0);
-        world.play(20_000);
+        world.run(20_000);
         world.lateTransactions(0);
-        world.play(100_000);
+        world.run(100_000);
         assertAllWell(world);
         assertAllEnded(world, jobs);
     }
@@ -154,7 +156,7 @@
     // Guards the first end: whatever meets the last task's end is told the same by every controller from then on.
     @Test
     void cancellationsQuestionsAndRepeatsMeetTheEndOfTheLastTask() {
-        SimWorld world = ScenarioTest.withServices();
+        ClusterSimulation world = ScenarioTest.withServices();
         world.cancelAtEnd(1);
         List<String> jobs = new ArrayList<>();
         for (int i = 0; i < 24; i++) {
@@ -175,27 +177,27 @@
                 }
             }
         }
-        world.play(60_000);
+        world.run(60_000);
         assertAllWell(world);
-        assertTrue(jobs.stream().allMatch(id -> world.rules.finalPhase(id) != null), "every end is told");
+        assertTrue(jobs.stream().allMatch(id -> world.invariants.finalPhase(id) != null), "every end is told");
         assertTrue(
-                jobs.stream().anyMatch(id -> "withdrawn".equals(world.rules.finalPhase(id))),
+                jobs.stream().anyMatch(id -> "withdrawn".equals(world.invariants.finalPhase(id))),
                 "some were called off in time");
-        assertTrue(jobs.stream().anyMatch(id -> "done".equals(world.rules.finalPhase(id))), "some were not");
+        assertTrue(jobs.stream().anyMatch(id -> "done".equals(world.invariants.finalPhase(id))), "some were not");
     }
 
     @Test
     void ordersAndTheirAnswersAreHeldUpAndTheMachinesGoOn() {
-        SimWorld world = ScenarioTest.withServices();
+        ClusterSimulation world = ScenarioTest.withServices();
         world.heldOrders(0.5);
         List<String> jobs = arrays(world, 8, 4, 8, "red");
-        world.play(12_000);
+        world.run(12_000);
         world.cancelNow(3, 3_000);
-        world.play(8_000);
+        world.run(8_000);
         world.crash(world.leader(), 5_000);
-        world.play(30_000);
+        world.run(30_000);
         world.heldOrders(0);
-        world.play(90_000);
+        world.run(90_000);
         assertAllWell(world);
         assertAllEnded(world, jobs);
     }
@@ -203,7 +205,7 @@
     // Guards the order of stops and starts where every message takes long.
     @Test
     void thereIsMoreWorkThanRoomUrgentAndNotOverSlowLinks() {
-        SimWorld world = ScenarioTest.withServices();
+        ClusterSimulation world = ScenarioTest.withServices();
         world.slowLinks(600);
         List<String> jobs = new ArrayList<>();
         for (int i = 0; i < 24; i++) {
@@ -219,9 +221,9 @@
                             null));
             jobs.add(id);
         }
-        world.play(300_000);
+        world.run(300_000);
         for (int second = 0; second < 100; second++) {
-            world.play(1_000);
+            world.run(1_000);
             world.sweepWaiting();
         }
         assertAllWell(world);
@@ -232,13 +234,13 @@
     @Test
     void leadersChangeTenTimesInTwoMinutesAlsoInsideAnOutage() {
         for (boolean outage : List.of(false, true)) {
-            SimWorld world = ScenarioTest.withServices();
+            ClusterSimulation world = ScenarioTest.withServices();
             List<String> jobs = new ArrayList<>();
             for (int change = 0; change < 10; change++) {
                 String id = "j-00060" + change;
                 world.job(FailureTest.job(id, "red", "array", 5, 4, 6), change % 4 == 3 ? world.now() + 9_000 : null);
                 jobs.add(id);
-                world.play(6_000);
+                world.run(6_000);
                 if (outage && change == 4) {
                     world.store.outage(true);
                 } else if (outage && change == 7) {
@@ -246,10 +248,10 @@
                 }
                 int leader = Math.max(0, world.leader());
                 world.crash(leader);
-                world.play(change % 2 == 0 ? 300 : 6_000);
+                world.run(change % 2 == 0 ? 300 : 6_000);
                 world.start(leader);
             }
-            world.play(100_000);
+            world.run(100_000);
             assertAllWell(world);
             assertAllEnded(world, jobs);
         }
@@ -259,27 +261,30 @@
     @Test
     void aZoneWithWorkersAndAControllerIsCutOffForLongerThanALease() {
         for (boolean leads : List.of(true, false)) {
-            SimWorld world = ScenarioTest.withServices();
+            ClusterSimulation world = ScenarioTest.withServices();
             List<String> jobs = arrays(world, 5, 4, 20, "red");
-            world.play(10_000);
+            world.run(10_000);
             int inside = leads ? world.leader() : (world.leader() + 1) % 3;
             List<String> zone = firstHalf(world.machines());
             List<String> outside = new ArrayList<>(world.machines());
             outside.removeAll(zone);
-            outside.addAll(
-                    List.of("rig-" + (inside + 1) % 3, "rig-" + (inside + 2) % 3, SimWorld.STORE, SimWorld.CLOUD));
+            outside.addAll(List.of(
+                    "rig-" + (inside + 1) % 3,
+                    "rig-" + (inside + 2) % 3,
+                    ClusterSimulation.STORE,
+                    ClusterSimulation.CLOUD));
             outside.forEach(far -> {
                 world.cut("rig-" + inside, far);
                 zone.forEach(machine -> world.cut(machine, far));
             });
-            world.play(3_000);
+            world.run(3_000);
             world.cancelNow(3, 0);
-            world.play(3 * LEASE_MS);
+            world.run(3 * LEASE_MS);
             outside.forEach(far -> {
                 world.heal("rig-" + inside, far);
                 zone.forEach(machine -> world.heal(machine, far));
             });
-            world.play(120_000);
+            world.run(120_000);
             assertAllWell(world);
             assertAllEnded(world, jobs);
         }
@@ -289,9 +294,9 @@
     void aLeaderEndsWhileMachinesWithLongTasksAreSilentOrDeaf() {
         for (boolean deaf : List.of(true, false)) {
             for (long goneMs : List.of(6_000L, 14_000L, 40_000L)) {
-                SimWorld world = ScenarioTest.withServices();
+                ClusterSimulation world = ScenarioTest.withServices();
                 List<String> jobs = arrays(world, 4, 4, 45, "red");
-                world.play(12_000);
+                world.run(12_000);
                 List<String> some = firstHalf(world.machines());
                 int leader = world.leader();
                 some.forEach(machine -> {
@@ -301,9 +306,9 @@
                         world.cut(machine, "*");
                     }
                 });
-                world.play(500);
+                world.run(500);
                 world.crash(leader, 5_000);
-                world.play(goneMs);
+                world.run(goneMs);
                 some.forEach(machine -> {
                     if (deaf) {
                         world.deafen(machine, false);
@@ -311,7 +316,7 @@
                         world.heal(machine, "*");
                     }
                 });
-                world.play(150_000);
+                world.run(150_000);
                 assertAllWell(world);
                 assertDone(world, jobs);
             }
@@ -322,18 +327,18 @@
     @Test
     void aTeamAtItsLimitLosesItsLeaderWhileMachinesAreSilentAndAJobIsCancelled() {
         for (long cancelAfterMs : List.of(-300L, 200L, 1_500L, 6_000L)) {
-            SimWorld world = ScenarioTest.withServices();
+            ClusterSimulation world = ScenarioTest.withServices();
             List<String> jobs = arrays(world, 6, 5, 25, "green");
-            world.play(20_000);
+            world.run(20_000);
             List<String> silent = firstHalf(world.machines());
             silent.forEach(machine -> world.cut(machine, "*"));
             int leader = world.leader();
             long crashAt = world.now() + 500;
             world.at(crashAt + cancelAfterMs, () -> world.cancelNow(3, 0));
             world.at(crashAt, () -> world.crash(leader, 5_000));
-            world.play(12_000);
+            world.run(12_000);
             silent.forEach(machine -> world.heal(machine, "*"));
-            world.play(250_000);
+            world.run(250_000);
             assertAllWell(world);
             assertAllEnded(world, jobs);
         }
@@ -343,20 +348,20 @@
     void controllersHandOverAndBackThenAllEndAndOneReturnsWithinASecond() {
         for (int returns = 0; returns < 3; returns++) {
             for (long downMs : List.of(50L, 400L, 900L)) {
-                SimWorld world = ScenarioTest.withServices();
+                ClusterSimulation world = ScenarioTest.withServices();
                 int back = returns;
-                world.play(1_000);
+                world.run(1_000);
                 for (int i = 0; i < 3; i++) {
                     world.crash(Math.max(0, world.leader()), downMs);
-                    world.play(2_000);
+                    world.run(2_000);
                 }
                 IntStream.range(0, 3).forEach(world::crash);
                 world.at(world.now() + downMs, () -> world.start(back));
-                world.play(10_000);
+                world.run(10_000);
                 IntStream.range(0, 3).filter(node -> node != back).forEach(world::start);
-                world.play(60_000);
+                world.run(60_000);
                 assertAllWell(world);
-                assertEquals(2 * ScenarioTest.SERVICES, world.rules.started(), "nothing was started anew");
+                assertEquals(2 * ScenarioTest.SERVICES, world.invariants.started(), "nothing was started anew");
             }
         }
     }
@@ -366,17 +371,17 @@
     void aControllerStandsStillWhileJobsAreCancelledAndGoesOn() {
         for (boolean leads : List.of(true, false)) {
             for (long stillMs : List.of(3_000L, 9_000L, 20_000L, 70_000L)) {
-                SimWorld world = ScenarioTest.withServices();
+                ClusterSimulation world = ScenarioTest.withServices();
                 List<String> jobs = arrays(world, 4, 4, 12, "red");
-                world.play(5_000);
+                world.run(5_000);
                 int node = leads ? world.leader() : (world.leader() + 1) % 3;
                 world.freeze(node, stillMs);
                 world.at(world.now() + stillMs / 2, () -> world.cancelNow(3, 2_000));
-                world.play(stillMs);
+                world.run(stillMs);
                 int leader = world.leader();
-                world.play(15_000);
+                world.run(15_000);
                 assertTrue(leads || world.leader() == leader, "who wakes deposes nobody");
-                world.play(75_000);
+                world.run(75_000);
                 assertAllWell(world);
                 assertAllEnded(world, jobs);
             }
--- a/src/test/java/io/quartzgw/app/ScaleTest.java
+++ b/src/test/java/io/quartzgw/app/ScaleTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.quartzgw.standin.SimWorld;
+import io.quartzgw.simulation.ClusterSimulation;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -19,7 +19,7 @@
     /** A task of this size fills a machine of the cheaper type. */
     private static final double CPUS = 16;
 
-    private long of(SimWorld world, String count) {
+    private long of(ClusterSimulation world, String count) {
         return world.counts().getOrDefault(count, 0L);
     }
 
@@ -27,14 +27,15 @@
     // every machine or job now and then, but not for each other one.
     @Test
     void aLargeFleetStartsRunsAndIsTakenOverWithBoundedWork() {
-        SimWorld world = new SimWorld(3, 3, MACHINES, 500);
+        ClusterSimulation world = new ClusterSimulation(3, 3, MACHINES, 500);
         for (int i = 0; i < SERVICES; i++) {
             String id = String.format("j-%06d", i);
             world.at(1_000 + 50 * i, () -> world.job(FailureTest.job(id, "blue", "daemon", REPLICAS, CPUS, 0), null));
         }
         world.runUntil(60_000);
-        assertEquals(SERVICES * REPLICAS, world.rules.runningTasks().size(), "every replica is up within a minute");
-        long started = world.rules.started();
+        assertEquals(
+                SERVICES * REPLICAS, world.invariants.runningTasks().size(), "every replica is up within a minute");
+        long started = world.invariants.started();
         assertEquals(SERVICES * REPLICAS, started);
         assertTrue(of(world, "placement.looks") < 40 * started, of(world, "placement.looks") + " looks");
         assertTrue(of(world, "orders.calls") < 5 * started, of(world, "orders.calls") + " orders");
@@ -45,7 +46,7 @@
     }
 
     // Guards the leader's hold: a plan that looks at each machine for each waiting task takes seconds.
-    private void aBurstThatHasNoRoomIsPlannedWithBoundedWork(SimWorld world) {
+    private void aBurstThatHasNoRoomIsPlannedWithBoundedWork(ClusterSimulation world) {
         long looks = of(world, "fleet.looks");
         long plans = of(world, "fleet.plans");
         for (int i = 0; i < BURST; i++) {
@@ -55,10 +56,10 @@
         long perPlan = (of(world, "fleet.looks") - looks) / Math.max(1, of(world, "fleet.plans") - plans);
         // Every job looks at every machine that is coming or wanted once at the most.
         assertTrue(perPlan > 0 && perPlan < (long) BURST * BURST * REPLICAS, perPlan + " looks a plan");
-        assertEquals(List.of(), world.rules.broken());
+        assertEquals(List.of(), world.invariants.broken());
     }
 
-    private void steadyLoadCostsLittle(SimWorld world) {
+    private void steadyLoadCostsLittle(ClusterSimulation world) {
         long writes = of(world, "store.writes");
         long read = of(world, "reports.read");
         for (int i = 0; i < ARRAYS; i++) {
@@ -69,7 +70,7 @@
         }
         world.runUntil(world.now() + 60_000);
         for (int i = 0; i < ARRAYS; i++) {
-            assertEquals("done", world.rules.finalPhase(String.format("j-%06d", 1000 + i)));
+            assertEquals("done", world.invariants.finalPhase(String.format("j-%06d", 1000 + i)));
         }
         long tasks = ARRAYS * TASKS;
         assertTrue(of(world, "store.writes") - writes < 2 * tasks, of(world, "store.writes") - writes + " changes");
@@ -77,13 +78,13 @@
         assertTrue(of(world, "reports.read") - read < 10 * tasks, of(world, "reports.read") - read + " reports read");
     }
 
-    private void aTakeoverAmongSilentMachinesKeepsWhatRuns(SimWorld world) {
+    private void aTakeoverAmongSilentMachinesKeepsWhatRuns(ClusterSimulation world) {
         List<String> machines = world.machines();
         List<String> silent = new ArrayList<>();
         for (int i = 0; i < machines.size(); i += 10) {
             silent.add(machines.get(i));
         }
-        long before = world.rules.started();
+        long before = world.invariants.started();
         for (int i = 0; i < 3; i++) {
             int node = i;
             world.crash(node);
@@ -94,20 +95,20 @@
         assertTrue(world.leader() >= 0, "somebody leads");
         assertEquals(
                 before,
-                world.rules.started(),
+                world.invariants.started(),
                 "what a silent machine may hold is not started anew before its hold ends");
         // New work does not wait for the silent.
         world.job(FailureTest.job("j-002000", "blue", "array", TASKS, CPUS, 1), null);
         world.runUntil(world.now() + 8_000);
-        assertEquals("done", world.rules.finalPhase("j-002000"));
+        assertEquals("done", world.invariants.finalPhase("j-002000"));
         assertTrue(
                 of(world, "orders.calls") < 6L * machines.size(),
                 of(world, "orders.calls") + " calls to ask the machines");
         world.runUntil(world.now() + 50_000);
-        assertEquals(List.of(), world.rules.broken());
+        assertEquals(List.of(), world.invariants.broken());
         assertEquals(0, world.failures());
-        assertEquals(List.of(), world.rules.missingReplicas(), "placed again after the hold");
-        long again = world.rules.started() - before - TASKS;
+        assertEquals(List.of(), world.invariants.missingReplicas(), "placed again after the hold");
+        long again = world.invariants.started() - before - TASKS;
         assertTrue(
                 again <= silent.size(),
                 again + " replicas were started anew for " + silent.size() + " silent machines");
--- a/src/test/java/io/quartzgw/app/ScenarioTest.java
+++ b/src/test/java/io/quartzgw/app/ScenarioTest.java
@@ -5,7 +5,7 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quartzgw.http.Json;
-import io.quartzgw.standin.SimWorld;
+import io.quartzgw.simulation.ClusterSimulation;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -13,35 +13,35 @@
 class ScenarioTest {
     static final int SERVICES = 5;
 
-    static SimWorld withServices() {
+    static ClusterSimulation withServices() {
         return withServices(5);
     }
 
     /** A world in which five services of two replicas each run. */
-    static SimWorld withServices(long seed) {
-        return withServices(new SimWorld(seed, 3));
+    static ClusterSimulation withServices(long seed) {
+        return withServices(new ClusterSimulation(seed, 3));
     }
 
-    static SimWorld withServices(SimWorld world) {
+    static ClusterSimulation withServices(ClusterSimulation world) {
         for (int i = 0; i < SERVICES; i++) {
             ObjectNode spec = FailureTest.job("j-00000" + i, "blue", "daemon", 2, 2, 0);
             world.at(1_000, () -> world.job(spec, null));
         }
         world.runUntil(60_000);
-        assertEquals(SERVICES * 2, world.rules.runningTasks().size());
-        assertEquals(SERVICES * 2, world.rules.started());
+        assertEquals(SERVICES * 2, world.invariants.runningTasks().size());
+        assertEquals(SERVICES * 2, world.invariants.started());
         return world;
     }
 
-    private static void assertNothingRestarted(SimWorld world) {
-        assertEquals(List.of(), world.rules.broken());
-        assertEquals(SERVICES * 2, world.rules.runningTasks().size());
-        assertEquals(SERVICES * 2, world.rules.started(), "no replica was started anew");
+    private static void assertNothingRestarted(ClusterSimulation world) {
+        assertEquals(List.of(), world.invariants.broken());
+        assertEquals(SERVICES * 2, world.invariants.runningTasks().size());
+        assertEquals(SERVICES * 2, world.invariants.started(), "no replica was started anew");
     }
 
     @Test
     void aCrashOfTheLeaderRestartsNothing() {
-        SimWorld world = withServices();
+        ClusterSimulation world = withServices();
         int leader = world.leader();
         world.crash(leader);
         world.runUntil(75_000);
@@ -53,7 +53,7 @@
 
     @Test
     void aCrashOfAllControllersRestartsNothing() {
-        SimWorld world = withServices();
+        ClusterSimulation world = withServices();
         for (int i = 0; i < 3; i++) {
             world.crash(i);
             int node = i;
@@ -68,7 +68,7 @@
     @Test
     void aLeaderThatStoodStillGivesUpNoMachine() {
         for (long stillMs : List.of(3_000L, 9_000L, 30_000L, 70_000L)) {
-            SimWorld world = withServices();
+            ClusterSimulation world = withServices();
             String leader = "rig-" + world.leader();
             world.freeze(world.leader(), stillMs);
             world.cut(leader, "*");
@@ -83,7 +83,7 @@
     // Guards the grace: it counts from the moment up to which the leader knows all cancellations.
     @Test
     void anOutageLongerThanGraceAndLeaseRestartsNothing() {
-        SimWorld world = withServices();
+        ClusterSimulation world = withServices();
         world.store.outage(true);
         world.runUntil(world.now() + 60_000);
         world.store.outage(false);
@@ -94,7 +94,7 @@
     // Guards against leadership that is judged by the state service alone.
     @Test
     void aLeaderCutFromTheWorkersHandsOver() {
-        SimWorld world = withServices();
+        ClusterSimulation world = withServices();
         int leader = world.leader();
         List<String> machines = world.machines();
         machines.forEach(machine -> world.cut("rig-" + leader, machine));
@@ -108,7 +108,7 @@
     // Guards a part of the workers: their leases count as much as a takeover of a second.
     @Test
     void aLeaderCutFromAPartOfTheWorkersHandsOver() {
-        SimWorld world = withServices();
+        ClusterSimulation world = withServices();
         int leader = world.leader();
         String machine = world.machines().get(0);
         world.cut("rig-" + leader, machine);
@@ -119,9 +119,9 @@
 
     @Test
     void aLeaderCutFromAllButItsWorkersStopsAnsweringThem() {
-        SimWorld world = withServices();
+        ClusterSimulation world = withServices();
         int leader = world.leader();
-        for (String other : List.of("rig-0", "rig-1", "rig-2", SimWorld.STORE)) {
+        for (String other : List.of("rig-0", "rig-1", "rig-2", ClusterSimulation.STORE)) {
             world.cut("rig-" + leader, other);
         }
         world.runUntil(world.now() + 30_000);
@@ -133,7 +133,7 @@
     // longer than the window lasts, and its tasks run on.
     @Test
     void tasksThatOnlyTheFormerLeaderReachesRunNowhereElse() {
-        SimWorld world = withServices();
+        ClusterSimulation world = withServices();
         int leader = world.leader();
         String machine = world.machines().get(0);
         for (String other : List.of("rig-0", "rig-1", "rig-2")) {
@@ -142,21 +142,21 @@
                 world.cut(machine, other);
             }
         }
-        world.cut("rig-" + leader, SimWorld.STORE);
+        world.cut("rig-" + leader, ClusterSimulation.STORE);
         // No other machine may show the former leader the new token.
         world.machines().stream()
                 .filter(other -> !other.equals(machine))
                 .forEach(other -> world.cut("rig-" + leader, other));
         world.runUntil(world.now() + 90_000);
-        assertEquals(List.of(), world.rules.broken());
-        assertEquals(SERVICES * 2, world.rules.runningTasks().size(), "placed again after the hold");
+        assertEquals(List.of(), world.invariants.broken());
+        assertEquals(SERVICES * 2, world.invariants.runningTasks().size(), "placed again after the hold");
     }
 
     // Guards against a leader that takes machines which hear nobody for its own fault, and against renting anew
     // for them without bound: half of them hear nothing for several leases, while all their reports arrive.
     @Test
     void machinesThatHearNothingDeposeNobodyAndAreNotReplacedForEver() {
-        SimWorld world = withServices();
+        ClusterSimulation world = withServices();
         int leader = world.leader();
         int before = world.machines().size();
         List<String> deaf = world.machines().subList(0, (before + 1) / 2);
@@ -170,22 +170,22 @@
             world.runUntil(world.now() + 1_000);
             most = Math.max(most, world.machines().size());
             if (second == 60) {
-                assertTrue(world.rules.runningTasks().contains("j-000090/0"), "not placed where nothing arrives");
+                assertTrue(world.invariants.runningTasks().contains("j-000090/0"), "not placed where nothing arrives");
             }
         }
         assertEquals(leader, world.leader(), "the leader stays");
         assertTrue(most <= 2 * before + 1, most + " machines where " + before + " do");
         deaf.forEach(machine -> world.deafen(machine, false));
         world.runUntil(world.now() + 40_000);
-        assertEquals(List.of(), world.rules.broken());
-        assertEquals(List.of(), world.rules.missingReplicas());
+        assertEquals(List.of(), world.invariants.broken());
+        assertEquals(List.of(), world.invariants.missingReplicas());
     }
 
     // Guards the word of a former process: its hold still stands, and the others may not have noticed.
     @Test
     void aLeaderThatIsBackAtOnceRestartsNothing() {
         for (long downMs : List.of(50L, 200L, 600L)) {
-            SimWorld world = withServices();
+            ClusterSimulation world = withServices();
             int leader = world.leader();
             world.crash(leader);
             world.runUntil(world.now() + downMs);
@@ -202,33 +202,33 @@
     @Test
     void aMachineThatIsBackAtOnceRunsItsReplicasAgain() {
         for (boolean counting : List.of(true, false)) {
-            SimWorld world = withServices();
+            ClusterSimulation world = withServices();
             String machine = world.machines().get(0);
             world.reboot(machine, counting);
             world.runUntil(world.now() + 15_000);
-            assertEquals(List.of(), world.rules.broken());
-            assertEquals(List.of(), world.rules.missingReplicas(), "long before a hold would have ended");
+            assertEquals(List.of(), world.invariants.broken());
+            assertEquals(List.of(), world.invariants.missingReplicas(), "long before a hold would have ended");
         }
     }
 
     // Guards the hold: late copies of a lost machine's reports must not show it as alive.
     @Test
     void lateCopiesDoNotHoldALostMachinesReplicas() {
-        SimWorld world = withServices();
+        ClusterSimulation world = withServices();
         world.lateCopies(1);
         world.runUntil(world.now() + 30_000);
         String machine = world.machines().get(0);
         world.cut(machine, "*");
         world.runUntil(world.now() + 36_000);
-        assertEquals(List.of(), world.rules.broken());
-        assertEquals(List.of(), world.rules.missingReplicas(), "placed again when the hold has ended");
+        assertEquals(List.of(), world.invariants.broken());
+        assertEquals(List.of(), world.invariants.missingReplicas(), "placed again when the hold has ended");
     }
 
     // Guards the gather window: to a new leader a late copy looks like a machine's first word, and hides what
     // was started since. The machine itself is cut off for less than its lease, so all of that runs on.
     @Test
     void lateCopiesDoNotSpeakForAMachineToANewLeader() {
-        SimWorld world = withServices();
+        ClusterSimulation world = withServices();
         world.lateCopies(1);
         world.runUntil(world.now() + 20_000);
         for (int i = 0; i < 6; i++) {
@@ -244,15 +244,15 @@
         machines.forEach(machine -> world.heal(machine, "*"));
         world.start(leader);
         world.runUntil(world.now() + 60_000);
-        assertEquals(List.of(), world.rules.broken());
+        assertEquals(List.of(), world.invariants.broken());
     }
 
     // Guards cancellations that the leader can't hear of: it answers its workers for the grace at the most.
     @Test
     void aJobThatIsCancelledBehindACutOffLeadersBackEndsInTime() {
-        SimWorld world = withServices();
+        ClusterSimulation world = withServices();
         int leader = world.leader();
-        for (String other : List.of("rig-0", "rig-1", "rig-2", SimWorld.STORE)) {
+        for (String other : List.of("rig-0", "rig-1", "rig-2", ClusterSimulation.STORE)) {
             world.cut("rig-" + leader, other);
         }
         world.runUntil(world.now() + 1_000);
@@ -260,18 +260,18 @@
         world.abort((leader + 1) % 3, "j-000001", reply -> status[0] = reply.status());
         for (int second = 0; second < 60; second++) {
             world.runUntil(world.now() + 1_000);
-            world.rules.sweep(world.now());
+            world.invariants.sweep(world.now());
         }
         assertEquals(200, status[0]);
-        assertEquals(List.of(), world.rules.broken());
-        assertTrue(world.rules.runningTasks().stream().noneMatch(task -> task.startsWith("j-000001/")));
+        assertEquals(List.of(), world.invariants.broken());
+        assertTrue(world.invariants.runningTasks().stream().noneMatch(task -> task.startsWith("j-000001/")));
     }
 
     // Guards jobs that a leader hears of in no ordinary way: the notice is lost with a cut between controllers,
     // and the changes are gone from the state service before the leader can follow again.
     @Test
     void aJobThatNeitherNoticeNorFollowToldOfRuns() {
-        SimWorld world = withServices();
+        ClusterSimulation world = withServices();
         int leader = world.leader();
         for (int i = 0; i < 3; i++) {
             if (i != leader) {
@@ -286,23 +286,23 @@
         world.runUntil(world.now() + 100);
         world.store.forgetNews();
         world.runUntil(world.now() + 60_000);
-        assertEquals("done", world.rules.finalPhase("j-000077"));
-        assertEquals(List.of(), world.rules.broken());
+        assertEquals("done", world.invariants.finalPhase("j-000077"));
+        assertEquals(List.of(), world.invariants.broken());
     }
 
     @Test
     void aDeadMachinesReplicasMoveOnce() {
-        SimWorld world = withServices();
+        ClusterSimulation world = withServices();
         String machine = world.machines().get(0);
         world.cloud.fail(machine, world.now());
         world.runUntil(world.now() + 60_000);
-        assertEquals(List.of(), world.rules.broken());
-        assertEquals(SERVICES * 2, world.rules.runningTasks().size());
+        assertEquals(List.of(), world.invariants.broken());
+        assertEquals(SERVICES * 2, world.invariants.runningTasks().size());
     }
 
     @Test
     void withoutTheStateServiceUsersAreToldAtOnce() {
-        SimWorld world = withServices();
+        ClusterSimulation world = withServices();
         world.store.outage(true);
         world.runUntil(world.now() + 2_000);
         long asked = world.now();
@@ -320,7 +320,7 @@
     // Guards against a node that counts as unable because its users are quiet.
     @Test
     void aQuietNodeIsReady() {
-        SimWorld world = new SimWorld(7, 3);
+        ClusterSimulation world = new ClusterSimulation(7, 3);
         world.runUntil(60_000);
         for (int i = 0; i < 3; i++) {
             int[] status = new int[1];
@@ -332,7 +332,7 @@
 
     @Test
     void badInputIsAnsweredAsTheProtocolSays() {
-        SimWorld world = withServices();
+        ClusterSimulation world = withServices();
         ObjectNode good = FailureTest.job("j-000100", "blue", "array", 2, 2, 5);
         assertEquals(400, status(world, "POST", "/submissions", Json.object().put("id", "j-000101")));
         assertEquals(400, status(world, "POST", "/submissions", good.deepCopy().put("shards", 0)));
@@ -351,7 +351,7 @@
         assertEquals(200, status(world, "POST", "/submissions", good.deepCopy().put("shards", "many")));
     }
 
-    private static int status(SimWorld world, String method, String path, ObjectNode body) {
+    private static int status(ClusterSimulation world, String method, String path, ObjectNode body) {
         int[] status = new int[1];
         world.user(1, method, path, body, reply -> status[0] = reply.status());
         world.runUntil(world.now() + 1_000);
--- a/src/test/java/io/quartzgw/app/SettingsReaderTest.java
+++ b/src/test/java/io/quartzgw/app/SettingsReaderTest.java
@@ -53,10 +53,10 @@
             """;
 
     @Test
-    void readsWhatThePlatformHandsOver() throws InvalidSettings {
+    void readsWhatThePlatformHandsOver() throws InvalidSettingsException {
         Settings settings = SettingsReader.read(GOOD);
         assertEquals("rig-0", settings.member());
-        assertEquals(16_000, settings.workers().leaseMs());
+        assertEquals(16_000, settings.agentTiming().leaseMs());
         assertEquals(Map.of("c", List.of(60.0)), settings.finishGoals());
         assertEquals(1, settings.peers().size());
     }
@@ -75,8 +75,8 @@
         "size = 2, size = 0, facts.size"
     })
     void namesTheFieldThatIsWrong(String right, String wrong, String field) {
-        InvalidSettings error =
-                assertThrows(InvalidSettings.class, () -> SettingsReader.read(GOOD.replace(right, wrong)));
+        InvalidSettingsException error =
+                assertThrows(InvalidSettingsException.class, () -> SettingsReader.read(GOOD.replace(right, wrong)));
         assertEquals(field, error.getMessage().split(":")[0]);
     }
 }
--- a/src/test/java/io/quartzgw/app/StoredFormatTest.java
+++ b/src/test/java/io/quartzgw/app/StoredFormatTest.java
@@ -18,7 +18,7 @@
 import io.quartzgw.http.Call;
 import io.quartzgw.http.ListenerKind;
 import io.quartzgw.http.Response;
-import io.quartzgw.standin.WorkerStandIn;
+import io.quartzgw.simulation.SimulatedAgent;
 import java.util.ArrayList;
 import java.util.HexFormat;
 import java.util.List;
@@ -264,7 +264,7 @@
     void finishesAndStartsRewriteThePageOfProgressUntilTheJobMovesToTheDoneOnes() {
         storeState(world);
         world.start();
-        WorkerStandIn worker = world.worker(2, "a", false);
+        SimulatedAgent worker = world.worker(2, "a", false);
         world.add(worker);
         world.until(() -> same("{\"j-000001/0\":\"Ag==\",\"j-000001/started\":6}", world.value("prog/0")), "started");
         world.until(() -> same("{\"j-000001/0\":\"Og==\",\"j-000001/started\":6}", world.value("prog/0")), "3, 4, 5");
@@ -299,7 +299,7 @@
     void theFirstMessageOfAControllerSaysWhoRuns() {
         world.start();
         Call sent = world.messages.get(0);
-        assertEquals("10.0.0.2:8081", sent.to().toString());
+        assertEquals("10.0.0.2:8081", sent.endpoint().toString());
         assertEquals("POST", sent.method());
         assertEquals("/peer", sent.path());
         assertEquals("application/cbor", sent.type());
@@ -359,7 +359,7 @@
     @Test
     void aFollowerCountsTheWorkersThatItTurnsAwayAndReaches() {
         follow(world);
-        WorkerStandIn worker = world.worker(1, "a", false);
+        SimulatedAgent worker = world.worker(1, "a", false);
         world.reachable(worker);
         assertEquals(421, world.hello(worker).status());
         world.until(() -> world.lastMessage().path("workers").asInt() == 1, "counted");
@@ -397,7 +397,7 @@
     void aCancelledJobThatAMessageNamesIsStopped() {
         storeState(world);
         world.start();
-        WorkerStandIn worker = world.worker(2, "a", false);
+        SimulatedAgent worker = world.worker(2, "a", false);
         world.add(worker);
         world.until(() -> worker.running().size() == 3, "tasks run");
         world.message(cbor(peerMessage("\"cancelled\":{\"j-000001\":200}")));
@@ -496,7 +496,7 @@
         storeState(world);
         world.peer = asked -> peerMessage("\"sequence\":" + asked.path("sequence") + ",\"workers\":" + turnedAway);
         world.start();
-        WorkerStandIn worker = world.worker(2, "a", false);
+        SimulatedAgent worker = world.worker(2, "a", false);
         world.add(worker);
         world.until(() -> worker.running().size() == 3, "the worker is known");
         world.silence(worker);
@@ -568,7 +568,7 @@
 
     @Test
     void figuresOfTheProcessNameWhatIsTimed() {
-        Metrics metrics = new Metrics();
+        ProcessMetrics metrics = new ProcessMetrics();
         metrics.served(200, 1_000_000);
         metrics.batch(1_000_000);
         metrics.refused();
--- a/src/test/java/io/quartzgw/cancellation/CancellationsTest.java
+++ b/src/test/java/io/quartzgw/cancellation/CancellationRegistryTest.java
@@ -5,27 +5,27 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.quartzgw.eventloop.ClockReading;
+import io.quartzgw.eventloop.EventLoop;
 import io.quartzgw.http.Json;
-import io.quartzgw.loop.Kernel;
-import io.quartzgw.loop.Time;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class CancellationsTest {
+class CancellationRegistryTest {
     private static final long CANCEL_MS = 36_000;
 
-    private final Kernel kernel = new Kernel(1);
-    private final Cancellations here = new Cancellations(kernel, CANCEL_MS);
-    private final Cancellations there = new Cancellations(kernel, CANCEL_MS);
+    private final EventLoop kernel = new EventLoop(1);
+    private final CancellationRegistry here = new CancellationRegistry(kernel, CANCEL_MS);
+    private final CancellationRegistry there = new CancellationRegistry(kernel, CANCEL_MS);
 
     private void time(long now) {
-        kernel.handle(List.of(), new Time(now, now));
+        kernel.processBatch(List.of(), new ClockReading(now, now));
     }
 
-    private static ObjectNode message(Cancellations from) {
+    private static ObjectNode message(CancellationRegistry from) {
         ObjectNode message = Json.object();
-        from.tell(message);
+        from.writeTo(message);
         return message;
     }
 
@@ -35,29 +35,29 @@
         List<String> heard = new ArrayList<>();
         there.listener(heard::add);
         time(1_000);
-        assertTrue(here.note("j-000001"));
-        assertFalse(here.note("j-000001"), "known already");
+        assertTrue(here.record("j-000001"));
+        assertFalse(here.record("j-000001"), "known already");
         time(1_000 + CANCEL_MS);
-        assertTrue(there.take(message(here)));
-        there.take(message(here));
+        assertTrue(there.readFrom(message(here)));
+        there.readFrom(message(here));
         assertEquals(List.of("j-000001"), heard);
-        assertTrue(there.knows("j-000001"));
+        assertTrue(there.contains("j-000001"));
     }
 
     // Guards the messages' size: names that go back and forth must not stay for ever.
     @Test
     void namesThatGoBackAndForthAreNamedNoLonger() {
         time(0);
-        here.note("j-000001");
+        here.record("j-000001");
         for (long now = 500; now < 6 * CANCEL_MS; now += 500) {
             time(now);
             ObjectNode late = message(here);
             time(now + 400);
-            there.take(late);
-            here.take(message(there));
+            there.readFrom(late);
+            here.readFrom(message(there));
         }
-        assertEquals(0, Cancellations.named(message(here)));
-        assertEquals(0, Cancellations.named(message(there)));
+        assertEquals(0, CancellationRegistry.announcedCount(message(here)));
+        assertEquals(0, CancellationRegistry.announcedCount(message(there)));
         assertTrue(here.isEmpty() && there.isEmpty());
     }
 
@@ -65,10 +65,10 @@
     void aMessageStaysSmallAndSaysThatItIsNotWhole() {
         time(0);
         for (int i = 0; i < 5_000; i++) {
-            here.note("j-" + (100_000_000 + i));
+            here.record("j-" + (100_000_000 + i));
         }
         ObjectNode message = message(here);
         assertTrue(Json.writeCbor(message).length < 48 * 1024);
-        assertFalse(there.take(message));
+        assertFalse(there.readFrom(message));
     }
 }
--- a/src/test/java/io/quartzgw/fleet/RetirementTest.java
+++ b/src/test/java/io/quartzgw/fleet/ScaleInPolicyTest.java
@@ -2,16 +2,16 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import io.quartzgw.loop.Kernel;
-import io.quartzgw.loop.Time;
-import io.quartzgw.placement.Booking;
-import io.quartzgw.placement.Cluster;
-import io.quartzgw.placement.Consolidation;
-import io.quartzgw.placement.Job;
-import io.quartzgw.placement.Machine;
-import io.quartzgw.placement.StopReason;
-import io.quartzgw.placement.TaskControl;
-import io.quartzgw.standin.JobSpecs;
+import io.quartzgw.eventloop.ClockReading;
+import io.quartzgw.eventloop.EventLoop;
+import io.quartzgw.scheduling.Allocation;
+import io.quartzgw.scheduling.ClusterState;
+import io.quartzgw.scheduling.Consolidation;
+import io.quartzgw.scheduling.Job;
+import io.quartzgw.scheduling.Machine;
+import io.quartzgw.scheduling.StopReason;
+import io.quartzgw.scheduling.TaskLauncher;
+import io.quartzgw.simulation.JobSpecs;
 import io.quartzgw.submission.JobSpec;
 import io.quartzgw.submission.OpenJob;
 import io.quartzgw.submission.Resources;
@@ -19,25 +19,25 @@
 import org.junit.jupiter.api.Test;
 
 /** Which idle machines are returned while tasks are unaccounted for, and which never came up. */
-class RetirementTest {
+class ScaleInPolicyTest {
     private static final long SILENT_MS = 17_000;
     private static final MachineType TYPE =
             new MachineType("t", new Resources(16, 2, 64), 40, 1, 1, 0.3, 20, List.of("a"));
 
-    private final Kernel kernel = new Kernel(1);
-    private final Cluster cluster = new Cluster(kernel, 1);
-    private final Retirement retirement = new Retirement(
+    private final EventLoop kernel = new EventLoop(1);
+    private final ClusterState cluster = new ClusterState(kernel, 1);
+    private final ScaleInPolicy retirement = new ScaleInPolicy(
             kernel,
             cluster,
             new Consolidation(cluster, machine -> true, new NoStarter(), 16_000),
-            new Fleet.Policy(0, SILENT_MS, 5_000));
+            new FleetManager.Policy(0, SILENT_MS, 5_000));
 
-    private static final class NoStarter implements TaskControl {
+    private static final class NoStarter implements TaskLauncher {
         @Override
-        public void start(Booking booking) {}
+        public void start(Allocation booking) {}
 
         @Override
-        public void stop(Booking booking, double graceS, StopReason reason) {}
+        public void stop(Allocation booking, double graceS, StopReason reason) {}
     }
 
     private Machine up(int number) {
@@ -48,8 +48,8 @@
     }
 
     private void hear(Machine machine) {
-        machine.presence().heard(1, kernel.now() + 1, kernel.now());
-        machine.present();
+        machine.liveness().recordHeartbeat(1, kernel.nowMs() + 1, kernel.nowMs());
+        machine.markUp();
     }
 
     private Job job(int tasks) {
@@ -63,12 +63,12 @@
     }
 
     private void pass(long ms) {
-        kernel.handle(List.of(), new Time(ms, ms));
+        kernel.processBatch(List.of(), new ClockReading(ms, ms));
     }
 
     private long leaving() {
         return cluster.machines().stream()
-                .filter(machine -> machine.status() == Machine.Status.LEAVING)
+                .filter(machine -> machine.status() == Machine.Status.DRAINING)
                 .count();
     }
 
@@ -78,7 +78,7 @@
             up(i);
         }
         pass(90_000);
-        retirement.retire(5 * 16);
+        retirement.drainUnneeded(5 * 16);
         assertEquals(5, leaving());
     }
 
@@ -89,13 +89,13 @@
             up(i);
         }
         Job job = job(6);
-        job.startBelow(6);
+        job.recordedStartLimit(6);
         cluster.markUnaccounted(job);
         pass(90_000);
-        retirement.retire(5 * 16);
+        retirement.drainUnneeded(5 * 16);
         assertEquals(2, leaving(), "six tasks of one GPU need three machines of two");
         cluster.resolveUnaccounted(job);
-        retirement.retire(3 * 16);
+        retirement.drainUnneeded(3 * 16);
         assertEquals(5, leaving());
     }
 
@@ -103,15 +103,15 @@
     void roomIsKeptForTasksOnASilentMachine() {
         Machine silent = up(0);
         Job job = job(2);
-        cluster.book(job, 0, silent, 1);
-        cluster.book(job, 1, silent, 2);
+        cluster.allocate(job, 0, silent, 1);
+        cluster.allocate(job, 1, silent, 2);
         up(1);
         up(2);
         pass(90_000);
-        retirement.retire(3 * 16);
+        retirement.drainUnneeded(3 * 16);
         assertEquals(1, leaving());
         hear(silent);
-        retirement.retire(2 * 16);
+        retirement.drainUnneeded(2 * 16);
         assertEquals(2, leaving());
     }
 
@@ -120,10 +120,10 @@
     void aMachineThatNeverComesUpIsReturned() {
         cluster.add(new Machine("i-9", TYPE, "a", false, 0, 0));
         pass(59_000);
-        retirement.retire(16);
+        retirement.drainUnneeded(16);
         assertEquals(0, leaving());
         pass(61_000);
-        retirement.retire(16);
+        retirement.drainUnneeded(16);
         assertEquals(1, leaving());
     }
 }
--- a/src/test/java/io/quartzgw/leadership/PeersTest.java
+++ b/src/test/java/io/quartzgw/leadership/PeerExchangeTest.java
@@ -4,17 +4,17 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.quartzgw.cancellation.CancellationRegistry;
 import io.quartzgw.cancellation.CancellationWatermark;
-import io.quartzgw.cancellation.Cancellations;
+import io.quartzgw.eventloop.ClockReading;
+import io.quartzgw.eventloop.Command;
+import io.quartzgw.eventloop.Effect;
+import io.quartzgw.eventloop.EventLoop;
 import io.quartzgw.http.Endpoint;
 import io.quartzgw.http.Json;
 import io.quartzgw.http.ListenerKind;
 import io.quartzgw.http.Reply;
 import io.quartzgw.http.Request;
-import io.quartzgw.loop.Command;
-import io.quartzgw.loop.Effect;
-import io.quartzgw.loop.Kernel;
-import io.quartzgw.loop.Time;
 import io.quartzgw.store.StoreClient;
 import io.quartzgw.store.StoreLimits;
 import java.util.ArrayList;
@@ -23,15 +23,15 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-class PeersTest {
-    private static final LeadershipTimes TIMES = LeadershipTimes.of(2.5, 16, 36);
+class PeerExchangeTest {
+    private static final LeadershipTiming TIMES = LeadershipTiming.of(2.5, 16, 36);
 
-    private final Kernel kernel = new Kernel(1);
+    private final EventLoop kernel = new EventLoop(1);
     private final StoreClient store =
             new StoreClient(kernel, new Endpoint("10.2.0.1", 1), new StoreLimits(10, 10, 8192, 16));
     private final CancellationWatermark watermark = new CancellationWatermark(kernel, 36_000, Set.of("rig-1"));
     private final Leadership leadership = new Leadership(kernel, store, TIMES, "rig-0", 1, watermark);
-    private final Peers peers = new Peers(
+    private final PeerExchange peers = new PeerExchange(
             kernel,
             leadership,
             store,
@@ -39,9 +39,9 @@
             "rig-0",
             1,
             Map.of("rig-1", new Endpoint("10.0.0.2", 8081)),
-            new Cancellations(kernel, 36_000),
+            new CancellationRegistry(kernel, 36_000),
             watermark,
-            new WriteShares(kernel, leadership, store, new StoreLimits(10, 10, 8192, 16), TIMES, "rig-0", 2));
+            new WriteBudgetExchange(kernel, leadership, store, new StoreLimits(10, 10, 8192, 16), TIMES, "rig-0", 2));
     private final List<JsonNode> told = new ArrayList<>();
 
     private static ObjectNode message(long process, long sequence) {
@@ -49,24 +49,24 @@
     }
 
     private void serve(ObjectNode message) {
-        kernel.handle(
+        kernel.processBatch(
                 List.of(new Command.Arrived(
-                        new Request(1, ListenerKind.PEER, "POST", Peers.PATH, "", Json.writeCbor(message)))),
-                new Time(2, 2));
+                        new Request(1, ListenerKind.PEER, "POST", PeerExchange.PATH, "", Json.writeCbor(message)))),
+                new ClockReading(2, 2));
     }
 
     // Guards the counts that users see: where two controllers beat in step, each answer of the leader overtakes
     // the message that it sent just before, with the counts.
     @Test
     void countsAreTakenThoughAnAnswerOvertookThemAndNeverOlderOnes() {
-        kernel.handle(List.of(), new Time(1, 1));
-        kernel.route(peers::serve);
+        kernel.processBatch(List.of(), new ClockReading(1, 1));
+        kernel.onRequest(peers::serve);
         peers.start(most -> null, told::add, notice -> {});
-        Effect.Send beat =
-                (Effect.Send) kernel.handle(List.of(), new Time(1, 1)).get(0);
-        kernel.handle(
+        Effect.Send beat = (Effect.Send)
+                kernel.processBatch(List.of(), new ClockReading(1, 1)).get(0);
+        kernel.processBatch(
                 List.of(new Command.CallEnded(beat.call(), new Reply(200, Json.writeCbor(message(7, 11))))),
-                new Time(2, 2));
+                new ClockReading(2, 2));
         JsonNode newest = Json.object().set("j-1", Json.array().add(1).add(2));
         serve(message(7, 10).set("counts", newest));
         assertEquals(List.of(newest), told);
--- a/src/test/java/io/quartzgw/leadership/RedirectedWorkersTest.java
+++ b/src/test/java/io/quartzgw/leadership/RedirectedAgentsTest.java
@@ -2,22 +2,22 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import io.quartzgw.eventloop.ClockReading;
+import io.quartzgw.eventloop.Command;
+import io.quartzgw.eventloop.Effect;
+import io.quartzgw.eventloop.EventLoop;
 import io.quartzgw.http.Endpoint;
 import io.quartzgw.http.Reply;
-import io.quartzgw.loop.Command;
-import io.quartzgw.loop.Effect;
-import io.quartzgw.loop.Kernel;
-import io.quartzgw.loop.Time;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class RedirectedWorkersTest {
+class RedirectedAgentsTest {
     private static final long HEARTBEAT_MS = 1_000;
     private static final Endpoint WORKER = new Endpoint("10.1.0.1", 9000);
 
-    private final Kernel kernel = new Kernel(1);
-    private final RedirectedWorkers redirected = new RedirectedWorkers(kernel, HEARTBEAT_MS);
+    private final EventLoop kernel = new EventLoop(1);
+    private final RedirectedAgents redirected = new RedirectedAgents(kernel, HEARTBEAT_MS);
 
     /** A worker reports, a heartbeat later it is asked, and it answers. */
     private int countAfterReportAndHeartbeat(long now) {
@@ -26,14 +26,14 @@
         for (Effect effect : act(now + HEARTBEAT_MS, redirected::probe)) {
             answers.add(new Command.CallEnded(((Effect.Send) effect).call(), new Reply(200, new byte[0])));
         }
-        kernel.handle(answers, new Time(now + HEARTBEAT_MS, 0));
+        kernel.processBatch(answers, new ClockReading(now + HEARTBEAT_MS, 0));
         return redirected.count();
     }
 
     private List<Effect> act(long now, Runnable action) {
-        kernel.handle(List.of(), new Time(now, 0));
+        kernel.processBatch(List.of(), new ClockReading(now, 0));
         action.run();
-        return kernel.handle(List.of(), new Time(now, 0));
+        return kernel.processBatch(List.of(), new ClockReading(now, 0));
     }
 
     @Test
--- a/src/test/java/io/quartzgw/progress/PackingTest.java
+++ b/src/test/java/io/quartzgw/progress/ProgressBitmapsTest.java
@@ -8,23 +8,23 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class PackingTest {
+class ProgressBitmapsTest {
     private static final int VALUE_BYTES = 8 * 1024;
     private static final int TASKS = 100_000;
 
     @Test
     void everyFinishComesBackAndEveryValueFits() {
-        Packing packing = new Packing(VALUE_BYTES);
+        ProgressBitmaps packing = new ProgressBitmaps(VALUE_BYTES);
         BitSet done = new BitSet();
         new SplittableRandom(3).ints(60_000, 0, TASKS).forEach(done::set);
         done.set(TASKS - 1);
         BitSet read = new BitSet();
         for (int chunk = 0; chunk <= packing.chunkOf(TASKS - 1); chunk++) {
             byte[] value = Json.write(packing.pack(done, chunk));
-            assertTrue(value.length <= packing.reserved(TASKS) && value.length <= VALUE_BYTES, "fits a value");
-            packing.unpack(Packing.key("j-000001", chunk), Json.readOrNull(value), read);
+            assertTrue(value.length <= packing.maxRecordLength(TASKS) && value.length <= VALUE_BYTES, "fits a value");
+            packing.unpack(ProgressBitmaps.key("j-000001", chunk), Json.readOrNull(value), read);
         }
         assertEquals(done, read);
-        assertEquals("j-000001", Packing.jobOf(Packing.key("j-000001", 2)));
+        assertEquals("j-000001", ProgressBitmaps.jobOf(ProgressBitmaps.key("j-000001", 2)));
     }
 }
