--- a/src/test/java/io/quartzgw/placement/SchedulerTest.java
+++ b/src/test/java/io/quartzgw/scheduling/SchedulerTest.java
@@ -1,18 +1,18 @@
-package io.quartzgw.placement;
+package io.quartzgw.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.quartzgw.agent.AgentTiming;
+import io.quartzgw.eventloop.ClockReading;
+import io.quartzgw.eventloop.EventLoop;
 import io.quartzgw.fleet.MachineType;
-import io.quartzgw.loop.Kernel;
-import io.quartzgw.loop.Time;
-import io.quartzgw.standin.JobSpecs;
+import io.quartzgw.simulation.JobSpecs;
+import io.quartzgw.submission.JobShape;
 import io.quartzgw.submission.JobSpec;
 import io.quartzgw.submission.OpenJob;
 import io.quartzgw.submission.Priority;
 import io.quartzgw.submission.Resources;
-import io.quartzgw.submission.Shape;
-import io.quartzgw.worker.WorkerTimes;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -23,40 +23,40 @@
 
 /** The scheduler's decisions against a plain model that recounts everything from the bookings. */
 class SchedulerTest {
-    private static final Map<String, Team> TEAMS =
-            Map.of("limited", new Team("limited", 0, 24, 0, 0), "free", new Team("free", 0, 0, 0, 0));
+    private static final Map<String, TeamQuota> TEAMS =
+            Map.of("limited", new TeamQuota("limited", 0, 24, 0, 0), "free", new TeamQuota("free", 0, 0, 0, 0));
     private static final MachineType TYPE =
             new MachineType("t", new Resources(8, 0, 32), 40, 1, 1, 0.3, 10, List.of("a", "b"));
 
-    private final Kernel kernel = new Kernel(1);
-    private final Cluster cluster = new Cluster(kernel, 1);
-    private final List<Booking> stopped = new ArrayList<>();
+    private final EventLoop kernel = new EventLoop(1);
+    private final ClusterState cluster = new ClusterState(kernel, 1);
+    private final List<Allocation> stopped = new ArrayList<>();
     private boolean cloudExhausted;
     private final Scheduler scheduler = new Scheduler(
             kernel,
             cluster,
             TEAMS,
-            new Objectives(Map.of(), Map.of(), Map.of()),
+            new ServiceLevelObjectives(Map.of(), Map.of(), Map.of()),
             false,
-            new WorkerTimes(2_500, 16_000, 36_000),
+            new AgentTiming(2_500, 16_000, 36_000),
             () -> cloudExhausted,
-            new TaskControl() {
+            new TaskLauncher() {
                 @Override
-                public void start(Booking booking) {
-                    booking.markOffered();
+                public void start(Allocation booking) {
+                    booking.markStartSent();
                 }
 
                 @Override
-                public void stop(Booking booking, double graceS, StopReason reason) {
-                    booking.stop(graceS);
+                public void stop(Allocation booking, double graceS, StopReason reason) {
+                    booking.requestStop(graceS);
                     stopped.add(booking);
                 }
             });
 
     private Machine machine(int number, boolean spot) {
         Machine machine = new Machine("i-" + number, TYPE, number % 2 == 0 ? "a" : "b", spot, 0, 0);
-        machine.presence().heard(1, 1, kernel.now());
-        machine.present();
+        machine.liveness().recordHeartbeat(1, 1, kernel.nowMs());
+        machine.markUp();
         cluster.add(machine);
         return machine;
     }
@@ -64,7 +64,7 @@
     private Job job(
             int number,
             String team,
-            Shape shape,
+            JobShape shape,
             Priority priority,
             int tasks,
             double cpus,
@@ -87,8 +87,10 @@
 
     // ---- the model: linear scans over the bookings, nothing cached
 
-    private List<Booking> bookings() {
-        return cluster.jobs().stream().flatMap(job -> job.bookings().stream()).toList();
+    private List<Allocation> bookings() {
+        return cluster.jobs().stream()
+                .flatMap(job -> job.allocations().stream())
+                .toList();
     }
 
     private double used(Machine machine) {
@@ -113,23 +115,22 @@
 
     private boolean modelAllows(Job job, Machine machine) {
         JobSpec spec = job.spec();
-        Team team = TEAMS.get(spec.team());
-        boolean quota =
-                team.cpusLimit() == 0 || used(spec.team()) + spec.demand().cpus() <= team.cpusLimit();
+        TeamQuota team = TEAMS.get(spec.team());
+        boolean quota = team.maxCpus() == 0 || used(spec.team()) + spec.demand().cpus() <= team.maxCpus();
         boolean room =
                 used(machine) + spec.demand().cpus() <= machine.type().size().cpus();
         boolean spread = !spec.spread() || inZone(job, machine.zone()) + 1 <= (spec.tasks() + 1) / 2;
-        boolean together = !spec.oneZone()
+        boolean together = !spec.singleZone()
                 || bookings().stream()
                         .noneMatch(b -> b.job() == job && !b.machine().zone().equals(machine.zone()));
-        return quota && room && spread && together && (spec.spot() || !machine.spot());
+        return quota && room && spread && together && (spec.spotAllowed() || !machine.spot());
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void placesAllThatTheModelAllowsAndNothingElse(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        kernel.handle(List.of(), new Time(1_000, 1_000));
+        kernel.processBatch(List.of(), new ClockReading(1_000, 1_000));
         List<Machine> machines = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             machines.add(machine(i, random.nextInt(3) == 0));
@@ -139,14 +140,14 @@
             job(
                     i,
                     random.nextBoolean() ? "limited" : "free",
-                    service ? Shape.SERVICE : Shape.ARRAY,
+                    service ? JobShape.SERVICE : JobShape.ARRAY,
                     service ? Priority.PRODUCTION : Priority.NORMAL,
                     1 + random.nextInt(5),
                     1 + random.nextInt(4),
                     random.nextInt(4) == 0,
                     service && random.nextBoolean(),
                     !service && random.nextBoolean());
-            scheduler.run();
+            scheduler.schedule();
             for (Machine machine : machines) {
                 assertTrue(used(machine) <= 8, "no machine is overbooked");
             }
@@ -156,14 +157,14 @@
                     assertTrue(inZone(job, "a") <= job.spec().tasksPerZone()
                             && inZone(job, "b") <= job.spec().tasksPerZone());
                 }
-                if (job.nextWaiting() >= 0) {
+                if (job.nextPending() >= 0) {
                     assertTrue(
                             machines.stream().noneMatch(machine -> modelAllows(job, machine)),
                             job.id() + " waits though there is a place for it");
                 }
                 assertEquals(
                         job.spec().tasks(),
-                        job.bookings().size() + job.waiting().cardinality());
+                        job.allocations().size() + job.pending().cardinality());
             }
         }
     }
@@ -179,23 +180,23 @@
         int number = 100;
         for (long now = 1_000; now <= 260_000; now += 1_000) {
             for (Machine machine : cluster.machines()) {
-                machine.presence().heard(1, now, now);
-                machine.presence().answered(now);
+                machine.liveness().recordHeartbeat(1, now, now);
+                machine.liveness().lastResponseAt(now);
             }
-            kernel.handle(List.of(), new Time(now, now));
+            kernel.processBatch(List.of(), new ClockReading(now, now));
             if (now == 10_000) {
                 for (String team : TEAMS.keySet()) {
-                    largest.add(job(number++, team, Shape.ARRAY, Priority.NORMAL, 40, 4, false, false, false));
-                    largest.add(job(number++, team, Shape.SERVICE, Priority.NORMAL, 6, 2, false, true, false));
+                    largest.add(job(number++, team, JobShape.ARRAY, Priority.NORMAL, 40, 4, false, false, false));
+                    largest.add(job(number++, team, JobShape.SERVICE, Priority.NORMAL, 6, 2, false, true, false));
                 }
             }
             for (int i = 0; i < 2; i++) {
-                job(number++, i == 0 ? "limited" : "free", Shape.ARRAY, Priority.NORMAL, 2, 4, false, false, false);
+                job(number++, i == 0 ? "limited" : "free", JobShape.ARRAY, Priority.NORMAL, 2, 4, false, false, false);
             }
-            scheduler.run();
+            scheduler.schedule();
             assertTrue(used("limited") <= 24, "the limit holds");
-            for (Booking booking : bookings()) {
-                if (!booking.job().spec().service() && now - booking.bookedAt() >= 5_000) {
+            for (Allocation booking : bookings()) {
+                if (!booking.job().spec().service() && now - booking.allocatedAt() >= 5_000) {
                     cluster.markDone(booking.job(), booking.index());
                     cluster.release(booking);
                 }
@@ -203,7 +204,7 @@
         }
         for (Job job : largest) {
             assertTrue(
-                    job.doneCount() + job.mayRun() > 0,
+                    job.doneCount() + job.possiblyRunning() > 0,
                     job.id() + " of " + job.spec().team() + " has not begun");
         }
     }
@@ -211,36 +212,36 @@
     @Test
     void importantWorkStopsTheCheapestLowerWork() {
         Machine machine = machine(0, false);
-        Job low = job(1, "free", Shape.ARRAY, Priority.NORMAL, 2, 4, false, false, false);
-        kernel.handle(List.of(), new Time(1_000, 1_000));
-        scheduler.run();
-        Booking older = low.booking(0);
-        older.seen(Booking.Phase.RUNNING, 500);
-        low.booking(1).seen(Booking.Phase.RUNNING, 900);
-        Job service = job(2, "free", Shape.SERVICE, Priority.PRODUCTION, 1, 2, false, false, false);
-        scheduler.run();
-        assertEquals(List.of(low.booking(1)), stopped, "the one that has run less");
-        assertEquals(machine, service.booking(0).machine());
+        Job low = job(1, "free", JobShape.ARRAY, Priority.NORMAL, 2, 4, false, false, false);
+        kernel.processBatch(List.of(), new ClockReading(1_000, 1_000));
+        scheduler.schedule();
+        Allocation older = low.allocation(0);
+        older.observed(Allocation.Phase.RUNNING, 500);
+        low.allocation(1).observed(Allocation.Phase.RUNNING, 900);
+        Job service = job(2, "free", JobShape.SERVICE, Priority.PRODUCTION, 1, 2, false, false, false);
+        scheduler.schedule();
+        assertEquals(List.of(low.allocation(1)), stopped, "the one that has run less");
+        assertEquals(machine, service.allocation(0).machine());
     }
 
     // Guards deadlines on days when guests' work of low priority has taken the last machine.
     @Test
     void normalWorkStopsLowWorkOnlyWhenTheCloudGivesNoMore() {
         machine(0, false);
-        Job low = job(1, "free", Shape.ARRAY, Priority.LOW, 4, 2, false, false, false);
-        kernel.handle(List.of(), new Time(1_000, 1_000));
-        scheduler.run();
-        low.bookings().forEach(booking -> booking.seen(Booking.Phase.RUNNING, 1_000));
-        Job normal = job(2, "free", Shape.ARRAY, Priority.NORMAL, 1, 4, false, false, false);
-        scheduler.run();
+        Job low = job(1, "free", JobShape.ARRAY, Priority.LOW, 4, 2, false, false, false);
+        kernel.processBatch(List.of(), new ClockReading(1_000, 1_000));
+        scheduler.schedule();
+        low.allocations().forEach(booking -> booking.observed(Allocation.Phase.RUNNING, 1_000));
+        Job normal = job(2, "free", JobShape.ARRAY, Priority.NORMAL, 1, 4, false, false, false);
+        scheduler.schedule();
         assertEquals(List.of(), stopped);
-        assertEquals(1, normal.waiting().cardinality());
+        assertEquals(1, normal.pending().cardinality());
         cloudExhausted = true;
-        scheduler.run();
+        scheduler.schedule();
         assertEquals(2, stopped.size());
-        assertEquals(1, normal.bookings().size());
-        job(3, "free", Shape.ARRAY, Priority.LOW, 1, 4, false, false, false);
-        scheduler.run();
+        assertEquals(1, normal.allocations().size());
+        job(3, "free", JobShape.ARRAY, Priority.LOW, 1, 4, false, false, false);
+        scheduler.schedule();
         assertEquals(2, stopped.size(), "low work stops nothing");
     }
 
@@ -248,37 +249,38 @@
     // cloud's late list lacked it.
     @Test
     void whatAMachineThatIsTakenAwayCannotFinishBeginsElsewhere() {
-        kernel.handle(List.of(), new Time(1_000, 1_000));
+        kernel.processBatch(List.of(), new ClockReading(1_000, 1_000));
         Machine taken = machine(0, true);
-        Job batch = job(1, "free", Shape.ARRAY, Priority.NORMAL, 2, 2, false, false, true);
-        Job service = job(2, "free", Shape.SERVICE, Priority.PRODUCTION, 1, 4, false, false, true);
-        scheduler.run();
-        batch.booking(0).seen(Booking.Phase.RUNNING, 1_000);
-        kernel.handle(List.of(), new Time(8_000, 8_000));
-        batch.booking(1).seen(Booking.Phase.RUNNING, 8_000);
-        service.booking(0).seen(Booking.Phase.RUNNING, 8_000);
-        scheduler.run();
+        Job batch = job(1, "free", JobShape.ARRAY, Priority.NORMAL, 2, 2, false, false, true);
+        Job service = job(2, "free", JobShape.SERVICE, Priority.PRODUCTION, 1, 4, false, false, true);
+        scheduler.schedule();
+        batch.allocation(0).observed(Allocation.Phase.RUNNING, 1_000);
+        kernel.processBatch(List.of(), new ClockReading(8_000, 8_000));
+        batch.allocation(1).observed(Allocation.Phase.RUNNING, 8_000);
+        service.allocation(0).observed(Allocation.Phase.RUNNING, 8_000);
+        scheduler.schedule();
         assertEquals(List.of(), stopped, "nothing is foretold");
         taken.reclaimAt(14_000);
-        scheduler.run();
-        assertEquals(List.of(batch.booking(1)), stopped, "not what ends in time, nor a replica without room elsewhere");
-        machine(1, false).presence().answered(8_000);
-        scheduler.run();
-        assertEquals(List.of(batch.booking(1), service.booking(0)), stopped);
+        scheduler.schedule();
+        assertEquals(
+                List.of(batch.allocation(1)), stopped, "not what ends in time, nor a replica without room elsewhere");
+        machine(1, false).liveness().lastResponseAt(8_000);
+        scheduler.schedule();
+        assertEquals(List.of(batch.allocation(1), service.allocation(0)), stopped);
     }
 
     @Test
     void aLateJobIsWorthItsRoomWhileAMultipleOfItsDeadlineCanBeReached() {
-        Objectives goals = new Objectives(Map.of(), Map.of("w", 2.0), Map.of());
+        ServiceLevelObjectives goals = new ServiceLevelObjectives(Map.of(), Map.of("w", 2.0), Map.of());
         Job job = cluster.add(new OpenJob(JobSpecs.named("j-2").deadlineS(20).spec(), 2, 0));
-        assertTrue(goals.reachable(job, 30_000));
-        assertTrue(!goals.reachable(job, 31_000));
+        assertTrue(goals.isReachable(job, 30_000));
+        assertTrue(!goals.isReachable(job, 31_000));
     }
 
     @Test
     void tasksWithinTheLimitAreCountedLikeOneByOne() {
         Resources demand = new Resources(2.5, 0, 1);
-        for (Team team : TEAMS.values()) {
+        for (TeamQuota team : TEAMS.values()) {
             for (double used = 0; used <= 30; used += 1.5) {
                 for (int most : List.of(0, 1, 7, 40)) {
                     int count = 0;
@@ -295,12 +297,12 @@
     @Test
     void equalWorkIsNotStopped() {
         machine(0, false);
-        Job first = job(1, "free", Shape.SERVICE, Priority.PRODUCTION, 4, 2, false, false, false);
-        kernel.handle(List.of(), new Time(1_000, 1_000));
-        scheduler.run();
-        first.bookings().forEach(booking -> booking.seen(Booking.Phase.RUNNING, 1_000));
-        job(2, "free", Shape.SERVICE, Priority.PRODUCTION, 1, 2, false, false, false);
-        scheduler.run();
+        Job first = job(1, "free", JobShape.SERVICE, Priority.PRODUCTION, 4, 2, false, false, false);
+        kernel.processBatch(List.of(), new ClockReading(1_000, 1_000));
+        scheduler.schedule();
+        first.allocations().forEach(booking -> booking.observed(Allocation.Phase.RUNNING, 1_000));
+        job(2, "free", JobShape.SERVICE, Priority.PRODUCTION, 1, 2, false, false, false);
+        scheduler.schedule();
         assertEquals(List.of(), stopped);
         assertEquals(1, scheduler.unplaced().size());
     }
@@ -308,29 +310,31 @@
     @Test
     void aJobThatFailsEverywhereIsRetriedButNotRentedFor() {
         Machine machine = machine(0, false);
-        Job job = job(1, "free", Shape.ARRAY, Priority.NORMAL, 1, 4, false, false, false);
-        job.failedOn(machine.id(), 0, 1);
-        kernel.handle(List.of(), new Time(1_000, 1_000));
-        scheduler.run();
+        Job job = job(1, "free", JobShape.ARRAY, Priority.NORMAL, 1, 4, false, false, false);
+        job.recordFailure(machine.id(), 0, 1);
+        kernel.processBatch(List.of(), new ClockReading(1_000, 1_000));
+        scheduler.schedule();
         assertEquals(1, scheduler.unplaced().size(), "another machine may do");
-        job.failedOn(machine.id(), 0, 1);
-        job.failedOn(machine.id(), 0, 1);
-        scheduler.run();
+        job.recordFailure(machine.id(), 0, 1);
+        job.recordFailure(machine.id(), 0, 1);
+        scheduler.schedule();
         assertEquals(List.of(), scheduler.unplaced(), "no machine is rented for it");
-        assertEquals(machine, job.booking(0).machine(), "it may try again where it failed");
+        assertEquals(machine, job.allocation(0).machine(), "it may try again where it failed");
     }
 
     @Test
     void aGangIsPlacedWholeOrNotAtAll() {
         machine(0, false);
-        Job gang = job(1, "free", Shape.GANG, Priority.NORMAL, 3, 4, false, false, false);
-        kernel.handle(List.of(), new Time(1_000, 1_000));
-        scheduler.run();
-        assertEquals(0, gang.bookings().size());
+        Job gang = job(1, "free", JobShape.GANG, Priority.NORMAL, 3, 4, false, false, false);
+        kernel.processBatch(List.of(), new ClockReading(1_000, 1_000));
+        scheduler.schedule();
+        assertEquals(0, gang.allocations().size());
         machine(1, false);
-        scheduler.run();
-        assertEquals(3, gang.bookings().size());
+        scheduler.schedule();
+        assertEquals(3, gang.allocations().size());
         assertEquals(
-                1, gang.bookings().stream().map(Booking::attempt).distinct().count(), "under one attempt");
+                1,
+                gang.allocations().stream().map(Allocation::attempt).distinct().count(),
+                "under one attempt");
     }
 }
--- a/src/test/java/io/quartzgw/placement/package-info.java
+++ b/src/test/java/io/quartzgw/scheduling/package-info.java
@@ -1,2 +1,2 @@
 /** Tests of placement, and of what reports prove. */
-package io.quartzgw.placement;
+package io.quartzgw.scheduling;
--- a/src/test/java/io/quartzgw/standin/ClassArchive.java
+++ b/src/test/java/io/quartzgw/simulation/ClassArchive.java
@@ -1,4 +1,4 @@
-package io.quartzgw.standin;
+package io.quartzgw.simulation;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quartzgw.http.Json;
@@ -21,7 +21,7 @@
     /** @param args the jar, the archive to write, and the options of the JVM that will use it */
     public static void main(String[] args) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("quartzgw");
-        try (LoopbackWorld world = new LoopbackWorld(1)) {
+        try (LoopbackCluster world = new LoopbackCluster(1)) {
             List<String> command = new ArrayList<>();
             command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
             command.addAll(List.of(args).subList(2, args.length));
@@ -45,7 +45,7 @@
         System.exit(0);
     }
 
-    private static void work(LoopbackWorld world) {
+    private static void work(LoopbackCluster world) {
         long end = System.currentTimeMillis() + LIMIT_MS;
         ObjectNode spec = Json.object()
                 .put("id", "j-000001")
@@ -66,7 +66,7 @@
                 .put("snapshot_every_s", 0.0)
                 .put("snapshot_cost_s", 0.0);
         while (world.submit(0, spec).status() / 100 != 2 && System.currentTimeMillis() < end) {
-            LoopbackWorld.pause(200);
+            LoopbackCluster.pause(200);
         }
         world.request(0, "GET", "/ready", null);
         while (!world.request(0, "GET", "/submissions/j-000001", null)
@@ -75,11 +75,11 @@
                         .asText()
                         .equals("done")
                 && System.currentTimeMillis() < end) {
-            LoopbackWorld.pause(200);
+            LoopbackCluster.pause(200);
         }
         world.submit(0, spec.put("id", "j-000002").put("shape", "daemon"));
-        LoopbackWorld.pause(500);
+        LoopbackCluster.pause(500);
         world.request(0, "POST", "/submissions/j-000002/abort", Json.object());
-        LoopbackWorld.pause(300);
+        LoopbackCluster.pause(300);
     }
 }
--- a/src/test/java/io/quartzgw/standin/SimWorld.java
+++ b/src/test/java/io/quartzgw/simulation/ClusterSimulation.java
@@ -1,8 +1,13 @@
-package io.quartzgw.standin;
+package io.quartzgw.simulation;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.quartzgw.app.Node;
+import io.quartzgw.agent.AgentTiming;
+import io.quartzgw.app.Controller;
 import io.quartzgw.app.Settings;
+import io.quartzgw.eventloop.ClockReading;
+import io.quartzgw.eventloop.Command;
+import io.quartzgw.eventloop.Effect;
+import io.quartzgw.eventloop.EventLoop;
 import io.quartzgw.http.Call;
 import io.quartzgw.http.Endpoint;
 import io.quartzgw.http.Json;
@@ -10,12 +15,7 @@
 import io.quartzgw.http.Reply;
 import io.quartzgw.http.Request;
 import io.quartzgw.http.Response;
-import io.quartzgw.loop.Command;
-import io.quartzgw.loop.Effect;
-import io.quartzgw.loop.Kernel;
-import io.quartzgw.loop.Time;
 import io.quartzgw.store.StoreLimits;
-import io.quartzgw.worker.WorkerTimes;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -31,29 +31,29 @@
  * The cores of some controllers, the stand-ins and a network in simulated time. Requests may be held up and delivered
  * late, sockets cut, nodes and machines killed; the same seed plays the same world.
  */
-public final class SimWorld {
+public final class ClusterSimulation {
     public static final String STORE = "store";
     public static final String CLOUD = "cloud";
     private static final long REPORT_MS = 2_500;
-    private static final WorkerTimes TIMES = new WorkerTimes(REPORT_MS, 16_000, 36_000);
+    private static final AgentTiming TIMES = new AgentTiming(REPORT_MS, 16_000, 36_000);
     private static final long WORKER_TIMEOUT_MS = 4_000;
     private static final long SWEEP_MS = 500;
     /** Within such a time after its last task a job is called off, while its end is being written. */
     private static final int CANCEL_AT_END_MS = 60;
 
     public final SplittableRandom random;
-    public final StoreStandIn store;
-    public final CloudStandIn cloud;
-    public final Rules rules;
-    private final WorkerTimes times;
-    private final SimSettings settings;
-    private final OrderDelays orderDelays;
+    public final SimulatedStore store;
+    public final SimulatedCloud cloud;
+    public final ProtocolInvariants invariants;
+    private final AgentTiming times;
+    private final SimulationSettings settings;
+    private final CommandDelays orderDelays;
     private final MessageDigests sent = new MessageDigests();
     private final List<SimNode> nodes = new ArrayList<>();
     private final Map<String, SimWorker> workers = new TreeMap<>();
     private final Map<String, JsonNode> submitted = new HashMap<>();
     private final PriorityQueue<Event> events = new PriorityQueue<>();
-    private final Cuts cuts = new Cuts();
+    private final NetworkPartitions partitions = new NetworkPartitions();
     /** Machines whose reports arrive, while answers and orders don't reach them. */
     private final Set<String> deaf = new HashSet<>();
     /** Controllers that the state service refuses while it serves the others. */
@@ -86,8 +86,8 @@
 
     private static final class SimNode {
         private final String name;
-        private Kernel kernel;
-        private Node node;
+        private EventLoop kernel;
+        private Controller node;
         private long epoch;
         private long wake = Long.MAX_VALUE;
         private final Map<Long, Consumer<Response>> inbound = new HashMap<>();
@@ -102,45 +102,45 @@
     }
 
     private static final class SimWorker {
-        private final WorkerStandIn worker;
+        private final SimulatedAgent worker;
         private int home;
         private boolean reporting;
         private boolean hanging;
         private long lastSent;
         private final List<Runnable> whileHanging = new ArrayList<>();
 
-        SimWorker(WorkerStandIn worker) {
+        SimWorker(SimulatedAgent worker) {
             this.worker = worker;
         }
     }
 
-    public SimWorld(long seed, int size) {
+    public ClusterSimulation(long seed, int size) {
         this(seed, size, 12, 50);
     }
 
     /** @param capacity how many machines the cloud has */
-    public SimWorld(long seed, int size, int capacity, long stepMs) {
+    public ClusterSimulation(long seed, int size, int capacity, long stepMs) {
         this(seed, size, capacity, stepMs, TIMES);
     }
 
     /** @param times the workers' figures */
-    public SimWorld(long seed, int size, int capacity, long stepMs, WorkerTimes times) {
+    public ClusterSimulation(long seed, int size, int capacity, long stepMs, AgentTiming times) {
         this(seed, size, capacity, stepMs, times, null);
     }
 
     /**
      * @param limits what the state service takes, which it then refuses to exceed; null for limits that bind nowhere
      */
-    public SimWorld(long seed, int size, int capacity, long stepMs, WorkerTimes times, StoreLimits limits) {
+    public ClusterSimulation(long seed, int size, int capacity, long stepMs, AgentTiming times, StoreLimits limits) {
         this.times = times;
-        this.store = limits == null ? new StoreStandIn() : new StoreStandIn(limits);
-        this.settings = new SimSettings(times, store.limits());
-        this.rules = new Rules(times.cancelMs(), SimSettings.CPU_LIMITS);
+        this.store = limits == null ? new SimulatedStore() : new SimulatedStore(limits);
+        this.settings = new SimulationSettings(times, store.limits());
+        this.invariants = new ProtocolInvariants(times.cancelMs(), SimulationSettings.CPU_LIMITS);
         this.random = new SplittableRandom(seed);
-        this.orderDelays = new OrderDelays(random);
+        this.orderDelays = new CommandDelays(random);
         this.stepMs = stepMs;
-        this.cloud = new CloudStandIn(5_000, 8_000, capacity, SimWorld::address);
-        cloud.listener(new CloudStandIn.Listener() {
+        this.cloud = new SimulatedCloud(5_000, 8_000, capacity, ClusterSimulation::address);
+        cloud.listener(new SimulatedCloud.Listener() {
             @Override
             public void booted(String id, String type, String zone, boolean spot) {
                 boot(id, type, zone, spot);
@@ -162,7 +162,7 @@
         }
         repeat(50, () -> store.tick(now));
         repeat(200, () -> cloud.tick(now));
-        rules.lastTaskEnded(job -> {
+        invariants.lastTaskEnded(job -> {
             if (cancelAtEnd > 0 && random.nextDouble() < cancelAtEnd) {
                 at(now + random.nextInt(CANCEL_AT_END_MS), () -> abort(job));
             }
@@ -197,10 +197,10 @@
     }
 
     /** Lets time pass, looking every half second for tasks and jobs that break a rule by being there. */
-    public void play(long ms) {
+    public void run(long ms) {
         for (long end = now + ms; now < end; ) {
             runUntil(Math.min(end, now + SWEEP_MS));
-            rules.sweep(now);
+            invariants.sweep(now);
         }
     }
 
@@ -221,9 +221,9 @@
         sim.whileFrozen.clear();
         sim.batch.clear();
         long process = ++processes;
-        sim.kernel = new Kernel(random.nextLong());
-        sim.kernel.handle(List.of(), time());
-        sim.node = new Node(sim.kernel, settings(index), process, Json::object);
+        sim.kernel = new EventLoop(random.nextLong());
+        sim.kernel.processBatch(List.of(), time());
+        sim.node = new Controller(sim.kernel, settings(index), process, Json::object);
         sim.node.start();
         handle(sim, List.of());
     }
@@ -278,7 +278,7 @@
         Map<String, Long> counts = new TreeMap<>();
         nodes.stream()
                 .filter(sim -> sim.node != null)
-                .forEach(sim -> sim.kernel.counts().forEach((name, count) -> counts.merge(name, count, Long::sum)));
+                .forEach(sim -> sim.kernel.counters().forEach((name, count) -> counts.merge(name, count, Long::sum)));
         return counts;
     }
 
@@ -291,9 +291,9 @@
     public int leader() {
         int best = -1;
         for (int i = 0; i < nodes.size(); i++) {
-            Node node = nodes.get(i).node;
+            Controller node = nodes.get(i).node;
             if (node != null
-                    && node.leading()
+                    && node.isLeading()
                     && (best < 0 || node.term() > nodes.get(best).node.term())) {
                 best = i;
             }
@@ -301,8 +301,8 @@
         return best;
     }
 
-    private Time time() {
-        return new Time(now, 1_800_000_000_000L + now);
+    private ClockReading time() {
+        return new ClockReading(now, 1_800_000_000_000L + now);
     }
 
     private void handle(SimNode sim, List<Command> batch) {
@@ -312,7 +312,7 @@
         }
         // Shown by the log's lines: which node, and when.
         Thread.currentThread().setName(now + " " + sim.name);
-        for (Effect effect : sim.kernel.handle(batch, time())) {
+        for (Effect effect : sim.kernel.processBatch(batch, time())) {
             sent.add(now, sim.name, effect);
             if (effect instanceof Effect.Answer answer) {
                 Consumer<Response> then = sim.inbound.remove(answer.exchange());
@@ -328,7 +328,7 @@
                 });
             }
         }
-        long due = Math.max(now + 1, sim.kernel.nextDue());
+        long due = Math.max(now + 1, sim.kernel.nextTimerAt());
         if (due < sim.wake) {
             sim.wake = due;
             long epoch = sim.epoch;
@@ -375,17 +375,17 @@
 
     /** Cuts two hosts off from each other, or one from all with {@code "*"}; packets are held back. */
     public void cut(String one, String other) {
-        cuts.cut(one, other);
+        partitions.cut(one, other);
     }
 
     /** Ends a cut between two hosts. */
     public void heal(String one, String other) {
-        cuts.heal(one, other).forEach(run -> at(now + 1 + random.nextInt(20), run));
+        partitions.heal(one, other).forEach(run -> at(now + 1 + random.nextInt(20), run));
     }
 
     /** Ends a cut whose packets are lost for good: both sides had given up and closed. */
     public void drop(String one, String other) {
-        cuts.drop(one, other);
+        partitions.drop(one, other);
     }
 
     public void lateTransactions(double share) {
@@ -450,7 +450,7 @@
      * @param hangMs for how long the machines of the first ones hang; 0 for not at all
      */
     public void cancelNow(int count, long hangMs) {
-        List<String> open = rules.runningJobs();
+        List<String> open = invariants.runningJobs();
         for (String job : open.subList(0, Math.min(count, open.size()))) {
             at(now + random.nextInt(200), () -> abort(job));
         }
@@ -466,29 +466,29 @@
         for (JsonNode spec : List.copyOf(submitted.values())) {
             if (random.nextInt(4) == 0) {
                 String id = spec.path("id").asText();
-                ask(id, "POST", "/submissions", spec, reply -> rules.refused(id, reply.status()));
+                ask(id, "POST", "/submissions", spec, reply -> invariants.refused(id, reply.status()));
             }
         }
         String id = "j-9" + now;
-        BadJobs.of(id)
+        InvalidJobs.of(id)
                 .forEach(spec -> user(
                         anyNode(),
                         "POST",
                         "/submissions",
                         spec,
-                        reply -> rules.toldOfBadJob(spec.toString(), reply.status())));
-        user(anyNode(), "GET", "/submissions/" + id, null, reply -> rules.toldOfNoJob(id, reply.status()));
+                        reply -> invariants.toldOfBadJob(spec.toString(), reply.status())));
+        user(anyNode(), "GET", "/submissions/" + id, null, reply -> invariants.toldOfNoJob(id, reply.status()));
         user(
                 anyNode(),
                 "POST",
                 "/submissions/" + id + "/abort",
                 Json.object(),
-                reply -> rules.toldOfNoJob(id, reply.status()));
+                reply -> invariants.toldOfNoJob(id, reply.status()));
     }
 
     /** Looks for jobs that wait though there is room, now that all troubles are over. */
     public void sweepWaiting() {
-        rules.sweepWaiting(workers.values().stream().map(sim -> sim.worker).toList(), now);
+        invariants.sweepWaiting(workers.values().stream().map(sim -> sim.worker).toList(), now);
     }
 
     /** A machine's reports reach no controller: it can't connect. Orders reach it, and are answered. */
@@ -523,7 +523,7 @@
     }
 
     private void send(String from, Call call, Consumer<Reply> then) {
-        String to = SimSettings.host(call.to());
+        String to = SimulationSettings.host(call.endpoint());
         boolean[] done = new boolean[1];
         Consumer<Reply> once = reply -> {
             if (!done[0]) {
@@ -537,7 +537,7 @@
                 && call.path().equals("/multi")
                 && random.nextDouble() < lostAnswers
                 && Json.readOrNull(call.body()).has("apply");
-        OrderDelays.Delay delay = call.path().equals("/orders") ? orderDelays.next() : OrderDelays.Delay.NONE;
+        CommandDelays.Delay delay = call.path().equals("/orders") ? orderDelays.next() : CommandDelays.Delay.NONE;
         long slow = to.equals(STORE)
                 ? slowStoreMs > 0 ? random.nextLong(slowStoreMs) : 0
                 : to.startsWith("i-") ? link() : 0;
@@ -546,14 +546,14 @@
             perhapsCopy(() -> serve(from, to, call, reply -> {}));
         }
         Runnable arrive = () -> serve(from, to, call, reply -> {
-            if (!cuts.isCut(from, to) && !answerLost) {
+            if (!partitions.isCut(from, to) && !answerLost) {
                 at(now + 1 + random.nextInt(3) + slow + delay.answerMs(), () -> once.accept(reply));
             }
         });
         if (late) {
             at(now + 2_000 + random.nextInt(20_000), arrive);
-        } else if (cuts.isCut(from, to) || deaf.contains(to)) {
-            cuts.hold(from, to, arrive);
+        } else if (partitions.isCut(from, to) || deaf.contains(to)) {
+            partitions.hold(from, to, arrive);
         } else {
             at(now + 1 + random.nextInt(3) + delay.orderMs() + slowThere, arrive);
         }
@@ -561,7 +561,7 @@
 
     private void serve(String from, String to, Call call, Consumer<Reply> then) {
         if (to.equals(STORE) && refused.contains(from)) {
-            then.accept(StoreStandIn.reply(503, Json.object().put("error", "trouble")));
+            then.accept(SimulatedStore.reply(503, Json.object().put("error", "trouble")));
         } else if (to.equals(STORE)) {
             store.handle(call, now, reply -> {
                 if (refused.contains(from)) {
@@ -586,7 +586,7 @@
                 sim.worker.tick(now);
                 then.accept(
                         call.path().equals("/show")
-                                ? StoreStandIn.reply(200, sim.worker.report(now))
+                                ? SimulatedStore.reply(200, sim.worker.report(now))
                                 : sim.worker.orders(Json.readOrNull(call.body()), now));
             };
             if (sim.hanging) {
@@ -600,11 +600,11 @@
     // ---- workers
 
     private void boot(String id, String type, String zone, boolean spot) {
-        SimWorker sim = new SimWorker(
-                new WorkerStandIn(id, address(id), type, zone, spot, times.leaseMs(), now, this::description, rules));
+        SimWorker sim = new SimWorker(new SimulatedAgent(
+                id, address(id), type, zone, spot, times.leaseMs(), now, this::description, invariants));
         sim.home = random.nextInt(nodes.size());
         workers.put(id, sim);
-        rules.now(() -> now);
+        invariants.now(() -> now);
         workerStep(sim);
     }
 
@@ -646,18 +646,18 @@
             }
         };
         at(now + WORKER_TIMEOUT_MS, () -> end.accept(Reply.lost()));
-        if (!cuts.isCut(sim.worker.id, name) && !mute.contains(sim.worker.id)) {
+        if (!partitions.isCut(sim.worker.id, name) && !mute.contains(sim.worker.id)) {
             perhapsCopy(() -> deliver(target, ListenerKind.CLIENT, call, reply -> {}));
         }
         Runnable arrive = () -> deliver(target, ListenerKind.CLIENT, call, reply -> {
-            if (!cuts.isCut(sim.worker.id, name) && !deaf.contains(sim.worker.id)) {
+            if (!partitions.isCut(sim.worker.id, name) && !deaf.contains(sim.worker.id)) {
                 at(now + 1 + link(), () -> end.accept(reply));
             }
         });
         if (mute.contains(sim.worker.id)) {
             at(now + 1, () -> end.accept(Reply.lost()));
-        } else if (cuts.isCut(sim.worker.id, name)) {
-            cuts.hold(sim.worker.id, Cuts.CONTROLLERS, arrive);
+        } else if (partitions.isCut(sim.worker.id, name)) {
+            partitions.hold(sim.worker.id, NetworkPartitions.CONTROLLERS, arrive);
         } else if (nodes.get(target).node == null) {
             at(now + 1, () -> end.accept(Reply.lost()));
         } else {
@@ -720,7 +720,7 @@
         SimWorker former = workers.get(id);
         if (former != null) {
             former.worker.die();
-            WorkerStandIn worker = former.worker.successor(now, counting);
+            SimulatedAgent worker = former.worker.successor(now, counting);
             SimWorker sim = new SimWorker(worker);
             sim.home = random.nextInt(nodes.size());
             workers.put(id, sim);
@@ -728,11 +728,11 @@
         }
     }
 
-    private WorkerStandIn.Description description(String job) {
+    private SimulatedAgent.Description description(String job) {
         JsonNode spec = submitted.get(job);
         return spec == null
                 ? null
-                : new WorkerStandIn.Description(
+                : new SimulatedAgent.Description(
                         spec.path("cpus").asDouble(),
                         spec.path("runtime_guess_s").asDouble(),
                         spec.path("each_longer_s").asDouble(),
@@ -761,7 +761,7 @@
                 () -> deliver(
                         node,
                         ListenerKind.CLIENT,
-                        new Call(call.to(), method, path, call.type(), call.body(), 5_000),
+                        new Call(call.endpoint(), method, path, call.type(), call.body(), 5_000),
                         reply -> at(now + 1, () -> once.accept(reply))));
     }
 
@@ -774,7 +774,7 @@
         long asked = now;
         user(node, method, path, body, reply -> {
             if (reply.status() / 100 == 2 || reply.status() == 404) {
-                rules.told(id, reply, asked, now);
+                invariants.told(id, reply, asked, now);
             }
             then.accept(reply);
         });
@@ -784,7 +784,7 @@
     public void job(JsonNode spec, Long abortAt) {
         String id = spec.path("id").asText();
         submitted.put(id, spec);
-        rules.submitted(spec);
+        invariants.submitted(spec);
         submit(id, spec);
         if (abortAt != null) {
             at(abortAt, () -> abort(id));
@@ -796,12 +796,12 @@
     }
 
     private void submit(String id, JsonNode spec) {
-        perhapsCopy(() -> ask(id, "POST", "/submissions", spec, reply -> rules.refused(id, reply.status())));
+        perhapsCopy(() -> ask(id, "POST", "/submissions", spec, reply -> invariants.refused(id, reply.status())));
         ask(id, "POST", "/submissions", spec, reply -> {
             if (reply.status() / 100 == 2) {
                 poll(id);
             } else {
-                rules.refused(id, reply.status());
+                invariants.refused(id, reply.status());
                 at(now + 1_000, () -> submit(id, spec));
             }
         });
@@ -813,7 +813,7 @@
 
     /** Calls a job off through one controller, once; the rules watch the answer. */
     public void abort(int node, String id, Consumer<Reply> then) {
-        rules.abortAsked(id);
+        invariants.abortAsked(id);
         ask(node, id, "POST", "/submissions/" + id + "/abort", Json.object(), then);
     }
 
@@ -826,7 +826,7 @@
     public void submit(int node, JsonNode spec, Consumer<Reply> then) {
         String id = spec.path("id").asText();
         submitted.put(id, spec);
-        rules.submitted(spec);
+        invariants.submitted(spec);
         ask(node, id, "POST", "/submissions", spec, then);
     }
 
@@ -836,7 +836,7 @@
     }
 
     private void abort(String id) {
-        rules.abortAsked(id);
+        invariants.abortAsked(id);
         perhapsCopy(() -> ask(id, "POST", "/submissions/" + id + "/abort", Json.object(), reply -> {}));
         ask(id, "POST", "/submissions/" + id + "/abort", Json.object(), reply -> {
             if (!reply.ok()) {
--- a/src/test/java/io/quartzgw/standin/OrderDelays.java
+++ b/src/test/java/io/quartzgw/simulation/CommandDelays.java
@@ -1,9 +1,9 @@
-package io.quartzgw.standin;
+package io.quartzgw.simulation;
 
 import java.util.SplittableRandom;
 
 /** How long direct orders and their answers are on their way, beyond what the link takes. */
-final class OrderDelays {
+final class CommandDelays {
     private static final int LEAST_HELD_MS = 1_000;
     private static final int HELD_SPREAD_MS = 8_000;
 
@@ -16,7 +16,7 @@
         static final Delay NONE = new Delay(0, 0);
     }
 
-    OrderDelays(SplittableRandom random) {
+    CommandDelays(SplittableRandom random) {
         this.random = random;
     }
 
--- a/src/test/java/io/quartzgw/standin/Elections.java
+++ b/src/test/java/io/quartzgw/simulation/Elections.java
@@ -1,9 +1,9 @@
-package io.quartzgw.standin;
+package io.quartzgw.simulation;
 
 import io.quartzgw.cancellation.CancellationWatermark;
+import io.quartzgw.eventloop.EventLoop;
 import io.quartzgw.leadership.Leadership;
-import io.quartzgw.leadership.LeadershipTimes;
-import io.quartzgw.loop.Kernel;
+import io.quartzgw.leadership.LeadershipTiming;
 import io.quartzgw.store.StoreClient;
 import java.util.List;
 import java.util.function.LongConsumer;
@@ -18,11 +18,11 @@
     private Elections() {}
 
     /** A node that has no peers, as process 1 of its member. */
-    public static Leadership candidate(Kernel kernel, StoreClient store) {
+    public static Leadership candidate(EventLoop kernel, StoreClient store) {
         return new Leadership(
                 kernel,
                 store,
-                LeadershipTimes.of(REPORT_S, LEASE_S, CANCEL_S),
+                LeadershipTiming.of(REPORT_S, LEASE_S, CANCEL_S),
                 "rig-0",
                 1,
                 new CancellationWatermark(kernel, (long) (CANCEL_S * 1_000), List.of()));
@@ -35,7 +35,7 @@
             public void elected(long term, long termRevision) {}
 
             @Override
-            public void deposed() {}
+            public void leadershipLost() {}
         });
         while (!leadership.leading()) {
             pass.accept(STEP_MS);
--- a/src/test/java/io/quartzgw/standin/BadJobs.java
+++ b/src/test/java/io/quartzgw/simulation/InvalidJobs.java
@@ -1,4 +1,4 @@
-package io.quartzgw.standin;
+package io.quartzgw.simulation;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quartzgw.http.Json;
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /** Submissions that no controller may accept: they lack a field, have an invalid one, or can never run. */
-final class BadJobs {
-    private BadJobs() {}
+final class InvalidJobs {
+    private InvalidJobs() {}
 
     /** One of each kind, all with this id. */
     static List<ObjectNode> of(String id) {
--- a/src/test/java/io/quartzgw/standin/JobSpecs.java
+++ b/src/test/java/io/quartzgw/simulation/JobSpecs.java
@@ -1,9 +1,9 @@
-package io.quartzgw.standin;
+package io.quartzgw.simulation;
 
+import io.quartzgw.submission.JobShape;
 import io.quartzgw.submission.JobSpec;
 import io.quartzgw.submission.Priority;
 import io.quartzgw.submission.Resources;
-import io.quartzgw.submission.Shape;
 
 /** Descriptions of jobs for tests, which name only what matters to them. */
 public final class JobSpecs {
@@ -12,7 +12,7 @@
 
     private final String id;
     private String team = "free";
-    private Shape shape = Shape.ARRAY;
+    private JobShape shape = JobShape.ARRAY;
     private Priority priority = Priority.NORMAL;
     private int tasks = 1;
     private Resources demand = new Resources(1, 0, 1);
@@ -36,7 +36,7 @@
         return this;
     }
 
-    public JobSpecs shape(Shape of) {
+    public JobSpecs shape(JobShape of) {
         this.shape = of;
         return this;
     }
@@ -99,7 +99,7 @@
                 oneZone,
                 spread,
                 spot,
-                shape == Shape.SERVICE ? 0 : ESTIMATE_S,
+                shape == JobShape.SERVICE ? 0 : ESTIMATE_S,
                 0,
                 0,
                 deadlineS);
--- a/src/test/java/io/quartzgw/standin/LoopbackWorld.java
+++ b/src/test/java/io/quartzgw/simulation/LoopbackCluster.java
@@ -1,4 +1,4 @@
-package io.quartzgw.standin;
+package io.quartzgw.simulation;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.sun.net.httpserver.HttpExchange;
@@ -29,12 +29,12 @@
 import java.util.function.Consumer;
 
 /** The stand-ins over real HTTP on loopback, in real time, for whole processes of the program. */
-public final class LoopbackWorld implements AutoCloseable {
+public final class LoopbackCluster implements AutoCloseable {
     private static final long REPORT_MS = 1_000;
     private static final long LEASE_MS = 8_000;
 
-    private final StoreStandIn store = new StoreStandIn();
-    private final CloudStandIn cloud = new CloudStandIn(200, 300, 4, this::addressOf);
+    private final SimulatedStore store = new SimulatedStore();
+    private final SimulatedCloud cloud = new SimulatedCloud(200, 300, 4, this::addressOf);
     private final ExecutorService threads = Executors.newCachedThreadPool();
     private final ScheduledExecutorService clock = Executors.newSingleThreadScheduledExecutor();
     private final HttpClient http = HttpClient.newBuilder()
@@ -44,7 +44,7 @@
             .build();
     private final Map<String, JsonNode> jobs = new ConcurrentHashMap<>();
     private final Map<String, HttpServer> workerServers = new HashMap<>();
-    private final Map<String, WorkerStandIn> workers = new ConcurrentHashMap<>();
+    private final Map<String, SimulatedAgent> workers = new ConcurrentHashMap<>();
     private final HttpServer storeServer;
     private final HttpServer cloudServer;
     private final int[] clientPorts;
@@ -55,12 +55,12 @@
     }
 
     /** Starts the stand-ins and so many controllers on loopback. */
-    public LoopbackWorld(int nodes) throws IOException {
+    public LoopbackCluster(int nodes) throws IOException {
         storeServer = serve((call, now, then) -> store.handle(call, now, then));
         cloudServer = serve((call, now, then) -> cloud.handle(call, now, then));
         clientPorts = freePorts(nodes);
         peerPorts = freePorts(nodes);
-        cloud.listener(new CloudStandIn.Listener() {
+        cloud.listener(new SimulatedCloud.Listener() {
             @Override
             public void booted(String id, String type, String zone, boolean spot) {
                 boot(id, type, zone, spot);
@@ -132,7 +132,7 @@
                         .computeIfAbsent(id, key -> {
                             try {
                                 return serve((call, now, then) -> {
-                                    WorkerStandIn worker = workers.get(id);
+                                    SimulatedAgent worker = workers.get(id);
                                     then.accept(
                                             worker == null
                                                     ? new Reply(503, new byte[0])
@@ -147,13 +147,13 @@
     }
 
     private void boot(String id, String type, String zone, boolean spot) {
-        WorkerStandIn worker = new WorkerStandIn(
-                id, addressOf(id), type, zone, spot, LEASE_MS, now(), this::description, new WorkerStandIn.Watcher() {
+        SimulatedAgent worker = new SimulatedAgent(
+                id, addressOf(id), type, zone, spot, LEASE_MS, now(), this::description, new SimulatedAgent.Watcher() {
                     @Override
-                    public void started(WorkerStandIn on, String task) {}
+                    public void started(SimulatedAgent on, String task) {}
 
                     @Override
-                    public void ended(WorkerStandIn on, String task) {}
+                    public void ended(SimulatedAgent on, String task) {}
 
                     @Override
                     public void completed(String task) {}
@@ -162,11 +162,11 @@
         threads.execute(() -> reportForever(worker));
     }
 
-    private WorkerStandIn.Description description(String job) {
+    private SimulatedAgent.Description description(String job) {
         JsonNode spec = jobs.get(job);
         return spec == null
                 ? null
-                : new WorkerStandIn.Description(
+                : new SimulatedAgent.Description(
                         spec.path("cpus").asDouble(),
                         spec.path("runtime_guess_s").asDouble(),
                         0,
@@ -175,7 +175,7 @@
                         false);
     }
 
-    private void reportForever(WorkerStandIn worker) {
+    private void reportForever(SimulatedAgent worker) {
         int home = 0;
         while (workers.get(worker.id) == worker) {
             long sentAt = now();
--- a/src/test/java/io/quartzgw/standin/LossyLink.java
+++ b/src/test/java/io/quartzgw/simulation/LossyLink.java
@@ -1,11 +1,11 @@
-package io.quartzgw.standin;
+package io.quartzgw.simulation;
 
+import io.quartzgw.eventloop.ClockReading;
+import io.quartzgw.eventloop.Command;
+import io.quartzgw.eventloop.Effect;
+import io.quartzgw.eventloop.EventLoop;
 import io.quartzgw.http.Call;
 import io.quartzgw.http.Reply;
-import io.quartzgw.loop.Command;
-import io.quartzgw.loop.Effect;
-import io.quartzgw.loop.Kernel;
-import io.quartzgw.loop.Time;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -15,24 +15,24 @@
  * late, or its answer may be.
  */
 public final class LossyLink {
-    private final Kernel kernel;
-    private final StoreStandIn service;
+    private final EventLoop kernel;
+    private final SimulatedStore service;
     private final SplittableRandom random;
     private final List<Call> late = new ArrayList<>();
     private long now;
 
     /** @param random decides which messages get lost */
-    public LossyLink(Kernel kernel, StoreStandIn service, SplittableRandom random) {
+    public LossyLink(EventLoop kernel, SimulatedStore service, SplittableRandom random) {
         this.kernel = kernel;
         this.service = service;
         this.random = random;
-        kernel.handle(List.of(), new Time(now, now));
+        kernel.processBatch(List.of(), new ClockReading(now, now));
     }
 
     /** Lets time pass and carries calls until the kernel sends nothing more. */
     public void pass(long ms, boolean lossy) {
         now += ms;
-        List<Effect> effects = kernel.handle(List.of(), new Time(now, now));
+        List<Effect> effects = kernel.processBatch(List.of(), new ClockReading(now, now));
         while (!effects.isEmpty()) {
             List<Command> ends = new ArrayList<>();
             for (Effect effect : effects) {
@@ -40,7 +40,7 @@
                     carry(send, lossy, ends);
                 }
             }
-            effects = ends.isEmpty() ? List.of() : kernel.handle(ends, new Time(++now, now));
+            effects = ends.isEmpty() ? List.of() : kernel.processBatch(ends, new ClockReading(++now, now));
         }
     }
 
--- a/src/test/java/io/quartzgw/standin/MessageDigests.java
+++ b/src/test/java/io/quartzgw/simulation/MessageDigests.java
@@ -1,8 +1,8 @@
-package io.quartzgw.standin;
+package io.quartzgw.simulation;
 
+import io.quartzgw.eventloop.Effect;
 import io.quartzgw.http.Call;
 import io.quartzgw.http.Response;
-import io.quartzgw.loop.Effect;
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
@@ -33,7 +33,7 @@
             add(now + " " + from + " " + response.status(), response.body());
         } else if (effect instanceof Effect.Send send) {
             Call call = send.request();
-            add(now + " " + from + " " + call.to() + " " + call.method() + " " + call.path(), call.body());
+            add(now + " " + from + " " + call.endpoint() + " " + call.method() + " " + call.path(), call.body());
         }
     }
 
--- a/src/test/java/io/quartzgw/standin/Cuts.java
+++ b/src/test/java/io/quartzgw/simulation/NetworkPartitions.java
@@ -1,4 +1,4 @@
-package io.quartzgw.standin;
+package io.quartzgw.simulation;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -8,7 +8,7 @@
 import java.util.Set;
 
 /** Which hosts are cut off from which, and the packets that are held back between them. */
-final class Cuts {
+final class NetworkPartitions {
     /** Stands for whichever controller a worker reports to. */
     static final String CONTROLLERS = "controllers";
 
--- a/src/test/java/io/quartzgw/standin/Rules.java
+++ b/src/test/java/io/quartzgw/simulation/ProtocolInvariants.java
@@ -1,4 +1,4 @@
-package io.quartzgw.standin;
+package io.quartzgw.simulation;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.quartzgw.http.Reply;
@@ -13,7 +13,7 @@
 import java.util.function.LongSupplier;
 
 /** Watches machines and users' answers, and notes every breach of the protocol's rules. */
-public final class Rules implements WorkerStandIn.Watcher {
+public final class ProtocolInvariants implements SimulatedAgent.Watcher {
     /** Once all troubles are over, every job has an answered question in such a time. */
     private static final long ANSWERED_MS = 75_000;
     /** Once all troubles are over, no job waits so long while a machine that fits has room. */
@@ -23,7 +23,7 @@
     private final Map<String, Double> limits;
     private final List<String> broken = new ArrayList<>();
     private final Map<String, JsonNode> specs = new HashMap<>();
-    private final Map<String, WorkerStandIn> running = new HashMap<>();
+    private final Map<String, SimulatedAgent> running = new HashMap<>();
     private final Map<String, Integer> starts = new HashMap<>();
     private final Map<String, Set<Integer>> completed = new HashMap<>();
     private final Map<String, String> lastFinal = new HashMap<>();
@@ -40,7 +40,7 @@
     private LongSupplier clock = () -> 0;
 
     /** @param limits how many CPUs the tasks of a team may take at once; no entry: as many as there are */
-    Rules(long cancelMs, Map<String, Double> limits) {
+    ProtocolInvariants(long cancelMs, Map<String, Double> limits) {
         this.cancelMs = cancelMs;
         this.limits = limits;
     }
@@ -74,7 +74,7 @@
     /** Open jobs of which a task runs, in the order of their names. */
     public List<String> runningJobs() {
         return running.keySet().stream()
-                .map(Rules::job)
+                .map(ProtocolInvariants::job)
                 .distinct()
                 .filter(job -> !lastFinal.containsKey(job))
                 .sorted()
@@ -125,7 +125,7 @@
     }
 
     @Override
-    public void started(WorkerStandIn on, String task) {
+    public void started(SimulatedAgent on, String task) {
         starts.merge(task, 1, Integer::sum);
         JsonNode spec = specs.get(job(task));
         if (running.containsKey(task)) {
@@ -172,7 +172,7 @@
     }
 
     @Override
-    public void ended(WorkerStandIn on, String task) {
+    public void ended(SimulatedAgent on, String task) {
         if (running.get(task) == on) {
             running.remove(task);
         }
@@ -258,7 +258,7 @@
     }
 
     /** Looks for jobs that wait though a machine that fits has room; to be called once all troubles are over. */
-    public void sweepWaiting(Collection<WorkerStandIn> machines, long now) {
+    public void sweepWaiting(Collection<SimulatedAgent> machines, long now) {
         for (String job : accepted) {
             boolean could = !lastFinal.containsKey(job)
                     && specs.get(job).path("shards").asInt()
@@ -274,17 +274,17 @@
         }
     }
 
-    private List<Map.Entry<String, WorkerStandIn>> runningTasks(String job) {
+    private List<Map.Entry<String, SimulatedAgent>> runningTasks(String job) {
         return running.entrySet().stream()
                 .filter(entry -> job(entry.getKey()).equals(job))
                 .toList();
     }
 
-    private boolean fits(String job, WorkerStandIn machine) {
+    private boolean fits(String job, SimulatedAgent machine) {
         JsonNode spec = specs.get(job);
         double cpus = spec.path("cpus").asDouble();
         String team = spec.path("crew").asText();
-        List<Map.Entry<String, WorkerStandIn>> others = runningTasks(job);
+        List<Map.Entry<String, SimulatedAgent>> others = runningTasks(job);
         long inZone = others.stream()
                 .filter(entry -> entry.getValue().zone.equals(machine.zone))
                 .count();
--- a/src/test/java/io/quartzgw/standin/Seeds.java
+++ b/src/test/java/io/quartzgw/simulation/SeedRanges.java
@@ -1,10 +1,10 @@
-package io.quartzgw.standin;
+package io.quartzgw.simulation;
 
 import java.util.stream.LongStream;
 
 /** Ranges of seeds for random tests: fixed ones in the build, others by system properties. */
-public final class Seeds {
-    private Seeds() {}
+public final class SeedRanges {
+    private SeedRanges() {}
 
     /**
      * A range of seeds; {@code -Dquartzgw.NAME.first=1000 -Dquartzgw.NAME.count=500} tries others by hand.
--- a/src/test/java/io/quartzgw/standin/WorkerStandIn.java
+++ b/src/test/java/io/quartzgw/simulation/SimulatedAgent.java
@@ -1,4 +1,4 @@
-package io.quartzgw.standin;
+package io.quartzgw.simulation;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -11,7 +11,7 @@
 import java.util.function.Function;
 
 /** A worker as its protocol page describes it: sessions, tokens, leases, orders; time is handed in. */
-public final class WorkerStandIn {
+public final class SimulatedAgent {
     private static final double CPUS_SMALL = 8;
     private static final double CPUS_LARGE = 16;
 
@@ -25,9 +25,9 @@
 
     /** Told when a task begins to be, and ceases to be, on the machine. */
     public interface Watcher {
-        void started(WorkerStandIn on, String task);
+        void started(SimulatedAgent on, String task);
 
-        void ended(WorkerStandIn on, String task);
+        void ended(SimulatedAgent on, String task);
 
         void completed(String task);
     }
@@ -65,7 +65,7 @@
     private long reclaimAt = Long.MAX_VALUE;
 
     /** Makes the worker of a machine, in its first session. */
-    public WorkerStandIn(
+    public SimulatedAgent(
             String id,
             String address,
             String type,
@@ -87,8 +87,8 @@
     }
 
     /** The worker of this machine after it was started again: it knows no task and no token. */
-    WorkerStandIn successor(long now, boolean counting) {
-        WorkerStandIn next = new WorkerStandIn(id, address, type, zone, spot, leaseMs, now, jobs, watcher);
+    SimulatedAgent successor(long now, boolean counting) {
+        SimulatedAgent next = new SimulatedAgent(id, address, type, zone, spot, leaseMs, now, jobs, watcher);
         next.session = counting ? session + 1 : 1;
         return next;
     }
@@ -224,7 +224,7 @@
     public Reply orders(JsonNode body, long now) {
         long told = body.path("baton").asLong();
         if (!body.has("baton") || !body.has("tenure")) {
-            return StoreStandIn.reply(400, Json.object());
+            return SimulatedStore.reply(400, Json.object());
         }
         boolean stale = told < token;
         if (told > token) {
@@ -232,10 +232,10 @@
             changed = true;
         }
         if (stale || body.path("tenure").asLong() != session) {
-            return StoreStandIn.reply(409, report(now));
+            return SimulatedStore.reply(409, report(now));
         }
         execute(body.path("orders"), now);
-        return StoreStandIn.reply(200, report(now));
+        return SimulatedStore.reply(200, report(now));
     }
 
     private void execute(JsonNode orders, long now) {
--- a/src/test/java/io/quartzgw/standin/CloudStandIn.java
+++ b/src/test/java/io/quartzgw/simulation/SimulatedCloud.java
@@ -1,4 +1,4 @@
-package io.quartzgw.standin;
+package io.quartzgw.simulation;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -18,7 +18,7 @@
 import java.util.function.Function;
 
 /** The cloud as its protocol page describes it, with a machine list that lags; time is handed in. */
-public final class CloudStandIn {
+public final class SimulatedCloud {
     private final long lagMs;
     private long bootMs;
     private final int capacity;
@@ -46,7 +46,7 @@
      * @param bootMs how long a machine boots
      * @param capacity how many machines there are in all
      */
-    public CloudStandIn(long lagMs, long bootMs, int capacity, Function<String, String> addresses) {
+    public SimulatedCloud(long lagMs, long bootMs, int capacity, Function<String, String> addresses) {
         this.addresses = addresses;
         this.lagMs = lagMs;
         this.bootMs = bootMs;
@@ -101,7 +101,7 @@
         URI uri = URI.create(call.path());
         JsonNode body = call.body() == null ? null : Json.readOrNull(call.body());
         switch (uri.getPath()) {
-            case "/machine_types" -> then.accept(StoreStandIn.reply(200, types()));
+            case "/machine_types" -> then.accept(SimulatedStore.reply(200, types()));
             case "/rentals/delete" -> {
                 body.path("hosts").forEach(host -> {
                     if (machines.remove(host.asText()) != null) {
@@ -109,10 +109,10 @@
                     }
                 });
                 note(now);
-                then.accept(StoreStandIn.reply(200, Json.object()));
+                then.accept(SimulatedStore.reply(200, Json.object()));
             }
             case "/rentals" -> then.accept(body == null ? list(uri, now) : rent(body, now));
-            default -> then.accept(StoreStandIn.reply(404, Json.object()));
+            default -> then.accept(SimulatedStore.reply(404, Json.object()));
         }
     }
 
@@ -134,14 +134,14 @@
                 ids.add(id);
             }
             if (ids.isEmpty()) {
-                return StoreStandIn.reply(503, Json.object().put("error", "no capacity"));
+                return SimulatedStore.reply(503, Json.object().put("error", "no capacity"));
             }
             answered.put(request, ids);
             note(now);
         }
         ObjectNode answer = Json.object();
         ids.forEach(answer.putArray("hosts")::add);
-        return StoreStandIn.reply(200, answer);
+        return SimulatedStore.reply(200, answer);
     }
 
     private int nextId;
@@ -159,7 +159,7 @@
                 .orElse(Map.of()));
         ObjectNode body = Json.object();
         ArrayNode list = body.putArray("hosts");
-        Map<String, String> query = StoreStandIn.query(uri);
+        Map<String, String> query = SimulatedStore.query(uri);
         String since = query.getOrDefault("since", "");
         int most = Integer.parseInt(query.getOrDefault("most", "500"));
         body.put(
@@ -178,7 +178,7 @@
                         .put("held_s", (asOf - machine.since) / 1000.0);
             }
         });
-        return StoreStandIn.reply(200, body);
+        return SimulatedStore.reply(200, body);
     }
 
     static ObjectNode types() {
--- a/src/test/java/io/quartzgw/standin/StoreStandIn.java
+++ b/src/test/java/io/quartzgw/simulation/SimulatedStore.java
@@ -1,4 +1,4 @@
-package io.quartzgw.standin;
+package io.quartzgw.simulation;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -6,8 +6,8 @@
 import io.quartzgw.http.Call;
 import io.quartzgw.http.Json;
 import io.quartzgw.http.Reply;
-import io.quartzgw.store.RateBudget;
 import io.quartzgw.store.StoreLimits;
+import io.quartzgw.store.TokenBucket;
 import java.net.URI;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -17,7 +17,7 @@
 import java.util.function.Consumer;
 
 /** The state service as its protocol page describes it; time is handed in. */
-public final class StoreStandIn {
+public final class SimulatedStore {
     private static final StoreLimits BINDING_NOWHERE = new StoreLimits(300, 120, 8192, 16);
     private static final int TXN_BYTES = 64 * 1024;
     private final TreeMap<String, Item> items = new TreeMap<>();
@@ -26,7 +26,7 @@
     private final List<Follow> follows = new ArrayList<>();
     private final StoreLimits limits;
     /** What it still takes; null when it takes all. */
-    private final RateBudget writes;
+    private final TokenBucket writes;
 
     private int refusedWrites;
     private long revision;
@@ -53,15 +53,15 @@
     }
 
     /** A service that takes as many changes as come. */
-    public StoreStandIn() {
+    public SimulatedStore() {
         this.limits = BINDING_NOWHERE;
         this.writes = null;
     }
 
     /** A service that refuses changes beyond its limits. */
-    StoreStandIn(StoreLimits limits) {
+    SimulatedStore(StoreLimits limits) {
         this.limits = limits;
-        this.writes = new RateBudget(limits.writesPerS(), 0);
+        this.writes = new TokenBucket(limits.writesPerS(), 0);
     }
 
     StoreLimits limits() {
@@ -215,13 +215,13 @@
     }
 
     private boolean tooMuch(JsonNode body) {
-        if (body.path("apply").size() > limits.txnOps()
-                || body.path("guards").size() > 4 * limits.txnOps()
+        if (body.path("apply").size() > limits.maxTransactionWrites()
+                || body.path("guards").size() > 4 * limits.maxTransactionWrites()
                 || Json.write(body).length > TXN_BYTES) {
             return true;
         }
         for (JsonNode write : body.path("apply")) {
-            if (write.has("data") && Json.write(write.get("data")).length > limits.valueBytes()) {
+            if (write.has("data") && Json.write(write.get("data")).length > limits.maxValueBytes()) {
                 return true;
             }
         }
@@ -234,7 +234,7 @@
         }
         int changes = body.path("apply").size();
         if (writes != null && changes > 0) {
-            if (writes.waitFor(changes, now) > 0) {
+            if (writes.waitMsFor(changes, now) > 0) {
                 refusedWrites++;
                 return reply(429, Json.object().put("error", "too many changes"));
             }
--- a/src/test/java/io/quartzgw/standin/SimSettings.java
+++ b/src/test/java/io/quartzgw/simulation/SimulationSettings.java
@@ -1,17 +1,17 @@
-package io.quartzgw.standin;
+package io.quartzgw.simulation;
 
+import io.quartzgw.agent.AgentTiming;
 import io.quartzgw.app.Settings;
 import io.quartzgw.fleet.CloudLimits;
 import io.quartzgw.http.Endpoint;
-import io.quartzgw.placement.Team;
+import io.quartzgw.scheduling.TeamQuota;
 import io.quartzgw.store.StoreLimits;
-import io.quartzgw.worker.WorkerTimes;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 
 /** The settings of the controllers of a simulated world. */
-record SimSettings(WorkerTimes times, StoreLimits storeLimits) {
+record SimulationSettings(AgentTiming times, StoreLimits storeLimits) {
     static final Endpoint STORE_AT = new Endpoint("10.2.0.1", 2379);
     static final Endpoint CLOUD_AT = new Endpoint("10.2.0.2", 8443);
     /** By team, the CPUs that its tasks may use; teams that are not named have no limit. */
@@ -20,8 +20,8 @@
     private static final int CLIENT_PORT = 8080;
     private static final int PEER_PORT = 8081;
 
-    private static Team team(String name, double guaranteedCpus) {
-        return new Team(name, guaranteedCpus, CPU_LIMITS.getOrDefault(name, 0.0), 0, 0);
+    private static TeamQuota team(String name, double guaranteedCpus) {
+        return new TeamQuota(name, guaranteedCpus, CPU_LIMITS.getOrDefault(name, 0.0), 0, 0);
     }
 
     private static Endpoint endpoint(int index, int port) {
@@ -59,10 +59,10 @@
     /** The host of the simulation that has an address. */
     static String host(Endpoint to) {
         if (to.equals(STORE_AT)) {
-            return SimWorld.STORE;
+            return ClusterSimulation.STORE;
         }
         if (to.equals(CLOUD_AT)) {
-            return SimWorld.CLOUD;
+            return ClusterSimulation.CLOUD;
         }
         if (to.host().startsWith("10.0.0.")) {
             return "rig-" + (Integer.parseInt(to.host().substring("10.0.0.".length())) - 1);
--- a/src/test/java/io/quartzgw/standin/package-info.java
+++ b/src/test/java/io/quartzgw/simulation/package-info.java
@@ -1,2 +1,2 @@
 /** Stand-ins for the outside systems, and the simulated world that joins them. */
-package io.quartzgw.standin;
+package io.quartzgw.simulation;
--- a/src/test/java/io/quartzgw/store/PackedRecordsTest.java
+++ b/src/test/java/io/quartzgw/store/PackedRecordsTest.java
@@ -4,11 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import io.quartzgw.eventloop.EventLoop;
 import io.quartzgw.http.Endpoint;
 import io.quartzgw.http.Json;
-import io.quartzgw.loop.Kernel;
-import io.quartzgw.standin.LossyLink;
-import io.quartzgw.standin.StoreStandIn;
+import io.quartzgw.simulation.LossyLink;
+import io.quartzgw.simulation.SimulatedStore;
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
@@ -18,13 +18,13 @@
 class PackedRecordsTest {
     private static final String PREFIX = "p/";
 
-    private final Kernel kernel = new Kernel(1);
+    private final EventLoop kernel = new EventLoop(1);
     private final SplittableRandom random = new SplittableRandom(4);
-    private final StoreStandIn service = new StoreStandIn();
+    private final SimulatedStore service = new SimulatedStore();
     private final LossyLink link = new LossyLink(kernel, service, random);
     private final StoreClient client =
             new StoreClient(kernel, new Endpoint("10.2.0.1", 1), new StoreLimits(100_000, 100_000, 8192, 16));
-    private final PackedRecords records = new PackedRecords(client, PREFIX, Txn::new);
+    private final PackedRecords records = new PackedRecords(client, PREFIX, Transaction::new);
 
     private Map<String, JsonNode> stored() {
         Map<String, JsonNode> stored = new TreeMap<>();
@@ -51,7 +51,7 @@
             }
             boolean[] written = new boolean[1];
             while (!written[0]) {
-                records.write(Urgency.NORMAL, done -> written[0] = done);
+                records.write(RequestUrgency.NORMAL, done -> written[0] = done);
                 link.pass(1, true);
             }
             assertEquals(model, stored(), "round " + round);
@@ -69,14 +69,14 @@
     @Test
     void aWriteEndsWhileRecordsGoOnChanging() {
         int[] changes = new int[1];
-        kernel.afterEachBatch(() -> {
+        kernel.onBatchEnd(() -> {
             if (changes[0] < 50) {
                 records.put("i-later" + changes[0]++, Json.array().add("x".repeat(200)), 0);
             }
         });
         records.put("i-first", Json.array().add(1), 0);
         int[] changesAtEnd = {-1};
-        records.write(Urgency.NORMAL, written -> changesAtEnd[0] = written ? changes[0] : -1);
+        records.write(RequestUrgency.NORMAL, written -> changesAtEnd[0] = written ? changes[0] : -1);
         link.pass(1, false);
         assertTrue(changesAtEnd[0] >= 0, "it has ended");
         assertTrue(changesAtEnd[0] < 10, "and not when all changes were over: " + changesAtEnd[0]);
--- a/src/test/java/io/quartzgw/store/CallQueueTest.java
+++ b/src/test/java/io/quartzgw/store/RequestQueueTest.java
@@ -2,22 +2,22 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import io.quartzgw.eventloop.ClockReading;
+import io.quartzgw.eventloop.Effect;
+import io.quartzgw.eventloop.EventLoop;
 import io.quartzgw.http.Call;
 import io.quartzgw.http.Endpoint;
 import io.quartzgw.http.Reply;
-import io.quartzgw.loop.Effect;
-import io.quartzgw.loop.Kernel;
-import io.quartzgw.loop.Time;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** What goes out first when the budget is short, and what is refused. */
-class CallQueueTest {
+class RequestQueueTest {
     private static final Endpoint SERVICE = new Endpoint("10.2.0.1", 1);
     private static final StoreLimits TEN_AND_TWO = new StoreLimits(10, 2, 8192, 16);
 
-    private final Kernel kernel = new Kernel(1);
+    private final EventLoop kernel = new EventLoop(1);
     private final List<String> sent = new ArrayList<>();
     private final List<Reply> refused = new ArrayList<>();
     private long now;
@@ -25,33 +25,33 @@
     /** Lets time pass in steps of a millisecond, so that every timer fires when it is due. */
     private void pass(long ms) {
         for (long end = now + ms; now < end; now++) {
-            List<Effect> effects = kernel.handle(List.of(), new Time(now, now));
+            List<Effect> effects = kernel.processBatch(List.of(), new ClockReading(now, now));
             effects.forEach(effect -> sent.add(((Effect.Send) effect).request().path()));
         }
     }
 
-    private void submit(CallQueue queue, String path, int writes, Urgency urgency) {
+    private void submit(RequestQueue queue, String path, int writes, RequestUrgency urgency) {
         queue.submit(Call.get(SERVICE, path, 1_000), writes, urgency, refused::add);
     }
 
     // Guards reads against writes: users' questions were refused while only the budget of writes was short.
     @Test
     void aReadDoesNotWaitBehindAWriteThatLacksBudget() {
-        CallQueue queue = new CallQueue(kernel, TEN_AND_TWO, reply -> {});
+        RequestQueue queue = new RequestQueue(kernel, TEN_AND_TWO, reply -> {});
         for (int i = 0; i < 4; i++) {
-            submit(queue, "/write" + i, 1, Urgency.NORMAL);
+            submit(queue, "/write" + i, 1, RequestUrgency.NORMAL);
         }
-        submit(queue, "/read", 0, Urgency.NORMAL);
+        submit(queue, "/read", 0, RequestUrgency.NORMAL);
         pass(1);
         assertEquals(List.of("/write0", "/write1", "/read"), sent);
     }
 
     @Test
     void urgentWritesGoBeforeOthersAndWhatWaitsTooLongIsRefused() {
-        CallQueue queue = new CallQueue(kernel, TEN_AND_TWO, reply -> {});
-        submit(queue, "/first", 2, Urgency.NORMAL);
-        submit(queue, "/normal", 2, Urgency.NORMAL);
-        submit(queue, "/urgent", 2, Urgency.FIRST);
+        RequestQueue queue = new RequestQueue(kernel, TEN_AND_TWO, reply -> {});
+        submit(queue, "/first", 2, RequestUrgency.NORMAL);
+        submit(queue, "/normal", 2, RequestUrgency.NORMAL);
+        submit(queue, "/urgent", 2, RequestUrgency.HIGH);
         pass(1_100);
         assertEquals(List.of("/first", "/urgent"), sent);
         pass(100);
@@ -62,13 +62,13 @@
     // Guards submissions while users ask many times as often as usual.
     @Test
     void manyReadsDoNotStarveAWrite() {
-        CallQueue queue = new CallQueue(kernel, TEN_AND_TWO, reply -> {});
+        RequestQueue queue = new RequestQueue(kernel, TEN_AND_TWO, reply -> {});
         for (int i = 0; i < 30; i++) {
-            submit(queue, "/read", 0, Urgency.NORMAL);
+            submit(queue, "/read", 0, RequestUrgency.NORMAL);
         }
         pass(10);
         assertEquals(10, sent.size());
-        submit(queue, "/write", 1, Urgency.NORMAL);
+        submit(queue, "/write", 1, RequestUrgency.NORMAL);
         pass(150);
         assertEquals("/write", sent.get(10));
     }
@@ -77,13 +77,13 @@
     // submissions.
     @Test
     void neitherUrgentWritesNorOthersStarveWhatHasWaited() {
-        CallQueue queue = new CallQueue(kernel, TEN_AND_TWO, reply -> {});
-        submit(queue, "/first", 2, Urgency.FIRST);
-        submit(queue, "/last", 1, Urgency.LAST);
-        submit(queue, "/normal", 1, Urgency.NORMAL);
+        RequestQueue queue = new RequestQueue(kernel, TEN_AND_TWO, reply -> {});
+        submit(queue, "/first", 2, RequestUrgency.HIGH);
+        submit(queue, "/last", 1, RequestUrgency.BACKGROUND);
+        submit(queue, "/normal", 1, RequestUrgency.NORMAL);
         pass(300);
         for (int i = 0; i < 5; i++) {
-            submit(queue, "/urgent" + i, 1, Urgency.FIRST);
+            submit(queue, "/urgent" + i, 1, RequestUrgency.HIGH);
         }
         pass(1_800);
         assertEquals(List.of("/first", "/normal", "/last", "/urgent0", "/urgent1"), sent);
--- a/src/test/java/io/quartzgw/store/WriteGrantsTest.java
+++ b/src/test/java/io/quartzgw/store/WriteBudgetLenderTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What all controllers may write together, whatever becomes of messages and leaders. */
-class WriteGrantsTest {
+class WriteBudgetLenderTest {
     private static final int MEMBERS = 5;
     private static final long LIFE_MS = 2_000;
     private static final long HEARTBEAT_MS = 800;
@@ -31,7 +31,7 @@
         }
 
         double perS(long now) {
-            return LIMITS.share(MEMBERS).writesPerS() + (now < lentUntil ? lentPerS : 0);
+            return LIMITS.perNode(MEMBERS).writesPerS() + (now < lentUntil ? lentPerS : 0);
         }
     }
 
@@ -55,11 +55,11 @@
     void togetherNeverMoreThanTheLimit() {
         List<Member> members = members();
         List<LateAnswer> late = new ArrayList<>();
-        WriteGrants leader = new WriteGrants(LIMITS, MEMBERS, LIFE_MS, 0);
+        WriteBudgetLender leader = new WriteBudgetLender(LIMITS, MEMBERS, LIFE_MS, 0);
         double most = 0;
         for (long now = 0; now < 2_000_000; now += 50) {
             if (random.nextInt(100) == 0) {
-                leader = new WriteGrants(LIMITS, MEMBERS, LIFE_MS, now);
+                leader = new WriteBudgetLender(LIMITS, MEMBERS, LIFE_MS, now);
             }
             for (Member member : members) {
                 if (random.nextInt(40) == 0) {
@@ -67,8 +67,8 @@
                 }
                 if (random.nextInt((int) (HEARTBEAT_MS / 50)) == 0) {
                     long asked = now - random.nextInt(500);
-                    double lent = leader.lend(member.name, member.wantedPerS, now);
-                    if (leader.lends(now) && random.nextInt(5) > 0) {
+                    double lent = leader.grant(member.name, member.wantedPerS, now);
+                    if (leader.canGrant(now) && random.nextInt(5) > 0) {
                         late.add(new LateAnswer(member, lent, asked, now + random.nextInt(3_000)));
                     }
                 }
@@ -87,10 +87,10 @@
         assertTrue(most > 0.95 * MOST_PER_S, "and the limit is made use of: " + most);
     }
 
-    private static void beatUntilSettled(WriteGrants leader, List<Member> members) {
+    private static void beatUntilSettled(WriteBudgetLender leader, List<Member> members) {
         for (long now = 0; now <= 5 * LIFE_MS; now += HEARTBEAT_MS) {
             for (Member member : members) {
-                member.lentPerS = leader.lend(member.name, member.wantedPerS, now);
+                member.lentPerS = leader.grant(member.name, member.wantedPerS, now);
                 member.lentUntil = now + LIFE_MS;
             }
         }
@@ -101,21 +101,21 @@
     void whoNeedsMoreGetsWhatTheOthersLeave() {
         List<Member> members = members();
         members.get(2).wantedPerS = 50;
-        beatUntilSettled(new WriteGrants(LIMITS, MEMBERS, LIFE_MS, 0), members);
-        assertEquals(LIMITS.lentWritesPerS(), members.get(2).lentPerS, EPSILON, "all that is lent");
+        beatUntilSettled(new WriteBudgetLender(LIMITS, MEMBERS, LIFE_MS, 0), members);
+        assertEquals(LIMITS.sharedWritesPerS(), members.get(2).lentPerS, EPSILON, "all that is lent");
         members.get(4).wantedPerS = 50;
-        beatUntilSettled(new WriteGrants(LIMITS, MEMBERS, LIFE_MS, 0), members);
+        beatUntilSettled(new WriteBudgetLender(LIMITS, MEMBERS, LIFE_MS, 0), members);
         assertEquals(members.get(2).lentPerS, members.get(4).lentPerS, EPSILON, "two in need share evenly");
-        assertEquals(LIMITS.lentWritesPerS(), members.get(2).lentPerS + members.get(4).lentPerS, EPSILON);
+        assertEquals(LIMITS.sharedWritesPerS(), members.get(2).lentPerS + members.get(4).lentPerS, EPSILON);
     }
 
     @Test
     void aLoanEndsAtItsTimeAndWhatItBroughtWithIt() {
-        RateBudget budget = new RateBudget(2, 0);
-        budget.lend(8, 1_000, 0);
-        assertEquals(0, budget.waitFor(10, 999), "one second's worth of both rates");
-        assertEquals(0, budget.waitFor(2, 1_000));
+        TokenBucket budget = new TokenBucket(2, 0);
+        budget.borrow(8, 1_000, 0);
+        assertEquals(0, budget.waitMsFor(10, 999), "one second's worth of both rates");
+        assertEquals(0, budget.waitMsFor(2, 1_000));
         budget.take(2, 1_000);
-        assertEquals(500, budget.waitFor(1, 1_000), "nothing beyond its own rate has been kept");
+        assertEquals(500, budget.waitMsFor(1, 1_000), "nothing beyond its own rate has been kept");
     }
 }
