--- a/src/main/java/io/quartzgw/agent/Heartbeat.java
+++ b/src/main/java/io/quartzgw/agent/Heartbeat.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import io.quartzgw.http.Endpoint;
-import io.quartzgw.scheduling.AgentLiveness;
+import io.quartzgw.liveness.AgentLiveness;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Arrays;
--- a/src/main/java/io/quartzgw/agent/TaskReconciler.java
+++ b/src/main/java/io/quartzgw/agent/TaskReconciler.java
@@ -1,6 +1,7 @@
 package io.quartzgw.agent;
 
 import io.quartzgw.eventloop.EventLoop;
+import io.quartzgw.liveness.AgentTiming;
 import io.quartzgw.scheduling.Allocation;
 import io.quartzgw.scheduling.ClusterState;
 import io.quartzgw.scheduling.Job;
--- a/src/main/java/io/quartzgw/app/Settings.java
+++ b/src/main/java/io/quartzgw/app/Settings.java
@@ -1,9 +1,9 @@
 package io.quartzgw.app;
 
-import io.quartzgw.agent.AgentTiming;
 import io.quartzgw.fleet.CloudLimits;
 import io.quartzgw.http.Endpoint;
-import io.quartzgw.scheduling.TeamQuota;
+import io.quartzgw.liveness.AgentTiming;
+import io.quartzgw.model.TeamQuota;
 import io.quartzgw.store.StoreLimits;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/io/quartzgw/fleet/InventoryReconciler.java
+++ b/src/main/java/io/quartzgw/fleet/InventoryReconciler.java
@@ -3,6 +3,7 @@
 import io.quartzgw.eventloop.EventLoop;
 import io.quartzgw.http.Endpoint;
 import io.quartzgw.leadership.LeaderTerm;
+import io.quartzgw.model.MachineType;
 import io.quartzgw.scheduling.ClusterState;
 import io.quartzgw.scheduling.Machine;
 import java.util.HashMap;
--- a/src/main/java/io/quartzgw/fleet/MachineCatalog.java
+++ b/src/main/java/io/quartzgw/fleet/MachineCatalog.java
@@ -5,6 +5,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quartzgw.eventloop.EventLoop;
 import io.quartzgw.http.Json;
+import io.quartzgw.model.MachineType;
 import io.quartzgw.store.RequestUrgency;
 import io.quartzgw.store.StoreClient;
 import io.quartzgw.store.Transaction;
--- a/src/main/java/io/quartzgw/fleet/MachineOffer.java
+++ b/src/main/java/io/quartzgw/fleet/MachineOffer.java
@@ -1,5 +1,7 @@
 package io.quartzgw.fleet;
 
+import io.quartzgw.model.MachineType;
+
 /** A kind of machine that can be rented: type, zone, and spot or ordinary. */
 public record MachineOffer(MachineType type, String zone, boolean spot) {
 
--- a/src/main/java/io/quartzgw/fleet/MachineRecords.java
+++ b/src/main/java/io/quartzgw/fleet/MachineRecords.java
@@ -8,6 +8,7 @@
 import io.quartzgw.http.Json;
 import io.quartzgw.leadership.LeaderTerm;
 import io.quartzgw.leadership.Leadership;
+import io.quartzgw.model.MachineType;
 import io.quartzgw.scheduling.ClusterState;
 import io.quartzgw.scheduling.Machine;
 import io.quartzgw.store.KeyValue;
--- a/src/main/java/io/quartzgw/fleet/ScaleInPolicy.java
+++ b/src/main/java/io/quartzgw/fleet/ScaleInPolicy.java
@@ -1,12 +1,12 @@
 package io.quartzgw.fleet;
 
 import io.quartzgw.eventloop.EventLoop;
-import io.quartzgw.scheduling.AgentLiveness;
+import io.quartzgw.liveness.AgentLiveness;
+import io.quartzgw.model.Resources;
 import io.quartzgw.scheduling.ClusterState;
 import io.quartzgw.scheduling.Consolidation;
 import io.quartzgw.scheduling.Job;
 import io.quartzgw.scheduling.Machine;
-import io.quartzgw.submission.Resources;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
--- a/src/main/java/io/quartzgw/fleet/ScaleOutPlanner.java
+++ b/src/main/java/io/quartzgw/fleet/ScaleOutPlanner.java
@@ -1,9 +1,10 @@
 package io.quartzgw.fleet;
 
+import io.quartzgw.model.MachineType;
+import io.quartzgw.model.Resources;
 import io.quartzgw.scheduling.Job;
 import io.quartzgw.scheduling.Machine;
 import io.quartzgw.scheduling.UnplacedTasks;
-import io.quartzgw.submission.Resources;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
--- a/src/main/java/io/quartzgw/scheduling/AgentLiveness.java
+++ b/src/main/java/io/quartzgw/liveness/AgentLiveness.java
@@ -1,4 +1,4 @@
-package io.quartzgw.scheduling;
+package io.quartzgw.liveness;
 
 /**
  * What this leader has heard from a machine's worker, and what that proves.
@@ -33,7 +33,7 @@
     private long lastResponseAt = Long.MIN_VALUE;
     private long previousLeaderActiveUntil;
 
-    AgentLiveness(long now) {
+    public AgentLiveness(long now) {
         this.previousLeaderActiveUntil = now;
     }
 
--- a/src/main/java/io/quartzgw/agent/AgentTiming.java
+++ b/src/main/java/io/quartzgw/liveness/AgentTiming.java
@@ -1,4 +1,4 @@
-package io.quartzgw.agent;
+package io.quartzgw.liveness;
 
 /** The workers' figures from the settings, in milliseconds. */
 public record AgentTiming(long heartbeatMs, long leaseMs, long cancelMs) {
--- a/src/main/java/io/quartzgw/submission/JobShape.java
+++ b/src/main/java/io/quartzgw/model/JobShape.java
@@ -1,4 +1,4 @@
-package io.quartzgw.submission;
+package io.quartzgw.model;
 
 /** What kind of work a job is. */
 public enum JobShape {
--- a/src/main/java/io/quartzgw/submission/JobSpec.java
+++ b/src/main/java/io/quartzgw/model/JobSpec.java
@@ -1,4 +1,4 @@
-package io.quartzgw.submission;
+package io.quartzgw.model;
 
 import java.util.Set;
 
--- a/src/main/java/io/quartzgw/fleet/MachineType.java
+++ b/src/main/java/io/quartzgw/model/MachineType.java
@@ -1,10 +1,9 @@
-package io.quartzgw.fleet;
+package io.quartzgw.model;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quartzgw.http.Json;
-import io.quartzgw.submission.Resources;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -24,11 +23,11 @@
     }
 
     /** The usual boot time. */
-    long bootMs() {
+    public long bootMs() {
         return (long) (bootS * 1000);
     }
 
-    ObjectNode toJson() {
+    public ObjectNode toJson() {
         ObjectNode node = Json.object()
                 .put("name", name)
                 .put("cpus", size.cpus())
@@ -44,7 +43,7 @@
         return node;
     }
 
-    static MachineType fromJson(JsonNode node) {
+    public static MachineType fromJson(JsonNode node) {
         List<String> zones = new ArrayList<>();
         node.path("yards").forEach(zone -> zones.add(zone.asText()));
         return new MachineType(
--- a/src/main/java/io/quartzgw/submission/Resources.java
+++ b/src/main/java/io/quartzgw/model/Resources.java
@@ -1,4 +1,4 @@
-package io.quartzgw.submission;
+package io.quartzgw.model;
 
 /** Amounts of CPUs, GPUs and memory. */
 public record Resources(double cpus, double gpus, double memoryGb) {
--- a/src/main/java/io/quartzgw/scheduling/TeamQuota.java
+++ b/src/main/java/io/quartzgw/model/TeamQuota.java
@@ -1,6 +1,4 @@
-package io.quartzgw.scheduling;
-
-import io.quartzgw.submission.Resources;
+package io.quartzgw.model;
 
 /** A team's guarantee and limit; 0 means none. */
 public record TeamQuota(String name, double guaranteedCpus, double maxCpus, double guaranteedGpus, double maxGpus) {
@@ -23,7 +21,7 @@
      * How many more tasks fit the limit, up to a number. Halves the range at each step: arrays have up to 100,000
      * tasks, and this is asked at each pass.
      */
-    int tasksWithinLimit(Resources use, Resources demand, int most) {
+    public int tasksWithinLimit(Resources use, Resources demand, int most) {
         int fits = 0;
         int tooMany = most + 1;
         while (tooMany - fits > 1) {
--- a/src/main/java/io/quartzgw/recovery/RecoveryTiming.java
+++ b/src/main/java/io/quartzgw/recovery/RecoveryTiming.java
@@ -1,6 +1,6 @@
 package io.quartzgw.recovery;
 
-import io.quartzgw.agent.AgentTiming;
+import io.quartzgw.liveness.AgentTiming;
 
 /**
  * The times of recovery, as ratios to the workers' figures.
--- a/src/main/java/io/quartzgw/scheduling/Allocation.java
+++ b/src/main/java/io/quartzgw/scheduling/Allocation.java
@@ -1,6 +1,6 @@
 package io.quartzgw.scheduling;
 
-import io.quartzgw.submission.Resources;
+import io.quartzgw.model.Resources;
 
 /** A task's place on a machine: it runs there, or may run there. */
 public final class Allocation {
--- a/src/main/java/io/quartzgw/scheduling/BestFit.java
+++ b/src/main/java/io/quartzgw/scheduling/BestFit.java
@@ -1,7 +1,7 @@
 package io.quartzgw.scheduling;
 
-import io.quartzgw.submission.JobSpec;
-import io.quartzgw.submission.Resources;
+import io.quartzgw.model.JobSpec;
+import io.quartzgw.model.Resources;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
--- a/src/main/java/io/quartzgw/scheduling/ClusterState.java
+++ b/src/main/java/io/quartzgw/scheduling/ClusterState.java
@@ -1,8 +1,8 @@
 package io.quartzgw.scheduling;
 
 import io.quartzgw.eventloop.EventLoop;
+import io.quartzgw.model.Resources;
 import io.quartzgw.submission.OpenJob;
-import io.quartzgw.submission.Resources;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.HashSet;
--- a/src/main/java/io/quartzgw/scheduling/Consolidation.java
+++ b/src/main/java/io/quartzgw/scheduling/Consolidation.java
@@ -1,6 +1,6 @@
 package io.quartzgw.scheduling;
 
-import io.quartzgw.submission.Resources;
+import io.quartzgw.model.Resources;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
--- a/src/main/java/io/quartzgw/scheduling/Job.java
+++ b/src/main/java/io/quartzgw/scheduling/Job.java
@@ -1,6 +1,6 @@
 package io.quartzgw.scheduling;
 
-import io.quartzgw.submission.JobSpec;
+import io.quartzgw.model.JobSpec;
 import io.quartzgw.submission.OpenJob;
 import java.util.ArrayList;
 import java.util.BitSet;
--- a/src/main/java/io/quartzgw/scheduling/Machine.java
+++ b/src/main/java/io/quartzgw/scheduling/Machine.java
@@ -1,9 +1,10 @@
 package io.quartzgw.scheduling;
 
-import io.quartzgw.fleet.MachineType;
 import io.quartzgw.http.Endpoint;
-import io.quartzgw.submission.Priority;
-import io.quartzgw.submission.Resources;
+import io.quartzgw.liveness.AgentLiveness;
+import io.quartzgw.model.MachineType;
+import io.quartzgw.model.Priority;
+import io.quartzgw.model.Resources;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
--- a/src/main/java/io/quartzgw/scheduling/Scheduler.java
+++ b/src/main/java/io/quartzgw/scheduling/Scheduler.java
@@ -1,10 +1,11 @@
 package io.quartzgw.scheduling;
 
-import io.quartzgw.agent.AgentTiming;
 import io.quartzgw.eventloop.EventLoop;
-import io.quartzgw.submission.JobSpec;
-import io.quartzgw.submission.Priority;
-import io.quartzgw.submission.Resources;
+import io.quartzgw.liveness.AgentTiming;
+import io.quartzgw.model.JobSpec;
+import io.quartzgw.model.Priority;
+import io.quartzgw.model.Resources;
+import io.quartzgw.model.TeamQuota;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/io/quartzgw/scheduling/SchedulingQueue.java
+++ b/src/main/java/io/quartzgw/scheduling/SchedulingQueue.java
@@ -1,6 +1,7 @@
 package io.quartzgw.scheduling;
 
-import io.quartzgw.submission.Resources;
+import io.quartzgw.model.Resources;
+import io.quartzgw.model.TeamQuota;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
--- a/src/main/java/io/quartzgw/scheduling/ServiceLevelObjectives.java
+++ b/src/main/java/io/quartzgw/scheduling/ServiceLevelObjectives.java
@@ -1,6 +1,6 @@
 package io.quartzgw.scheduling;
 
-import io.quartzgw.submission.JobSpec;
+import io.quartzgw.model.JobSpec;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/io/quartzgw/submission/Admission.java
+++ b/src/main/java/io/quartzgw/submission/Admission.java
@@ -1,7 +1,8 @@
 package io.quartzgw.submission;
 
-import io.quartzgw.fleet.MachineType;
-import io.quartzgw.scheduling.TeamQuota;
+import io.quartzgw.model.JobSpec;
+import io.quartzgw.model.MachineType;
+import io.quartzgw.model.TeamQuota;
 import java.util.Collection;
 import java.util.Map;
 
--- a/src/main/java/io/quartzgw/submission/JobStore.java
+++ b/src/main/java/io/quartzgw/submission/JobStore.java
@@ -2,6 +2,7 @@
 
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
+import io.quartzgw.model.JobSpec;
 import io.quartzgw.store.RequestUrgency;
 import io.quartzgw.store.StoreClient;
 import io.quartzgw.store.Transaction;
--- a/src/main/java/io/quartzgw/submission/OpenJob.java
+++ b/src/main/java/io/quartzgw/submission/OpenJob.java
@@ -2,6 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.quartzgw.model.JobSpec;
 
 /**
  * An accepted, unfinished job as the state service keeps it.
--- a/src/main/java/io/quartzgw/submission/SubmissionHandler.java
+++ b/src/main/java/io/quartzgw/submission/SubmissionHandler.java
@@ -7,6 +7,7 @@
 import io.quartzgw.http.Json;
 import io.quartzgw.http.Request;
 import io.quartzgw.http.Response;
+import io.quartzgw.model.JobSpec;
 import io.quartzgw.store.StoreClient;
 import io.quartzgw.store.TransactionOutcome;
 import java.util.TreeMap;
--- a/src/test/java/io/quartzgw/app/CancellationTest.java
+++ b/src/test/java/io/quartzgw/app/CancellationTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.quartzgw.agent.AgentTiming;
 import io.quartzgw.http.Reply;
+import io.quartzgw.liveness.AgentTiming;
 import io.quartzgw.simulation.ClusterSimulation;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/io/quartzgw/app/FiveControllersTest.java
+++ b/src/test/java/io/quartzgw/app/FiveControllersTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quartzgw.agent.AgentTiming;
+import io.quartzgw.liveness.AgentTiming;
 import io.quartzgw.simulation.ClusterSimulation;
 import io.quartzgw.store.StoreLimits;
 import java.util.ArrayList;
--- a/src/test/java/io/quartzgw/fleet/ScaleInPolicyTest.java
+++ b/src/test/java/io/quartzgw/fleet/ScaleInPolicyTest.java
@@ -4,6 +4,9 @@
 
 import io.quartzgw.eventloop.ClockReading;
 import io.quartzgw.eventloop.EventLoop;
+import io.quartzgw.model.JobSpec;
+import io.quartzgw.model.MachineType;
+import io.quartzgw.model.Resources;
 import io.quartzgw.scheduling.Allocation;
 import io.quartzgw.scheduling.ClusterState;
 import io.quartzgw.scheduling.Consolidation;
@@ -12,9 +15,7 @@
 import io.quartzgw.scheduling.StopReason;
 import io.quartzgw.scheduling.TaskLauncher;
 import io.quartzgw.simulation.JobSpecs;
-import io.quartzgw.submission.JobSpec;
 import io.quartzgw.submission.OpenJob;
-import io.quartzgw.submission.Resources;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/io/quartzgw/scheduling/AgentLivenessTest.java
+++ b/src/test/java/io/quartzgw/liveness/AgentLivenessTest.java
@@ -1,4 +1,4 @@
-package io.quartzgw.scheduling;
+package io.quartzgw.liveness;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- /dev/null
+++ b/src/test/java/io/quartzgw/liveness/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of the liveness of agents. */
+package io.quartzgw.liveness;
--- a/src/test/java/io/quartzgw/simulation/ClusterSimulation.java
+++ b/src/test/java/io/quartzgw/simulation/ClusterSimulation.java
@@ -1,7 +1,6 @@
 package io.quartzgw.simulation;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.quartzgw.agent.AgentTiming;
 import io.quartzgw.app.Controller;
 import io.quartzgw.app.Settings;
 import io.quartzgw.eventloop.ClockReading;
@@ -15,6 +14,7 @@
 import io.quartzgw.http.Reply;
 import io.quartzgw.http.Request;
 import io.quartzgw.http.Response;
+import io.quartzgw.liveness.AgentTiming;
 import io.quartzgw.store.StoreLimits;
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/test/java/io/quartzgw/simulation/JobSpecs.java
+++ b/src/test/java/io/quartzgw/simulation/JobSpecs.java
@@ -1,9 +1,9 @@
 package io.quartzgw.simulation;
 
-import io.quartzgw.submission.JobShape;
-import io.quartzgw.submission.JobSpec;
-import io.quartzgw.submission.Priority;
-import io.quartzgw.submission.Resources;
+import io.quartzgw.model.JobShape;
+import io.quartzgw.model.JobSpec;
+import io.quartzgw.model.Priority;
+import io.quartzgw.model.Resources;
 
 /** Descriptions of jobs for tests, which name only what matters to them. */
 public final class JobSpecs {
--- a/src/test/java/io/quartzgw/simulation/SimulationSettings.java
+++ b/src/test/java/io/quartzgw/simulation/SimulationSettings.java
@@ -1,10 +1,10 @@
 package io.quartzgw.simulation;
 
-import io.quartzgw.agent.AgentTiming;
 import io.quartzgw.app.Settings;
 import io.quartzgw.fleet.CloudLimits;
 import io.quartzgw.http.Endpoint;
-import io.quartzgw.scheduling.TeamQuota;
+import io.quartzgw.liveness.AgentTiming;
+import io.quartzgw.model.TeamQuota;
 import io.quartzgw.store.StoreLimits;
 import java.util.LinkedHashMap;
 import java.util.List;
