--- /dev/null
+++ b/src/main/java/io/quartzgw/app/AcceptedJobNotice.java
@@ -0,0 +1,30 @@
+package io.quartzgw.app;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.quartzgw.http.Json;
+import io.quartzgw.submission.OpenJob;
+import java.util.Optional;
+
+/** The notice with which a controller tells the leader of a job that it has accepted, as a part of a peer message. */
+final class AcceptedJobNotice {
+    private static final String REVISION = "revision";
+    private static final String JOB = "accepted";
+
+    private AcceptedJobNotice() {}
+
+    static ObjectNode encode(OpenJob job) {
+        ObjectNode notice = Json.object().put(REVISION, job.revision());
+        notice.set(JOB, OpenJob.record(job.spec(), job.acceptedAt()));
+        return notice;
+    }
+
+    /** The job, or nothing when the notice is of another kind. */
+    static Optional<OpenJob> decode(JsonNode notice) {
+        if (!notice.has(JOB)) {
+            return Optional.empty();
+        }
+        return Optional.of(
+                OpenJob.fromRecord(notice.path(JOB), notice.path(REVISION).asLong()));
+    }
+}
--- a/src/main/java/io/quartzgw/app/ControllerProcess.java
+++ b/src/main/java/io/quartzgw/app/ControllerProcess.java
@@ -20,34 +20,34 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** A running controller: the core on its owner thread, and one I/O thread for all sockets. */
+/** A running controller: the core on its eventLoopThread thread, and one I/O thread for all sockets. */
 final class ControllerProcess {
     private static final int BUFFER_BYTES = 8 * 1024;
     private static final int POOLED_BUFFERS = 128;
-    /** Workers and users that live ask far more often; a dead one's connection only holds a socket. */
-    private static final int IDLE_REPORTS = 6;
+    /** Live agents and users send far more often; a dead one's connection only takes a socket. */
+    private static final int IDLE_HEARTBEATS = 6;
 
     private static final long STACK_BYTES = 256 * 1024;
 
     private final ProcessMetrics metrics = new ProcessMetrics();
-    private final Map<Long, Long> begun = new ConcurrentHashMap<>();
-    private final EventLoop kernel;
-    private final Controller node;
-    private final EventLoopThread owner;
-    private final XnioWorker worker;
+    private final Map<Long, Long> startedNanos = new ConcurrentHashMap<>();
+    private final EventLoop eventLoop;
+    private final Controller controller;
+    private final EventLoopThread eventLoopThread;
+    private final XnioWorker ioWorker;
     private final HttpServer server;
     private final HttpClient client;
     private final Thread thread;
 
     ControllerProcess(Settings settings, long process) throws IOException {
-        this.kernel = new EventLoop(process);
-        this.node = new Controller(kernel, settings, process, metrics::snapshot);
+        this.eventLoop = new EventLoop(process);
+        this.controller = new Controller(eventLoop, settings, process, metrics::snapshot);
         Sockets sockets = Sockets.of(settings.sockets());
         // A client has one request under way: all that are connected may ask a new leader at once, and none of
-        // them is better served by a refusal that sends it to another node first.
-        this.owner = new EventLoopThread(kernel, sockets.client(), this::perform);
-        this.thread = new Thread(null, owner, "owner", STACK_BYTES);
-        this.worker = Xnio.getInstance()
+        // them is better served by a refusal that sends it to another controller first.
+        this.eventLoopThread = new EventLoopThread(eventLoop, sockets.client(), this::perform);
+        this.thread = new Thread(null, eventLoopThread, "owner", STACK_BYTES);
+        this.ioWorker = Xnio.getInstance()
                 .createWorker(OptionMap.builder()
                         .set(Options.WORKER_IO_THREADS, 1)
                         .set(Options.WORKER_TASK_CORE_THREADS, 1)
@@ -56,20 +56,20 @@
                         .set(Options.TCP_NODELAY, true)
                         .getMap());
         ByteBufferPool buffers = new DefaultByteBufferPool(true, BUFFER_BYTES, POOLED_BUFFERS, 4);
-        this.client = new HttpClient(worker, buffers, sockets.kept());
+        this.client = new HttpClient(ioWorker, buffers, sockets.kept());
         this.server = new HttpServer(
-                worker,
+                ioWorker,
                 buffers,
                 settings.clientListen(),
                 settings.peerListen(),
                 sockets,
-                (int) (IDLE_REPORTS * settings.agentTiming().heartbeatMs()),
-                this::take);
+                (int) (IDLE_HEARTBEATS * settings.agentTiming().heartbeatMs()),
+                this::receive);
     }
 
     void start() {
-        kernel.processBatch(List.of(), EventLoopThread.currentTime());
-        node.start();
+        eventLoop.processBatch(List.of(), EventLoopThread.currentTime());
+        controller.start();
         server.start();
         thread.start();
     }
@@ -79,34 +79,34 @@
     }
 
     void stop() {
-        owner.stop();
+        eventLoopThread.stop();
         server.stop();
-        worker.shutdown();
+        ioWorker.shutdown();
     }
 
     int port(ListenerKind listener) {
         return server.port(listener);
     }
 
-    private boolean take(Request request) {
-        begun.put(request.exchange(), System.nanoTime());
-        if (owner.offerRequest(new Command.Arrived(request))) {
+    private boolean receive(Request request) {
+        startedNanos.put(request.exchange(), System.nanoTime());
+        if (eventLoopThread.offerRequest(new Command.Arrived(request))) {
             return true;
         }
-        begun.remove(request.exchange());
+        startedNanos.remove(request.exchange());
         metrics.refused();
         return false;
     }
 
     private void perform(Effect effect) {
         if (effect instanceof Effect.Answer answer) {
-            Long since = begun.remove(answer.exchange());
-            if (since != null) {
-                metrics.served(answer.response().status(), System.nanoTime() - since);
+            Long startedAt = startedNanos.remove(answer.exchange());
+            if (startedAt != null) {
+                metrics.served(answer.response().status(), System.nanoTime() - startedAt);
             }
             server.answer(answer.exchange(), answer.response());
         } else if (effect instanceof Effect.Send send) {
-            client.send(send.request(), reply -> owner.callEnded(new Command.CallEnded(send.call(), reply)));
+            client.send(send.request(), reply -> eventLoopThread.callEnded(new Command.CallEnded(send.call(), reply)));
         }
     }
 }
--- a/src/main/java/io/quartzgw/app/ControllerServices.java
+++ b/src/main/java/io/quartzgw/app/ControllerServices.java
@@ -10,9 +10,9 @@
 import io.quartzgw.store.StoreClient;
 import io.quartzgw.submission.JobStore;
 
-/** What every controller has, whether it leads or not, and a leader builds on. */
+/** The parts that every controller has, whether it leads or not, and on which a leader's parts are built. */
 record ControllerServices(
-        EventLoop kernel,
+        EventLoop eventLoop,
         Settings settings,
         Leadership leadership,
         PeerExchange peers,
@@ -20,5 +20,5 @@
         JobStore jobs,
         CancellationRegistry cancellations,
         CancellationWatermark watermark,
-        MachineCatalog types,
+        MachineCatalog catalog,
         CloudClient cloud) {}
--- /dev/null
+++ b/src/main/java/io/quartzgw/app/HeartbeatEndpoint.java
@@ -0,0 +1,73 @@
+package io.quartzgw.app;
+
+import io.quartzgw.agent.Heartbeat;
+import io.quartzgw.eventloop.EventLoop;
+import io.quartzgw.http.Json;
+import io.quartzgw.http.Request;
+import io.quartzgw.http.Response;
+import io.quartzgw.leadership.Leadership;
+import io.quartzgw.leadership.PeerExchange;
+import java.util.Optional;
+import java.util.function.Supplier;
+
+/**
+ * Serves agents' heartbeats. The leader answers them, for as long as it may renew their leases; every other controller
+ * names the leader and remembers whom it redirected.
+ */
+final class HeartbeatEndpoint {
+    private static final int MISDIRECTED_REQUEST = 421;
+    private static final int BAD_REQUEST = 400;
+    private static final int OK = 200;
+    private static final int RETRY_AFTER_S = 1;
+
+    private final EventLoop eventLoop;
+    private final Leadership leadership;
+    private final PeerExchange peers;
+    private final String member;
+    private final Supplier<Optional<LeaderRuntime>> leader;
+
+    /**
+     * @param member this controller's name
+     * @param leader what this controller does as the leader, while it leads
+     */
+    HeartbeatEndpoint(
+            EventLoop eventLoop,
+            Leadership leadership,
+            PeerExchange peers,
+            String member,
+            Supplier<Optional<LeaderRuntime>> leader) {
+        this.eventLoop = eventLoop;
+        this.leadership = leadership;
+        this.peers = peers;
+        this.member = member;
+        this.leader = leader;
+    }
+
+    void serve(Request request) {
+        Heartbeat heartbeat = Heartbeat.read(request.body());
+        if (heartbeat == null) {
+            eventLoop.answer(request.exchange(), Response.error(BAD_REQUEST, "not a report"));
+            return;
+        }
+        // Before anything else: a higher token than this leader's ends its leadership.
+        leadership.observeTerm(heartbeat.fencingToken());
+        eventLoop.answer(request.exchange(), respond(heartbeat));
+    }
+
+    private Response respond(Heartbeat heartbeat) {
+        Optional<LeaderRuntime> leading = leader.get();
+        if (leading.isPresent() && leadership.mayRenewAgentLeases()) {
+            return Response.json(OK, leading.get().handleHeartbeat(heartbeat));
+        }
+        peers.redirectedAgents(heartbeat.machine(), heartbeat.address());
+        return redirect();
+    }
+
+    private Response redirect() {
+        String leaderMember = leadership.leaderMember();
+        if (leaderMember == null || leaderMember.equals(member)) {
+            return Response.unavailable("no leader", RETRY_AFTER_S);
+        }
+        return Response.json(MISDIRECTED_REQUEST, Json.object().put("home_controller", leaderMember));
+    }
+}
--- a/src/main/java/io/quartzgw/app/JobCountPager.java
+++ b/src/main/java/io/quartzgw/app/JobCountPager.java
@@ -6,7 +6,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Counts of running and done tasks for display, a page each time: thousands of jobs don't fit one message. */
+/** Pages the counts of running and done tasks for display: thousands of jobs exceed one message. */
 final class JobCountPager {
     private final ClusterState cluster;
     /** The last job of the last page. */
@@ -19,23 +19,23 @@
     /**
      * The next page, of open jobs that have any task running or done.
      *
-     * @param most how many jobs it may name
+     * @param maxJobs how many jobs it may name
      */
-    JobCounts next(int most) {
-        String after = lastPagedJob;
+    JobCounts next(int maxJobs) {
+        String afterJob = lastPagedJob;
         Map<String, JobCounts.TaskCounts> page = new LinkedHashMap<>();
         lastPagedJob = "";
-        for (Job job : cluster.jobsAfter(after)) {
+        for (Job job : cluster.jobsAfter(afterJob)) {
             int running = job.runningCount();
             if (running > 0 || job.doneCount() > 0) {
-                if (page.size() == most) {
-                    return new JobCounts(after, lastPagedJob, page);
+                if (page.size() == maxJobs) {
+                    return new JobCounts(afterJob, lastPagedJob, page);
                 }
                 page.put(job.id(), new JobCounts.TaskCounts(job.doneCount(), running));
             }
             lastPagedJob = job.id();
         }
         lastPagedJob = "";
-        return new JobCounts(after, null, page);
+        return new JobCounts(afterJob, null, page);
     }
 }
--- a/src/main/java/io/quartzgw/app/LeaderRuntime.java
+++ b/src/main/java/io/quartzgw/app/LeaderRuntime.java
@@ -34,26 +34,25 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** All that this node does as the leader of one term; a later term starts with a new one. */
+/**
+ * Everything that this controller does as the leader of one term; a later term starts with a new one. It builds the
+ * leader's parts, passes events between them, and drives them once a batch and on a timer.
+ */
 final class LeaderRuntime {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderRuntime.class);
     private static final double TICK_LEASES = 0.03;
-    private static final int SILENT_HEARTBEATS = 2;
-    /** A takeover is short: it is worth more than the leases of so many workers. */
-    private static final double CUT_OFF_FRACTION = 0.25;
-
     private static final double FLEET_PAUSE_HEARTBEATS = 0.1;
-    /** After giving up for lack of reports, this node does not stand again for so long. */
+    /** After it resigned for lack of heartbeats, this controller is no candidate for this many intervals. */
     private static final int BACK_OFF_HEARTBEATS = 6;
+    /** The clocks of two controllers are each within the time bound of true time. */
+    private static final int CLOCKS_COMPARED = 2;
 
-    private final EventLoop kernel;
+    private final EventLoop eventLoop;
     private final Settings settings;
     private final Leadership leadership;
     private final JobStore jobs;
     private final CancellationRegistry cancellations;
     private final LeaderTerm term;
-    private final long electedAt;
-    private final PeerExchange peers;
     private final ClusterState cluster;
     private final AgentManager agents;
     private final ProgressRecorder progress;
@@ -63,84 +62,98 @@
     private final FleetManager fleet;
     private final OpenJobWatcher openJobs;
     private final JobCountPager countPages;
+    private final AgentReachability reachability;
     private boolean fleetStarted;
     private boolean fleetDue;
     private boolean fleetPaused;
 
-    /** @param formerAnswersUntil when a former leader can last answer a report */
-    LeaderRuntime(ControllerServices services, long formerAnswersUntil) {
-        this.kernel = services.kernel();
+    /** @param previousLeaderActiveUntil when a previous leader can last answer a heartbeat */
+    LeaderRuntime(ControllerServices services, long previousLeaderActiveUntil) {
+        this.eventLoop = services.eventLoop();
         this.settings = services.settings();
         this.leadership = services.leadership();
         this.jobs = services.jobs();
         this.cancellations = services.cancellations();
-        this.peers = services.peers();
+        PeerExchange peers = services.peers();
         this.term = new LeaderTerm(leadership);
-        this.electedAt = kernel.nowMs();
         StoreClient store = services.store();
-        MachineCatalog types = services.types();
-        long reportMs = settings.agentTiming().heartbeatMs();
-        RecoveryTiming recoveryTimes = RecoveryTiming.of(settings.agentTiming());
-        this.cluster = new ClusterState(kernel, term.fencingToken());
+        MachineCatalog catalog = services.catalog();
+        long heartbeatMs = settings.agentTiming().heartbeatMs();
+        RecoveryTiming recoveryTiming = RecoveryTiming.of(settings.agentTiming());
+        this.cluster = new ClusterState(eventLoop, term.fencingToken());
         this.agents = new AgentManager(
-                kernel,
+                eventLoop,
                 term,
                 cluster,
-                types,
+                catalog,
                 settings.agentTiming(),
                 Sockets.of(settings.sockets()).orders(),
                 cancellations::contains,
-                new FromWorkers());
-        this.progress = new ProgressRecorder(kernel, store, term, reportMs, new FromProgress());
+                new AgentEvents());
+        this.progress = new ProgressRecorder(eventLoop, store, term, heartbeatMs, new ProgressEvents());
         this.scheduler = newScheduler();
         this.records = new MachineRecords(
-                kernel, store, term, cluster, 2 * (long) settings.timeBoundMs(), agents::requestStarts);
-        this.fleet = newFleet(services.cloud(), types, recoveryTimes);
+                eventLoop,
+                store,
+                term,
+                cluster,
+                CLOCKS_COMPARED * (long) settings.timeBoundMs(),
+                agents::requestStarts);
+        this.fleet = newFleet(services.cloud(), catalog, recoveryTiming);
         this.openJobs = new OpenJobWatcher(
-                kernel, store, term, cluster, services.watermark(), reportMs, this::knownTerminal, this::terminate);
+                eventLoop,
+                store,
+                term,
+                cluster,
+                services.watermark(),
+                heartbeatMs,
+                this::knownTerminal,
+                this::terminate);
         this.countPages = new JobCountPager(cluster);
+        this.reachability = new AgentReachability(eventLoop, cluster, peers, heartbeatMs);
         this.recovery = new FailoverRecovery(
-                kernel,
+                eventLoop,
                 store,
                 term,
                 peers,
-                types,
+                catalog,
                 cluster,
                 agents,
                 progress,
                 records,
-                recoveryTimes,
-                formerAnswersUntil,
+                recoveryTiming,
+                previousLeaderActiveUntil,
                 this::knownTerminal,
                 openJobs);
     }
 
     private Scheduler newScheduler() {
         return new Scheduler(
-                kernel,
+                eventLoop,
                 cluster,
                 settings.teams(),
                 new ServiceLevelObjectives(settings.finishGoals(), settings.deadlineGoals(), settings.startGoals()),
                 reservedCpus(settings) > 0,
                 settings.agentTiming(),
                 this::cloudExhausted,
-                new ToWorkers());
+                new AgentTaskLauncher());
     }
 
-    private FleetManager newFleet(CloudClient cloud, MachineCatalog types, RecoveryTiming recoveryTimes) {
+    private FleetManager newFleet(CloudClient cloud, MachineCatalog catalog, RecoveryTiming recoveryTiming) {
         Consolidation consolidation = new Consolidation(
                 cluster,
                 scheduler::usable,
-                new ToWorkers(),
+                new AgentTaskLauncher(),
                 settings.agentTiming().leaseMs());
         FleetManager.Policy policy = new FleetManager.Policy(
                 reservedCpus(settings),
-                recoveryTimes.reservationMs(),
+                recoveryTiming.reservationMs(),
                 settings.cloudLimits().listLagMs());
-        return new FleetManager(kernel, cloud, term, cluster, types, records, consolidation, policy, agents::forget);
+        return new FleetManager(
+                eventLoop, cloud, term, cluster, catalog, records, consolidation, policy, agents::forget);
     }
 
-    // Where the guarantee is an aim, its room is there before the work comes.
+    // Where work within the guarantee has an objective, its capacity is rented before the work arrives.
     private static double reservedCpus(Settings settings) {
         return settings.hasObjective("guarantee")
                 ? settings.teams().values().stream()
@@ -149,7 +162,7 @@
                 : 0;
     }
 
-    // Asked by the scheduler, which is there before the fleet.
+    // The scheduler is built before the fleet that it asks.
     private boolean cloudExhausted() {
         return fleet.isExhausted();
     }
@@ -160,44 +173,34 @@
     }
 
     private void tick() {
-        if (term.isCurrent() && cutOffFromAgents()) {
-            LOG.info("many workers reach another controller, but not this one: giving up term {}", term.fencingToken());
-            leadership.resign(BACK_OFF_HEARTBEATS * settings.agentTiming().heartbeatMs());
+        if (term.isCurrent() && reachability.partitioned()) {
+            resign();
         }
         if (term.isCurrent()) {
-            kernel.after((long) (TICK_LEASES * settings.agentTiming().leaseMs()), this::tick);
+            eventLoop.after((long) (TICK_LEASES * settings.agentTiming().leaseMs()), this::tick);
             if (term.isConfirmed()) {
-                // Guards against judging machines by silence of this node's own: after standing still it has heard
-                // none of them, and another leader may have answered them meanwhile.
+                // A leader whose process was paused has received no heartbeat meanwhile, and another leader may have
+                // answered them: only a confirmed term may judge machines by their silence.
                 recovery.releaseExpiredReservations();
             }
             cluster.markChanged();
         }
     }
 
-    // A cut between this node and workers alone leaves its hold untouched, while their leases run out.
-    // The others see it: workers that get no answer here turn up there, and are reached from there.
-    private boolean cutOffFromAgents() {
-        long up = 0;
-        long silent = 0;
-        for (Machine machine : cluster.machines()) {
-            if (machine.status() == Machine.Status.UP && !machine.removeAllocation()) {
-                up++;
-                silent += kernel.nowMs() - Math.max(machine.liveness().lastResponseAt(), electedAt)
-                                < SILENT_HEARTBEATS * settings.agentTiming().heartbeatMs()
-                        ? 0
-                        : 1;
-            }
-        }
-        return silent > CUT_OFF_FRACTION * up && peers.agentsReachingOthers() > silent / 2;
+    private void resign() {
+        LOG.atInfo()
+                .addKeyValue("term", term.fencingToken())
+                .addKeyValue("reason", "agents_reach_another_controller")
+                .log("leader resigns");
+        leadership.resign(BACK_OFF_HEARTBEATS * settings.agentTiming().heartbeatMs());
     }
 
-    /** Answers a worker's report. */
-    ObjectNode handleHeartbeat(Heartbeat report) {
-        return agents.handleHeartbeat(report);
+    /** Answers an agent's heartbeat, which renews its lease. */
+    ObjectNode handleHeartbeat(Heartbeat heartbeat) {
+        return agents.handleHeartbeat(heartbeat);
     }
 
-    /** Decides on all that the batch has changed. */
+    /** Schedules, scales and sends what the batch has made due. */
     void afterBatch() {
         if (!term.isCurrent()) {
             return;
@@ -221,20 +224,20 @@
         }
     }
 
-    // Renting looks at everything, and a rental takes far longer than this pause.
+    // Scaling examines every machine and waiting job, and a rental takes far longer than this pause.
     private void scaleFleet() {
         if (fleetDue && !fleetPaused && term.isConfirmed()) {
             fleetPaused = true;
             fleetDue = fleet.scale(scheduler.unplaced(), recovery.isWindowClosed());
-            kernel.after(
+            eventLoop.after(
                     (long) (FLEET_PAUSE_HEARTBEATS * settings.agentTiming().heartbeatMs()), () -> fleetPaused = false);
         }
     }
 
     // ---- jobs
 
-    void jobAccepted(OpenJob open) {
-        openJobs.accepted(open);
+    void jobAccepted(OpenJob job) {
+        openJobs.accepted(job);
     }
 
     private boolean knownTerminal(String id) {
@@ -251,33 +254,33 @@
             return;
         }
         cluster.terminate(job);
-        for (Allocation booking : job.allocationsSnapshot()) {
-            agents.requestStop(booking, 0, StopReason.JOB_OVER);
+        for (Allocation allocation : job.allocationsSnapshot()) {
+            agents.requestStop(allocation, 0, StopReason.JOB_OVER);
         }
         agents.finishesRecorded(job);
         progress.forgetJob(id);
     }
 
-    /** The next page of counts for display. */
-    JobCounts nextCountPage(int most) {
-        return countPages.next(most);
+    /** The next page of task counts for display, of this many jobs at the most. */
+    JobCounts nextCountPage(int maxJobs) {
+        return countPages.next(maxJobs);
     }
 
-    // ---- between the slices
+    // ---- events between the parts
 
-    private final class ToWorkers implements TaskLauncher {
+    private final class AgentTaskLauncher implements TaskLauncher {
         @Override
-        public void start(Allocation booking) {
-            agents.requestStart(booking);
+        public void start(Allocation allocation) {
+            agents.requestStart(allocation);
         }
 
         @Override
-        public void stop(Allocation booking, double graceS, StopReason reason) {
-            agents.requestStop(booking, graceS, reason);
+        public void stop(Allocation allocation, double graceS, StopReason reason) {
+            agents.requestStop(allocation, graceS, reason);
         }
     }
 
-    private final class FromWorkers implements AgentManager.Listener {
+    private final class AgentEvents implements AgentManager.Listener {
         @Override
         public void taskFinished(Job job, int index) {
             progress.recordFinish(job, index);
@@ -294,7 +297,7 @@
         }
     }
 
-    private final class FromProgress implements ProgressRecorder.Listener {
+    private final class ProgressEvents implements ProgressRecorder.Listener {
         @Override
         public void startsRecorded(Job job) {
             agents.requestStarts(job);
@@ -306,8 +309,8 @@
         }
 
         @Override
-        public void jobCompleted(Job job, TerminalState phase) {
-            jobs.recordTerminal(job.id(), phase);
+        public void jobCompleted(Job job, TerminalState state) {
+            jobs.recordTerminal(job.id(), state);
             terminate(job.id());
         }
 
--- a/src/main/java/io/quartzgw/app/OpenJobWatcher.java
+++ b/src/main/java/io/quartzgw/app/OpenJobWatcher.java
@@ -15,57 +15,56 @@
 import java.util.function.Predicate;
 import java.util.stream.Collectors;
 
-/** Keeps the leader's open jobs in step with the state service: what it tells, and what other controllers tell. */
+/** Keeps the leader's open jobs in step with the state service, by its watch and by other controllers' notices. */
 final class OpenJobWatcher implements StoreClient.Watcher {
-    /** How long a follow waits: what it has told is known up to when it was asked. */
+    /** How long one poll of the watch may wait: its answer is complete up to the moment at which it was sent. */
     private static final double WATCH_HEARTBEATS = 0.6;
 
-    private final EventLoop kernel;
+    private final EventLoop eventLoop;
     private final StoreClient store;
     private final LeaderTerm term;
     private final ClusterState cluster;
     private final CancellationWatermark watermark;
-    private final long reportMs;
+    private final long heartbeatMs;
     private final Predicate<String> knownTerminal;
     private final Consumer<String> onTerminated;
     private long watchedRevision = Long.MAX_VALUE;
 
     /**
-     * @param knownTerminal whether a job is known to have ended, whatever is told of it
-     * @param onTerminated told of a job that is over in the state service
+     * @param knownTerminal whether a job is known to be cancelled or done, whatever else is read of it
+     * @param onTerminated receives the id of each job that is terminal in the state service
      */
     OpenJobWatcher(
-            EventLoop kernel,
+            EventLoop eventLoop,
             StoreClient store,
             LeaderTerm term,
             ClusterState cluster,
             CancellationWatermark watermark,
-            long reportMs,
-            Predicate<String> knownOver,
-            Consumer<String> ended) {
-        this.kernel = kernel;
+            long heartbeatMs,
+            Predicate<String> knownTerminal,
+            Consumer<String> onTerminated) {
+        this.eventLoop = eventLoop;
         this.store = store;
         this.term = term;
         this.cluster = cluster;
         this.watermark = watermark;
-        this.reportMs = reportMs;
-        this.knownTerminal = knownOver;
-        this.onTerminated = ended;
+        this.heartbeatMs = heartbeatMs;
+        this.knownTerminal = knownTerminal;
+        this.onTerminated = onTerminated;
     }
 
-    /** Takes the notice that a job was accepted. */
-    void accepted(OpenJob open) {
-        // A notice may be held up and come late, when the job is over already: what the follow has
-        // passed, it has told better.
-        if (open.revision() > watchedRevision) {
-            add(open);
+    /** Applies a notice that a job was accepted. */
+    void accepted(OpenJob job) {
+        // A notice may be delayed until the job is terminal: below its own revision the watch knows better.
+        if (job.revision() > watchedRevision) {
+            add(job);
         }
     }
 
-    // What is known to be over comes no more: a follow or a notice may tell of the acceptance after the end.
-    private void add(OpenJob open) {
-        if (!knownTerminal.test(open.spec().id())) {
-            cluster.add(open);
+    // The watch or a notice may bring the acceptance of a job after its end was known.
+    private void add(OpenJob job) {
+        if (!knownTerminal.test(job.spec().id())) {
+            cluster.add(job);
         }
     }
 
@@ -75,14 +74,14 @@
     }
 
     @Override
-    public void caughtUp(long revision, long at) {
+    public void caughtUp(long revision, long readAt) {
         watchedRevision = revision;
-        watermark.storeReadAt(at);
+        watermark.storeReadAt(readAt);
     }
 
     @Override
     public long pollMs() {
-        return (long) (WATCH_HEARTBEATS * reportMs);
+        return (long) (WATCH_HEARTBEATS * heartbeatMs);
     }
 
     @Override
@@ -98,15 +97,15 @@
 
     @Override
     public void onCompacted() {
-        store.list(JobKeys.OPEN, this::listed);
+        store.list(JobKeys.OPEN, this::applyListing);
     }
 
-    private void listed(StoreClient.Listing listing) {
+    private void applyListing(StoreClient.Listing listing) {
         if (!term.isCurrent()) {
             return;
         }
         if (listing == null) {
-            kernel.after(reportMs, this::onCompacted);
+            eventLoop.after(heartbeatMs, this::onCompacted);
             return;
         }
         List<OpenJob> open = listing.entries().stream()
@@ -117,7 +116,7 @@
         store.watch(JobKeys.OPEN, listing.revision(), listing.readAt(), this);
     }
 
-    // A job that was accepted before the listing and is not in it has ended meanwhile.
+    // A job that was accepted before the listing and is missing from it has become terminal meanwhile.
     private void terminateMissing(List<OpenJob> open, long revision) {
         Set<String> ids = open.stream().map(job -> job.spec().id()).collect(Collectors.toSet());
         List<String> missing = cluster.jobs().stream()
