--- a/src/main/java/io/quartzgw/app/ControllerProcess.java
+++ b/src/main/java/io/quartzgw/app/ControllerProcess.java
@@ -8,7 +8,7 @@
 import io.quartzgw.http.HttpServer;
 import io.quartzgw.http.ListenerKind;
 import io.quartzgw.http.Request;
-import io.quartzgw.http.Sockets;
+import io.quartzgw.http.SocketBudget;
 import io.undertow.connector.ByteBufferPool;
 import io.undertow.server.DefaultByteBufferPool;
 import java.io.IOException;
@@ -42,10 +42,10 @@
     ControllerProcess(Settings settings, long process) throws IOException {
         this.eventLoop = new EventLoop(process);
         this.controller = new Controller(eventLoop, settings, process, metrics::snapshot);
-        Sockets sockets = Sockets.of(settings.sockets());
+        SocketBudget sockets = SocketBudget.of(settings.sockets());
         // A client has one request under way: all that are connected may ask a new leader at once, and none of
         // them is better served by a refusal that sends it to another controller first.
-        this.eventLoopThread = new EventLoopThread(eventLoop, sockets.client(), this::perform);
+        this.eventLoopThread = new EventLoopThread(eventLoop, sockets.clientConnections(), this::perform);
         this.thread = new Thread(null, eventLoopThread, "owner", STACK_BYTES);
         this.ioWorker = Xnio.getInstance()
                 .createWorker(OptionMap.builder()
@@ -56,7 +56,7 @@
                         .set(Options.TCP_NODELAY, true)
                         .getMap());
         ByteBufferPool buffers = new DefaultByteBufferPool(true, BUFFER_BYTES, POOLED_BUFFERS, 4);
-        this.client = new HttpClient(ioWorker, buffers, sockets.kept());
+        this.client = new HttpClient(ioWorker, buffers, sockets.pooledConnections());
         this.server = new HttpServer(
                 ioWorker,
                 buffers,
--- a/src/main/java/io/quartzgw/app/LeaderRuntime.java
+++ b/src/main/java/io/quartzgw/app/LeaderRuntime.java
@@ -9,7 +9,7 @@
 import io.quartzgw.fleet.FleetManager;
 import io.quartzgw.fleet.MachineCatalog;
 import io.quartzgw.fleet.MachineRecords;
-import io.quartzgw.http.Sockets;
+import io.quartzgw.http.SocketBudget;
 import io.quartzgw.leadership.LeaderTerm;
 import io.quartzgw.leadership.Leadership;
 import io.quartzgw.leadership.PeerExchange;
@@ -87,7 +87,7 @@
                 cluster,
                 catalog,
                 settings.agentTiming(),
-                Sockets.of(settings.sockets()).orders(),
+                SocketBudget.of(settings.sockets()).agentCalls(),
                 cancellations::contains,
                 new AgentEvents());
         this.progress = new ProgressRecorder(eventLoop, store, term, heartbeatMs, new ProgressEvents());
@@ -132,7 +132,8 @@
                 eventLoop,
                 cluster,
                 settings.teams(),
-                new ServiceLevelObjectives(settings.finishGoals(), settings.deadlineGoals(), settings.startGoals()),
+                new ServiceLevelObjectives(
+                        settings.completionObjectives(), settings.deadlineObjectives(), settings.startObjectives()),
                 reservedCpus(settings) > 0,
                 settings.agentTiming(),
                 this::cloudExhausted,
--- a/src/main/java/io/quartzgw/app/Main.java
+++ b/src/main/java/io/quartzgw/app/Main.java
@@ -54,11 +54,11 @@
         Logger log = LoggerFactory.getLogger(Main.class);
         ControllerProcess service = new ControllerProcess(settings, processNumber(settings.member()));
         service.start();
-        log.info(
-                "{} serves users and workers on {}, controllers on {}",
-                settings.member(),
-                settings.clientListen(),
-                settings.peerListen());
+        log.atInfo()
+                .addKeyValue("member", settings.member())
+                .addKeyValue("client_listen", settings.clientListen())
+                .addKeyValue("peer_listen", settings.peerListen())
+                .log("controller started");
         service.join();
         return 0;
     }
--- a/src/main/java/io/quartzgw/app/Settings.java
+++ b/src/main/java/io/quartzgw/app/Settings.java
@@ -10,10 +10,10 @@
 import java.util.stream.Collectors;
 
 /**
- * What the platform hands over in the settings file, checked.
+ * The settings file that the platform hands over, validated.
  *
  * @param peers the other controllers' peer addresses by member name
- * @param objectives what is expected of each class of jobs
+ * @param objectives the service-level objectives of each class of jobs
  */
 public record Settings(
         String member,
@@ -35,35 +35,35 @@
         int sockets) {
 
     /**
-     * An aim that users state for a class of jobs; the class is empty where it holds for all.
+     * A service-level objective of a class of jobs; the class is empty where it holds for all.
      *
-     * @param times for a deadline, the multiple of it that is meant
+     * @param deadlineMultiple for a deadline, the multiple of the deadline that counts
      */
-    public record Objective(String kind, String workload, double withinS, double times, double share) {}
+    public record Objective(String kind, String jobClass, double withinS, double deadlineMultiple, double share) {}
 
     /** By class, the largest multiple of its jobs' deadlines within which they should be finished. */
-    public Map<String, Double> deadlineGoals() {
+    public Map<String, Double> deadlineObjectives() {
         return objectives.stream()
                 .filter(objective -> objective.kind().equals("deadline"))
-                .collect(Collectors.toMap(Objective::workload, Objective::times, Math::max));
+                .collect(Collectors.toMap(Objective::jobClass, Objective::deadlineMultiple, Math::max));
     }
 
     /** By class, the times from submission within which its jobs should be finished. */
-    public Map<String, List<Double>> finishGoals() {
+    public Map<String, List<Double>> completionObjectives() {
         return objectives.stream()
                 .filter(objective -> objective.kind().equals("finished"))
                 .collect(Collectors.groupingBy(
-                        Objective::workload, Collectors.mapping(Objective::withinS, Collectors.toList())));
+                        Objective::jobClass, Collectors.mapping(Objective::withinS, Collectors.toList())));
     }
 
     /** By class, the time from submission within which its tasks should be started. */
-    public Map<String, Double> startGoals() {
+    public Map<String, Double> startObjectives() {
         return objectives.stream()
                 .filter(objective -> objective.kind().equals("wait"))
-                .collect(Collectors.toMap(Objective::workload, Objective::withinS, Math::min));
+                .collect(Collectors.toMap(Objective::jobClass, Objective::withinS, Math::min));
     }
 
-    /** Whether an aim of this kind is stated. */
+    /** Whether there is an objective of this kind. */
     public boolean hasObjective(String kind) {
         return objectives.stream().anyMatch(objective -> objective.kind().equals(kind));
     }
--- a/src/main/java/io/quartzgw/app/SettingsReader.java
+++ b/src/main/java/io/quartzgw/app/SettingsReader.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
 import io.quartzgw.fleet.CloudLimits;
 import io.quartzgw.http.Endpoint;
-import io.quartzgw.http.Sockets;
+import io.quartzgw.http.SocketBudget;
 import io.quartzgw.leadership.LeadershipTiming;
 import io.quartzgw.liveness.AgentTiming;
 import io.quartzgw.model.TeamQuota;
@@ -18,13 +18,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads and checks the settings file; fields that it doesn't know are ignored. */
+/** Reads and validates the settings file; unknown fields are ignored. */
 public final class SettingsReader {
     private static final int BYTES_PER_KB = 1024;
 
     private SettingsReader() {}
 
-    /** Reads and checks a settings file; the exception names the first field that cannot be used. */
+    /** Reads and validates a settings file; the exception names the first unusable field. */
     public static Settings read(Path file) throws InvalidSettingsException {
         try {
             return read(Files.readString(file));
@@ -80,7 +80,7 @@
                         (int) atLeast(facts, "facts.state.txn_ops", 2)),
                 new CloudLimits(
                         positive(facts, "facts.cloud.rps"), millis(atLeast(facts, "facts.cloud.list_lag_s", 0))),
-                (int) atLeast(facts, "facts.limits.sockets", Sockets.least(peers.size())));
+                (int) atLeast(facts, "facts.limits.sockets", SocketBudget.minimumFor(peers.size())));
     }
 
     private static long millis(double seconds) {
--- a/src/main/java/io/quartzgw/eventloop/ClockReading.java
+++ b/src/main/java/io/quartzgw/eventloop/ClockReading.java
@@ -1,7 +1,7 @@
 package io.quartzgw.eventloop;
 
 /**
- * A moment as one node sees it.
+ * A moment as one controller's clocks show it.
  *
  * @param steadyMs milliseconds on this process's steady clock; only differences mean anything
  * @param wallClockMs milliseconds of the time of day, within the bound that the settings give
--- a/src/main/java/io/quartzgw/eventloop/CoalescedTask.java
+++ b/src/main/java/io/quartzgw/eventloop/CoalescedTask.java
@@ -1,21 +1,21 @@
 package io.quartzgw.eventloop;
 
-/** A task that waits for its time once: what is asked for while it waits is done along with it. */
+/** A task that is scheduled at most once at a time: requests that come while it waits are served by the same run. */
 public final class CoalescedTask {
-    private final EventLoop kernel;
+    private final EventLoop eventLoop;
     private final Runnable task;
     private boolean scheduled;
 
-    public CoalescedTask(EventLoop kernel, Runnable task) {
-        this.kernel = kernel;
+    public CoalescedTask(EventLoop eventLoop, Runnable task) {
+        this.eventLoop = eventLoop;
         this.task = task;
     }
 
-    /** Has the task run after a delay, unless it is waiting already. */
+    /** Schedules the task after a delay, unless it is scheduled already. */
     public void schedule(long delayMs) {
         if (!scheduled) {
             scheduled = true;
-            kernel.after(delayMs, () -> {
+            eventLoop.after(delayMs, () -> {
                 scheduled = false;
                 task.run();
             });
--- a/src/main/java/io/quartzgw/eventloop/Command.java
+++ b/src/main/java/io/quartzgw/eventloop/Command.java
@@ -3,10 +3,10 @@
 import io.quartzgw.http.Reply;
 import io.quartzgw.http.Request;
 
-/** What happens to a node. */
+/** An input of the event loop. */
 public sealed interface Command {
 
-    /** A request came in; it is owed exactly one {@link Effect.Answer}. */
+    /** A request arrived; it gets exactly one {@link Effect.Answer}. */
     record Arrived(Request request) implements Command {}
 
     /** An outbound call ended, with a response or without one. */
--- a/src/main/java/io/quartzgw/eventloop/Effect.java
+++ b/src/main/java/io/quartzgw/eventloop/Effect.java
@@ -3,7 +3,7 @@
 import io.quartzgw.http.Call;
 import io.quartzgw.http.Response;
 
-/** What a node does to the world outside its owner thread. */
+/** An output of the event loop, carried out outside its thread. */
 public sealed interface Effect {
 
     /** Answers an inbound request. */
--- a/src/main/java/io/quartzgw/eventloop/EventLoop.java
+++ b/src/main/java/io/quartzgw/eventloop/EventLoop.java
@@ -16,10 +16,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Time, timers, outbound calls and seeded randomness for the slices of one node.
+ * The deterministic core of one controller: time, timers, outbound calls, counters and seeded randomness.
  *
  * <p>Everything runs inside {@link #processBatch}: the same commands at the same times give the same effects. No method
- * may be called from any thread but the caller of {@code handle}.
+ * may be called from any other thread than the caller of {@code processBatch}.
  */
 public final class EventLoop {
     private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
@@ -28,10 +28,10 @@
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
     private final Map<Long, Consumer<Reply>> pendingCalls = new HashMap<>();
     private final List<Runnable> batchEndListeners = new ArrayList<>();
-    private Consumer<Request> router = request -> {};
+    private Consumer<Request> requestHandler = request -> {};
     private List<Effect> pendingEffects = new ArrayList<>();
-    private ClockReading time = new ClockReading(0, 0);
-    private long sequence;
+    private ClockReading clock = new ClockReading(0, 0);
+    private long lastSequence;
     private long failures;
     private final Map<String, Long> counters = new TreeMap<>();
 
@@ -39,22 +39,22 @@
         this.random = new SplittableRandom(seed);
     }
 
-    /** Names the receiver of inbound requests. */
-    public void onRequest(Consumer<Request> receiver) {
-        this.router = receiver;
+    /** Sets the handler of inbound requests. */
+    public void onRequest(Consumer<Request> handler) {
+        this.requestHandler = handler;
     }
 
-    /** Adds work to be done once at the end of every batch, when all its commands were applied. */
-    public void onBatchEnd(Runnable work) {
-        batchEndListeners.add(work);
+    /** Adds a listener that runs once at the end of every batch, when all its commands were applied. */
+    public void onBatchEnd(Runnable listener) {
+        batchEndListeners.add(listener);
     }
 
     public long nowMs() {
-        return time.steadyMs();
+        return clock.steadyMs();
     }
 
     public long wallClockMs() {
-        return time.wallClockMs();
+        return clock.wallClockMs();
     }
 
     public SplittableRandom random() {
@@ -63,7 +63,7 @@
 
     /** Schedules a task; tasks due at the same time run in the order in which they were scheduled. */
     public Timer after(long delayMs, Runnable task) {
-        Timer timer = new Timer(nowMs() + Math.max(0, delayMs), ++sequence, task);
+        Timer timer = new Timer(nowMs() + Math.max(0, delayMs), ++lastSequence, task);
         timers.add(timer);
         return timer;
     }
@@ -76,9 +76,9 @@
         });
     }
 
-    /** Starts an outbound call whose reply, or failure, is passed to {@code then} in a later batch. */
+    /** Starts an outbound call whose reply, or failure, is passed to {@code callback} in a later batch. */
     public void call(Call call, Consumer<Reply> callback) {
-        long id = ++sequence;
+        long id = ++lastSequence;
         pendingCalls.put(id, callback);
         pendingEffects.add(new Effect.Send(id, call));
     }
@@ -87,13 +87,13 @@
         pendingEffects.add(new Effect.Answer(exchange, response));
     }
 
-    /** Applies a batch of commands and the timers that are due, and returns what is to be done. */
+    /** Applies a batch of commands and the timers that are due, and returns the effects to carry out. */
     public List<Effect> processBatch(List<Command> batch, ClockReading now) {
-        time = now;
+        clock = now;
         for (Command command : batch) {
             runGuarded(() -> apply(command));
         }
-        while (!timers.isEmpty() && timers.peek().due <= time.steadyMs()) {
+        while (!timers.isEmpty() && timers.peek().dueMs <= clock.steadyMs()) {
             Timer timer = timers.poll();
             if (!timer.cancelled) {
                 runGuarded(timer.task);
@@ -110,7 +110,7 @@
         while (!timers.isEmpty() && timers.peek().cancelled) {
             timers.poll();
         }
-        return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().due;
+        return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().dueMs;
     }
 
     /** How many commands and tasks have failed; each is a defect. */
@@ -130,7 +130,7 @@
 
     private void apply(Command command) {
         if (command instanceof Command.Arrived arrived) {
-            router.accept(arrived.request());
+            requestHandler.accept(arrived.request());
         } else if (command instanceof Command.CallEnded ended) {
             Consumer<Reply> callback = pendingCalls.remove(ended.call());
             if (callback != null) {
@@ -139,27 +139,26 @@
         }
     }
 
-    // Guards the process against a defect in one command's handling: a scheduler that dies of one
-    // strange message would die of it again on every node.
+    // One defect must not end the process: a message that ends one controller would end every other one, too.
     private void runGuarded(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException e) {
             failures++;
-            LOG.error("a command failed", e);
+            LOG.atError().setCause(e).log("event handler failed");
         }
     }
 
     /** A task due at a moment; may be cancelled. */
     public static final class Timer implements Comparable<Timer> {
-        private final long due;
-        private final long order;
+        private final long dueMs;
+        private final long sequence;
         private final Runnable task;
         private boolean cancelled;
 
         private Timer(long due, long order, Runnable task) {
-            this.due = due;
-            this.order = order;
+            this.dueMs = due;
+            this.sequence = order;
             this.task = task;
         }
 
@@ -169,8 +168,8 @@
 
         @Override
         public int compareTo(Timer other) {
-            int byDue = Long.compare(due, other.due);
-            return byDue != 0 ? byDue : Long.compare(order, other.order);
+            int byDue = Long.compare(dueMs, other.dueMs);
+            return byDue != 0 ? byDue : Long.compare(sequence, other.sequence);
         }
     }
 }
--- a/src/main/java/io/quartzgw/eventloop/EventLoopThread.java
+++ b/src/main/java/io/quartzgw/eventloop/EventLoopThread.java
@@ -11,18 +11,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Runs a kernel on one thread, in batches.
+ * Runs an event loop on one thread, in batches.
  *
  * <p>Inbound requests wait in a small buffer; what does not fit is refused at once by the caller. Ends of outbound
- * calls are always taken, since the kernel bounds how many it starts.
+ * calls are always taken, since the event loop bounds how many it starts.
  */
 public final class EventLoopThread implements Runnable {
     private static final Logger LOG = LoggerFactory.getLogger(EventLoopThread.class);
     private static final long MAX_IDLE_MS = 1_000;
 
-    private final EventLoop kernel;
+    private final EventLoop eventLoop;
     private final Consumer<Effect> effectRunner;
-    private final BlockingQueue<Command> requests;
+    private final BlockingQueue<Command> requestBuffer;
     private final BlockingQueue<Command> commands = new LinkedBlockingQueue<>();
     private final int maxBatchSize;
     private volatile boolean stopRequested;
@@ -31,19 +31,19 @@
      * @param buffer how many inbound requests may wait
      * @param effectRunner carries out effects; must not block
      */
-    public EventLoopThread(EventLoop kernel, int buffer, Consumer<Effect> runner) {
-        this.kernel = kernel;
+    public EventLoopThread(EventLoop eventLoop, int buffer, Consumer<Effect> runner) {
+        this.eventLoop = eventLoop;
         this.effectRunner = runner;
         this.maxBatchSize = buffer;
-        this.requests = new ArrayBlockingQueue<>(buffer);
+        this.requestBuffer = new ArrayBlockingQueue<>(buffer);
     }
 
     /** Takes an inbound request, or says false when the buffer is full. */
     public boolean offerRequest(Command.Arrived arrived) {
-        if (!requests.offer(arrived)) {
+        if (!requestBuffer.offer(arrived)) {
             return false;
         }
-        commands.add(WAKE);
+        commands.add(WAKE_UP);
         return true;
     }
 
@@ -53,7 +53,7 @@
 
     public void stop() {
         stopRequested = true;
-        commands.add(WAKE);
+        commands.add(WAKE_UP);
     }
 
     public static ClockReading currentTime() {
@@ -66,22 +66,22 @@
         try {
             while (!stopRequested) {
                 long wait = Math.min(
-                        MAX_IDLE_MS, kernel.nextTimerAt() - currentTime().steadyMs());
+                        MAX_IDLE_MS, eventLoop.nextTimerAt() - currentTime().steadyMs());
                 Command first = wait > 0 ? commands.poll(wait, TimeUnit.MILLISECONDS) : commands.poll();
                 if (first != null) {
                     taken.add(first);
                     commands.drainTo(taken, maxBatchSize - 1);
                 }
-                taken.removeIf(command -> command == WAKE);
-                requests.drainTo(taken, maxBatchSize);
-                kernel.processBatch(taken, currentTime()).forEach(effectRunner);
+                taken.removeIf(command -> command == WAKE_UP);
+                requestBuffer.drainTo(taken, maxBatchSize);
+                eventLoop.processBatch(taken, currentTime()).forEach(effectRunner);
                 taken.clear();
             }
         } catch (InterruptedException e) {
-            LOG.info("owner thread interrupted, ending");
+            LOG.info("event loop interrupted");
             Thread.currentThread().interrupt();
         }
     }
 
-    private static final Command WAKE = new Command.CallEnded(0, null);
+    private static final Command WAKE_UP = new Command.CallEnded(0, null);
 }
--- a/src/main/java/io/quartzgw/http/Call.java
+++ b/src/main/java/io/quartzgw/http/Call.java
@@ -10,19 +10,19 @@
  */
 public record Call(Endpoint endpoint, String method, String path, String type, byte[] body, long timeoutMs) {
 
-    public static Call get(Endpoint to, String path, long timeoutMs) {
-        return new Call(to, "GET", path, null, null, timeoutMs);
+    public static Call get(Endpoint endpoint, String path, long timeoutMs) {
+        return new Call(endpoint, "GET", path, null, null, timeoutMs);
     }
 
-    public static Call delete(Endpoint to, String path, long timeoutMs) {
-        return new Call(to, "DELETE", path, null, null, timeoutMs);
+    public static Call delete(Endpoint endpoint, String path, long timeoutMs) {
+        return new Call(endpoint, "DELETE", path, null, null, timeoutMs);
     }
 
-    public static Call post(Endpoint to, String path, JsonNode body, long timeoutMs) {
-        return new Call(to, "POST", path, Response.JSON, Json.write(body), timeoutMs);
+    public static Call post(Endpoint endpoint, String path, JsonNode body, long timeoutMs) {
+        return new Call(endpoint, "POST", path, Response.JSON, Json.write(body), timeoutMs);
     }
 
-    public static Call postCbor(Endpoint to, String path, JsonNode body, long timeoutMs) {
-        return new Call(to, "POST", path, Response.CBOR, Json.writeCbor(body), timeoutMs);
+    public static Call postCbor(Endpoint endpoint, String path, JsonNode body, long timeoutMs) {
+        return new Call(endpoint, "POST", path, Response.CBOR, Json.writeCbor(body), timeoutMs);
     }
 }
--- a/src/main/java/io/quartzgw/http/Connector.java
+++ b/src/main/java/io/quartzgw/http/CancellableConnector.java
@@ -12,27 +12,27 @@
  * Stands for an I/O thread where Undertow's client opens connections on it, and keeps hold of the connection in the
  * making: the client itself has no way to give one up.
  */
-final class Connector extends XnioIoThread {
+final class CancellableConnector extends XnioIoThread {
     private final XnioIoThread thread;
-    private IoFuture<StreamConnection> lastOpened;
+    private IoFuture<StreamConnection> takeLastOpened;
 
-    Connector(XnioIoThread thread) {
+    CancellableConnector(XnioIoThread thread) {
         super(thread.getWorker(), thread.getNumber());
         this.thread = thread;
     }
 
     /** The connection whose opening was asked for last, or null when none was. */
-    IoFuture<StreamConnection> lastOpened() {
-        IoFuture<StreamConnection> last = lastOpened;
-        lastOpened = null;
+    IoFuture<StreamConnection> takeLastOpened() {
+        IoFuture<StreamConnection> last = takeLastOpened;
+        takeLastOpened = null;
         return last;
     }
 
     @Override
     public IoFuture<StreamConnection> openStreamConnection(
             SocketAddress destination, ChannelListener<? super StreamConnection> openListener, OptionMap options) {
-        lastOpened = thread.openStreamConnection(destination, openListener, options);
-        return lastOpened;
+        takeLastOpened = thread.openStreamConnection(destination, openListener, options);
+        return takeLastOpened;
     }
 
     @Override
--- a/src/main/java/io/quartzgw/http/HttpClient.java
+++ b/src/main/java/io/quartzgw/http/HttpClient.java
@@ -32,7 +32,7 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /**
- * Outbound calls over kept connections. All of it runs on one I/O thread; a call always ends in exactly one reply, at
+ * Outbound calls over pooled connections. All of it runs on one I/O thread; a call always ends in exactly one reply, at
  * its time-out at the latest.
  */
 public final class HttpClient {
@@ -40,40 +40,40 @@
     private static final long IDLE_MS = 30_000;
 
     private final XnioIoThread thread;
-    private final Connector connector;
+    private final CancellableConnector connector;
     private final ByteBufferPool buffers;
-    private final int mostIdle;
-    /** Kept connections, those that wait longest first. */
-    private final Set<Idle> idle = new LinkedHashSet<>();
+    private final int maxIdle;
+    /** Pooled connections, the longest idle first. */
+    private final Set<IdleConnection> idleConnections = new LinkedHashSet<>();
 
-    private final Map<Endpoint, Deque<Idle>> idleTo = new HashMap<>();
+    private final Map<Endpoint, Deque<IdleConnection>> idleByEndpoint = new HashMap<>();
 
-    /** @param mostIdle how many connections are kept at the most: each takes one of the node's sockets */
-    public HttpClient(XnioWorker worker, ByteBufferPool buffers, int mostIdle) {
+    /** @param maxIdle the most idle connections in the pool; each takes a socket */
+    public HttpClient(XnioWorker worker, ByteBufferPool buffers, int maxIdle) {
         this.thread = worker.getIoThread(0);
-        this.connector = new Connector(thread);
+        this.connector = new CancellableConnector(thread);
         this.buffers = buffers;
-        this.mostIdle = mostIdle;
+        this.maxIdle = maxIdle;
     }
 
-    /** Starts a call; callable from any thread. */
-    public void send(Call call, Consumer<Reply> then) {
-        thread.execute(() -> new Attempt(call, then).start());
+    /** Starts a call; may be called from any thread. */
+    public void send(Call call, Consumer<Reply> callback) {
+        thread.execute(() -> new PendingCall(call, callback).start());
     }
 
-    /** A kept connection; each is one of a kind, whatever it leads to. */
-    private static final class Idle {
-        private final Endpoint to;
+    /** A pooled connection, compared by identity. */
+    private static final class IdleConnection {
+        private final Endpoint endpoint;
         private final ClientConnection connection;
-        private final long since = nowMs();
+        private final long idleSinceMs = nowMs();
 
-        Idle(Endpoint to, ClientConnection connection) {
-            this.to = to;
+        IdleConnection(Endpoint to, ClientConnection connection) {
+            this.endpoint = to;
             this.connection = connection;
         }
 
         boolean usable() {
-            return connection.isOpen() && nowMs() - since < IDLE_MS;
+            return connection.isOpen() && nowMs() - idleSinceMs < IDLE_MS;
         }
     }
 
@@ -81,11 +81,11 @@
         return System.nanoTime() / 1_000_000;
     }
 
-    private ClientConnection kept(Endpoint to) {
-        Deque<Idle> connections = idleTo.get(to);
+    private ClientConnection takeIdle(Endpoint endpoint) {
+        Deque<IdleConnection> connections = idleByEndpoint.get(endpoint);
         while (connections != null && !connections.isEmpty()) {
-            Idle last = connections.peekLast();
-            forget(last);
+            IdleConnection last = connections.peekLast();
+            removeIdle(last);
             if (last.usable()) {
                 return last.connection;
             }
@@ -94,60 +94,60 @@
         return null;
     }
 
-    private void keep(Endpoint to, ClientConnection connection) {
-        Idle kept = new Idle(to, connection);
-        idle.add(kept);
-        idleTo.computeIfAbsent(to, key -> new ArrayDeque<>()).addLast(kept);
-        // The oldest go first, so that hundreds of workers that were ordered something once, or a burst's
-        // extra connections, don't hold the sockets that new ones need.
-        while (!idle.isEmpty()) {
-            Idle oldest = idle.iterator().next();
-            if (idle.size() <= mostIdle && oldest.usable()) {
+    private void addIdle(Endpoint endpoint, ClientConnection connection) {
+        IdleConnection added = new IdleConnection(endpoint, connection);
+        idleConnections.add(added);
+        idleByEndpoint.computeIfAbsent(endpoint, key -> new ArrayDeque<>()).addLast(added);
+        // The oldest are closed first, so that connections to hundreds of agents that were called once, or those of
+        // a burst, don't take the sockets that new ones need.
+        while (!idleConnections.isEmpty()) {
+            IdleConnection oldest = idleConnections.iterator().next();
+            if (idleConnections.size() <= maxIdle && oldest.usable()) {
                 return;
             }
-            forget(oldest);
+            removeIdle(oldest);
             IoUtils.safeClose(oldest.connection);
         }
     }
 
-    private void forget(Idle kept) {
-        idle.remove(kept);
-        Deque<Idle> connections = idleTo.get(kept.to);
-        connections.remove(kept);
+    private void removeIdle(IdleConnection removed) {
+        idleConnections.remove(removed);
+        Deque<IdleConnection> connections = idleByEndpoint.get(removed.endpoint);
+        connections.remove(removed);
         if (connections.isEmpty()) {
-            idleTo.remove(kept.to);
+            idleByEndpoint.remove(removed.endpoint);
         }
     }
 
-    private final class Attempt {
+    private final class PendingCall {
         private final Call call;
-        private final Consumer<Reply> then;
+        private final Consumer<Reply> callback;
         private final XnioExecutor.Key timeout;
         private final ByteArrayOutputStream received = new ByteArrayOutputStream();
-        private IoFuture<StreamConnection> opening;
+        private IoFuture<StreamConnection> connecting;
         private ClientConnection connection;
         private boolean done;
 
-        Attempt(Call call, Consumer<Reply> then) {
+        PendingCall(Call call, Consumer<Reply> then) {
             this.call = call;
-            this.then = then;
+            this.callback = then;
             this.timeout = thread.executeAfter(this::fail, call.timeoutMs(), TimeUnit.MILLISECONDS);
         }
 
         void start() {
-            ClientConnection open = kept(call.endpoint());
+            ClientConnection open = takeIdle(call.endpoint());
             if (open != null) {
                 connected(open);
                 return;
             }
             URI uri = URI.create("http://" + call.endpoint());
-            UndertowClient.getInstance().connect(callback(this::connected), uri, connector, buffers, OptionMap.EMPTY);
-            opening = connector.lastOpened();
+            UndertowClient.getInstance().connect(onSuccess(this::connected), uri, connector, buffers, OptionMap.EMPTY);
+            connecting = connector.takeLastOpened();
         }
 
         private void connected(ClientConnection open) {
             if (done) {
-                // The call was given up while its connection was being made.
+                // The call timed out while its connection was being opened.
                 IoUtils.safeClose(open);
                 return;
             }
@@ -159,11 +159,11 @@
                 request.getRequestHeaders().put(Headers.CONTENT_TYPE, call.type());
                 request.getRequestHeaders().put(Headers.CONTENT_LENGTH, call.body().length);
             }
-            connection.sendRequest(request, callback(this::requestStarted));
+            connection.sendRequest(request, onSuccess(this::requestStarted));
         }
 
         private void requestStarted(ClientExchange exchange) {
-            exchange.setResponseListener(callback(this::responseStarted));
+            exchange.setResponseListener(onSuccess(this::responseStarted));
             if (call.body() != null) {
                 ByteBuffer body = ByteBuffer.wrap(call.body());
                 StreamSinkChannel sink = exchange.getRequestChannel();
@@ -231,9 +231,9 @@
             if (closes) {
                 IoUtils.safeClose(connection);
             } else {
-                keep(call.endpoint(), connection);
+                addIdle(call.endpoint(), connection);
             }
-            then.accept(new Reply(exchange.getResponse().getResponseCode(), received.toByteArray()));
+            callback.accept(new Reply(exchange.getResponse().getResponseCode(), received.toByteArray()));
         }
 
         private void fail() {
@@ -242,15 +242,15 @@
             }
             done = true;
             timeout.remove();
-            if (opening != null) {
+            if (connecting != null) {
                 // Connecting to a machine that is cut off hangs, and would hold a socket long after the call.
-                opening.cancel();
+                connecting.cancel();
             }
             IoUtils.safeClose(connection);
-            then.accept(Reply.lost());
+            callback.accept(Reply.lost());
         }
 
-        private <T> ClientCallback<T> callback(Consumer<T> next) {
+        private <T> ClientCallback<T> onSuccess(Consumer<T> next) {
             return new ClientCallback<>() {
                 @Override
                 public void completed(T result) {
--- a/src/main/java/io/quartzgw/http/HttpServer.java
+++ b/src/main/java/io/quartzgw/http/HttpServer.java
@@ -21,49 +21,49 @@
 import org.xnio.XnioWorker;
 
 /**
- * Both listeners of a node. A whole request goes to the receiver; when the receiver has no room left, the client is
- * told at once to come back.
+ * The two listeners of a controller. Each complete request goes to the receiver; while the receiver's buffer is full,
+ * clients get 503 at once.
  */
 public final class HttpServer {
     /** The protocol's bound on a request body. */
-    public static final long MAX_BODY = 64 * 1024;
+    public static final long MAX_BODY_BYTES = 64 * 1024;
 
     private static final int SLOW_REQUEST_MS = 5_000;
     private static final int BUSY_RETRY_S = 1;
 
     private final Undertow undertow;
-    private final Sockets sockets;
+    private final SocketBudget socketBudget;
     private final Predicate<Request> receiver;
-    private final Map<Long, HttpServerExchange> open = new ConcurrentHashMap<>();
-    private final AtomicLong exchanges = new AtomicLong();
-    private volatile ConnectorStatistics clients;
+    private final Map<Long, HttpServerExchange> openExchanges = new ConcurrentHashMap<>();
+    private final AtomicLong lastExchangeId = new AtomicLong();
+    private volatile ConnectorStatistics clientStatistics;
 
     /**
-     * @param sockets what the client listener may hold; room is left for all others
+     * @param socketBudget what the client listener may hold; room is left for all others
      * @param idleMs how long a connection may be without a request
-     * @param receiver takes a request, or says false when it has no room
+     * @param receiver accepts a request, or returns false while its buffer is full
      */
     public HttpServer(
             XnioWorker worker,
             ByteBufferPool buffers,
             Endpoint client,
             Endpoint peer,
-            Sockets sockets,
+            SocketBudget sockets,
             int idleMs,
             Predicate<Request> receiver) {
-        this.sockets = sockets;
+        this.socketBudget = sockets;
         this.receiver = receiver;
         this.undertow = Undertow.builder()
                 .setWorker(worker)
                 .setByteBufferPool(buffers)
                 .setSocketOption(Options.REUSE_ADDRESSES, true)
-                .setSocketOption(Options.BACKLOG, sockets.waiting())
-                .setSocketOption(Options.CONNECTION_HIGH_WATER, sockets.client())
-                .setSocketOption(Options.CONNECTION_LOW_WATER, sockets.client())
+                .setSocketOption(Options.BACKLOG, sockets.acceptBacklog())
+                .setSocketOption(Options.CONNECTION_HIGH_WATER, sockets.clientConnections())
+                .setSocketOption(Options.CONNECTION_LOW_WATER, sockets.clientConnections())
                 .setServerOption(UndertowOptions.ENABLE_STATISTICS, true)
                 .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, idleMs)
                 .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, SLOW_REQUEST_MS)
-                .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, MAX_BODY)
+                .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, MAX_BODY_BYTES)
                 .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
                 .setServerOption(UndertowOptions.DECODE_URL, false)
                 .addHttpListener(client.port(), client.host(), exchange -> receive(exchange, ListenerKind.CLIENT))
@@ -73,14 +73,14 @@
 
     public void start() {
         undertow.start();
-        clients = listener(ListenerKind.CLIENT).getConnectorStatistics();
+        clientStatistics = listener(ListenerKind.CLIENT).getConnectorStatistics();
     }
 
     public void stop() {
         undertow.stop();
     }
 
-    /** The port that a listener got; for settings that ask for port 0. */
+    /** The port that a listener is bound to; settings may ask for port 0. */
     public int port(ListenerKind listener) {
         return ((InetSocketAddress) listener(listener).getAddress()).getPort();
     }
@@ -91,18 +91,18 @@
 
     /** Answers an exchange; callable from any thread. */
     public void answer(long id, Response response) {
-        HttpServerExchange exchange = open.remove(id);
+        HttpServerExchange exchange = openExchanges.remove(id);
         if (exchange != null) {
             exchange.getIoThread().execute(() -> send(exchange, response));
         }
     }
 
     private void receive(HttpServerExchange exchange, ListenerKind listener) {
-        if (exchange.getRequestContentLength() > MAX_BODY) {
-            refuse(exchange);
+        if (exchange.getRequestContentLength() > MAX_BODY_BYTES) {
+            rejectTooLarge(exchange);
             return;
         }
-        XnioExecutor.Key slow = exchange.isRequestComplete()
+        XnioExecutor.Key bodyTimeout = exchange.isRequestComplete()
                 ? null
                 : exchange.getIoThread()
                         .executeAfter(
@@ -113,24 +113,24 @@
         exchange.getRequestReceiver()
                 .receiveFullBytes(
                         (complete, body) -> {
-                            if (slow != null) {
-                                slow.remove();
+                            if (bodyTimeout != null) {
+                                bodyTimeout.remove();
                             }
-                            complete.dispatch(SameThreadExecutor.INSTANCE, () -> take(complete, listener, body));
+                            complete.dispatch(SameThreadExecutor.INSTANCE, () -> passOn(complete, listener, body));
                         },
                         (failed, error) -> {
-                            if (slow != null) {
-                                slow.remove();
+                            if (bodyTimeout != null) {
+                                bodyTimeout.remove();
                             }
-                            refuse(failed);
+                            rejectTooLarge(failed);
                         });
     }
 
-    private void take(HttpServerExchange exchange, ListenerKind listener, byte[] body) {
-        long id = exchanges.incrementAndGet();
-        open.put(id, exchange);
+    private void passOn(HttpServerExchange exchange, ListenerKind listener, byte[] body) {
+        long id = lastExchangeId.incrementAndGet();
+        openExchanges.put(id, exchange);
         exchange.addExchangeCompleteListener((ended, next) -> {
-            open.remove(id);
+            openExchanges.remove(id);
             next.proceed();
         });
         Request request = new Request(
@@ -145,9 +145,9 @@
         }
     }
 
-    private void refuse(HttpServerExchange exchange) {
+    private void rejectTooLarge(HttpServerExchange exchange) {
         exchange.setPersistent(false);
-        send(exchange, Response.error(413, "a request body may be at most " + MAX_BODY + " bytes"));
+        send(exchange, Response.error(413, "a request body may be at most " + MAX_BODY_BYTES + " bytes"));
     }
 
     private void send(HttpServerExchange exchange, Response response) {
@@ -155,7 +155,7 @@
             return;
         }
         // Guards accepting: with more clients than sockets, those that are answered make room for those that wait.
-        if (clients != null && clients.getActiveConnections() > sockets.lasting()) {
+        if (clientStatistics != null && clientStatistics.getActiveConnections() > socketBudget.keepAliveConnections()) {
             exchange.setPersistent(false);
         }
         exchange.setStatusCode(response.status());
--- a/src/main/java/io/quartzgw/http/Json.java
+++ b/src/main/java/io/quartzgw/http/Json.java
@@ -12,7 +12,7 @@
 
 /** Jackson trees to and from bytes: JSON on the protocol's interfaces, CBOR between controllers. */
 public final class Json {
-    // Trees, not bound classes: reflection on a dozen record types costs a starting node more of
+    // Trees, not bound classes: reflection on a dozen record types costs a starting controller more of
     // its share of a core than all its other work.
     private static final ObjectMapper JSON = new ObjectMapper().enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
     private static final ObjectMapper CBOR = new CBORMapper();
--- a/src/main/java/io/quartzgw/http/package-info.java
+++ b/src/main/java/io/quartzgw/http/package-info.java
@@ -1,5 +1,5 @@
 /**
- * HTTP plumbing: one XNIO worker serves inbound requests (Undertow) and outbound calls (UndertowClient), and hands both
- * to the owner thread as plain records.
+ * HTTP and JSON plumbing: one XNIO I/O thread serves inbound requests (Undertow) and outbound calls (UndertowClient) and
+ * exchanges them with the event loop as immutable records. Owns connections and sockets, and nothing of the cluster.
  */
 package io.quartzgw.http;
--- a/src/test/java/io/quartzgw/app/SettingsReaderTest.java
+++ b/src/test/java/io/quartzgw/app/SettingsReaderTest.java
@@ -57,7 +57,7 @@
         Settings settings = SettingsReader.read(GOOD);
         assertEquals("rig-0", settings.member());
         assertEquals(16_000, settings.agentTiming().leaseMs());
-        assertEquals(Map.of("c", List.of(60.0)), settings.finishGoals());
+        assertEquals(Map.of("c", List.of(60.0)), settings.completionObjectives());
         assertEquals(1, settings.peers().size());
     }
 
--- a/src/test/java/io/quartzgw/http/HttpServerTest.java
+++ b/src/test/java/io/quartzgw/http/HttpServerTest.java
@@ -32,7 +32,7 @@
                 new DefaultByteBufferPool(true, 8 * 1024),
                 new Endpoint("127.0.0.1", 0),
                 new Endpoint("127.0.0.1", 0),
-                new Sockets(8, 8, 6, 1, 1),
+                new SocketBudget(8, 8, 6, 1, 1),
                 PATIENCE_MS,
                 request -> {
                     server[0].answer(request.exchange(), Response.error(200, "none"));
