--- /dev/null
+++ b/src/test/java/io/quartzgw/docs/DocumentationTest.java
@@ -0,0 +1,80 @@
+package io.quartzgw.docs;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Set;
+import java.util.TreeSet;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import java.util.stream.Collectors;
+import java.util.stream.Stream;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** Every class, and every test method, that a page names in code font exists in the sources. */
+class DocumentationTest {
+    private static final Path SOURCES = Path.of("src");
+    /** Code spans on one line, such as {@code `agent.Heartbeat`}. */
+    private static final Pattern CODE_SPAN = Pattern.compile("`([^`\n]+)`");
+    /** A class, perhaps behind its package, perhaps with a member; an ellipsis shortens a member's name. */
+    private static final Pattern CLASS_NAME =
+            Pattern.compile("(?:([a-z]+)\\.)?([A-Z][A-Za-z0-9]*[a-z][A-Za-z0-9]*)(?:[.#]([a-z]\\w*)(?:…)?)?");
+    /** Names in code font that look like classes and are none of the program's. */
+    private static final Set<String> OTHERS = Set.of("Retry-After");
+
+    private static final Set<String> CLASSES = sourceFiles()
+            .map(file -> file.getFileName().toString().replace(".java", ""))
+            .collect(Collectors.toSet());
+
+    private static Stream<Path> sourceFiles() {
+        try (Stream<Path> files = Files.walk(SOURCES)) {
+            return files.filter(file -> file.toString().endsWith(".java")).toList().stream();
+        } catch (IOException e) {
+            throw new java.io.UncheckedIOException(e);
+        }
+    }
+
+    @ParameterizedTest
+    @ValueSource(strings = {"README.md", "KNOWN-RED.txt", "docs/architecture.md", "docs/design.md"})
+    void everyClassThatAPageNamesExists(String page) throws IOException {
+        Set<String> unknown = new TreeSet<>();
+        Matcher span = CODE_SPAN.matcher(Files.readString(Path.of(page)));
+        while (span.find()) {
+            Matcher name = CLASS_NAME.matcher(span.group(1));
+            if (name.matches()
+                    && !OTHERS.contains(span.group(1))
+                    && !exists(name.group(1), name.group(2), name.group(3))) {
+                unknown.add(span.group(1));
+            }
+        }
+        assertEquals(Set.of(), unknown);
+    }
+
+    @ParameterizedTest
+    @ValueSource(strings = {"docs/architecture.md", "docs/design.md"})
+    void thePageNamesClassesAtAll(String page) throws IOException {
+        assertFalse(
+                CODE_SPAN.matcher(Files.readString(Path.of(page))).results().noneMatch(span -> CLASS_NAME
+                        .matcher(span.group(1))
+                        .matches()),
+                "a page without names would pass the other test for nothing");
+    }
+
+    private static boolean exists(String packageName, String className, String member) throws IOException {
+        if (!CLASSES.contains(className)) {
+            return false;
+        }
+        String file = className + ".java";
+        Path source = sourceFiles()
+                .filter(path -> path.getFileName().toString().equals(file))
+                .filter(path -> packageName == null
+                        || path.getParent().getFileName().toString().equals(packageName))
+                .findFirst()
+                .orElse(null);
+        return source != null && (member == null || Files.readString(source).contains(" " + member));
+    }
+}
