--- a/src/main/java/io/quartzgw/cancellation/CancellationRegistry.java
+++ b/src/main/java/io/quartzgw/cancellation/CancellationRegistry.java
@@ -24,15 +24,15 @@
     /** At 24 bytes each, with the age, a message stays below 64 KiB beside all else that it says. */
     private static final int MAX_ANNOUNCED = 1_500;
 
-    private final EventLoop kernel;
+    private final EventLoop eventLoop;
     private final long announcedMs;
     private final long retainedMs;
     private final Map<String, Long> cancelledAt = new LinkedHashMap<>();
     private Consumer<String> listener = job -> {};
 
     /** @param cancelMs how long after a cancellation its tasks may still run */
-    public CancellationRegistry(EventLoop kernel, long cancelMs) {
-        this.kernel = kernel;
+    public CancellationRegistry(EventLoop eventLoop, long cancelMs) {
+        this.eventLoop = eventLoop;
         this.announcedMs = (long) (ANNOUNCED_LIMITS * cancelMs);
         this.retainedMs = (long) (RETAINED_LIMITS * cancelMs);
     }
@@ -60,7 +60,7 @@
 
     private boolean record(String job, long ageMs) {
         expire();
-        if (ageMs >= retainedMs || cancelledAt.putIfAbsent(job, kernel.nowMs() - ageMs) != null) {
+        if (ageMs >= retainedMs || cancelledAt.putIfAbsent(job, eventLoop.nowMs() - ageMs) != null) {
             return false;
         }
         listener.accept(job);
@@ -70,7 +70,7 @@
     private void expire() {
         // Nearly in the order of their times: those from other controllers are a little older.
         Iterator<Long> oldest = cancelledAt.values().iterator();
-        while (oldest.hasNext() && kernel.nowMs() - oldest.next() > retainedMs) {
+        while (oldest.hasNext() && eventLoop.nowMs() - oldest.next() > retainedMs) {
             oldest.remove();
         }
     }
@@ -83,7 +83,7 @@
         ObjectNode announced = Json.object();
         boolean complete = true;
         for (Map.Entry<String, Long> entry : cancelledAt.entrySet()) {
-            long age = kernel.nowMs() - entry.getValue();
+            long age = eventLoop.nowMs() - entry.getValue();
             if (age < announcedMs) {
                 complete = announced.size() < MAX_ANNOUNCED;
                 if (!complete) {
--- a/src/main/java/io/quartzgw/cancellation/CancellationWatermark.java
+++ b/src/main/java/io/quartzgw/cancellation/CancellationWatermark.java
@@ -18,7 +18,7 @@
 public final class CancellationWatermark {
     private static final long NEVER = Long.MIN_VALUE / 2;
 
-    private final EventLoop kernel;
+    private final EventLoop eventLoop;
     private final long cancelMs;
     private final long startedAt;
     private final Map<String, Peer> peers = new HashMap<>();
@@ -48,17 +48,17 @@
     }
 
     /** @param others the names of the other controllers */
-    public CancellationWatermark(EventLoop kernel, long cancelMs, Collection<String> others) {
-        this.kernel = kernel;
+    public CancellationWatermark(EventLoop eventLoop, long cancelMs, Collection<String> others) {
+        this.eventLoop = eventLoop;
         this.cancelMs = cancelMs;
-        this.startedAt = kernel.nowMs();
+        this.startedAt = eventLoop.nowMs();
         this.ownGap = new Gap(NEVER, startedAt, startedAt + cancelMs);
         others.forEach(name -> peers.put(name, new Peer()));
     }
 
     /** How long this process has run. */
     public long uptimeMs() {
-        return kernel.nowMs() - startedAt;
+        return eventLoop.nowMs() - startedAt;
     }
 
     /** A new term: what an earlier one has read is not in its cluster state. */
@@ -83,10 +83,10 @@
         if (!peer.answered || peer.process != process) {
             long unknownFrom = peer.knownUntil;
             // Two restarts may hide between two answers, and a second one must not hide the first one's gap.
-            if (peer.gap != null && kernel.nowMs() < peer.gap.settledAt) {
+            if (peer.gap != null && eventLoop.nowMs() < peer.gap.settledAt) {
                 unknownFrom = Math.min(unknownFrom, peer.gap.unknownFrom);
             }
-            peer.gap = new Gap(unknownFrom, kernel.nowMs(), kernel.nowMs() - uptimeMs + cancelMs);
+            peer.gap = new Gap(unknownFrom, eventLoop.nowMs(), eventLoop.nowMs() - uptimeMs + cancelMs);
             peer.answered = true;
             peer.process = process;
             peer.knownUntil = NEVER;
@@ -98,7 +98,7 @@
 
     /** @param confirmedAt the last moment at which this node surely held its term; what was read later doesn't count */
     public long knownUntil(long confirmedAt) {
-        long knownUntil = isOpen(ownGap) ? ownGap.unknownFrom : kernel.nowMs();
+        long knownUntil = isOpen(ownGap) ? ownGap.unknownFrom : eventLoop.nowMs();
         for (Peer peer : peers.values()) {
             knownUntil = Math.min(
                     knownUntil,
@@ -110,6 +110,6 @@
     }
 
     private boolean isOpen(Gap gap) {
-        return gap.noticedAt > storeReadAt && kernel.nowMs() < gap.settledAt;
+        return gap.noticedAt > storeReadAt && eventLoop.nowMs() < gap.settledAt;
     }
 }
--- a/src/main/java/io/quartzgw/leadership/Leadership.java
+++ b/src/main/java/io/quartzgw/leadership/Leadership.java
@@ -42,9 +42,9 @@
         void leadershipLost();
     }
 
-    private final EventLoop kernel;
+    private final EventLoop eventLoop;
     private final StoreClient store;
-    private final LeadershipTiming times;
+    private final LeadershipTiming timing;
     private final String member;
     private final long process;
     private final CancellationWatermark watermark;
@@ -68,15 +68,15 @@
 
     /** @param process number of this process, which no other process of the member has */
     public Leadership(
-            EventLoop kernel,
+            EventLoop eventLoop,
             StoreClient store,
-            LeadershipTiming times,
+            LeadershipTiming timing,
             String member,
             long process,
             CancellationWatermark watermark) {
-        this.kernel = kernel;
+        this.eventLoop = eventLoop;
         this.store = store;
-        this.times = times;
+        this.timing = timing;
         this.member = member;
         this.process = process;
         this.watermark = watermark;
@@ -86,7 +86,7 @@
     public void start(Listener listener) {
         this.listener = listener;
         watchLeaderRecord();
-        kernel.every(times.leaseMs() / RENEWALS_PER_LEASE, this::renewLease);
+        eventLoop.every(timing.leaseMs() / RENEWALS_PER_LEASE, this::renewLease);
     }
 
     public boolean leading() {
@@ -99,7 +99,7 @@
 
     /** Whether this node surely still holds its term: nobody else can have been elected. */
     public boolean isConfirmed() {
-        return leading && kernel.nowMs() < leaseConfirmedAt + (long) (times.leaseMs() * TRUSTED_LEASE_FRACTION);
+        return leading && eventLoop.nowMs() < leaseConfirmedAt + (long) (timing.leaseMs() * TRUSTED_LEASE_FRACTION);
     }
 
     /**
@@ -108,7 +108,7 @@
      * doesn't know. That holds from the election on, also while hard state is being read.
      */
     public boolean mayRenewAgentLeases() {
-        return leading && kernel.nowMs() < watermark.knownUntil(leaseConfirmedAt) + times.graceMs();
+        return leading && eventLoop.nowMs() < watermark.knownUntil(leaseConfirmedAt) + timing.graceMs();
     }
 
     /** The revision of the term key under this node's term. */
@@ -133,10 +133,10 @@
     /** Gives the term up to another node, and does not stand again for a while. */
     public void resign(long backOffMs) {
         if (leading) {
-            backOffUntil = kernel.nowMs() + backOffMs;
+            backOffUntil = eventLoop.nowMs() + backOffMs;
             stepDown();
             watchLeaderRecord();
-            kernel.after(backOffMs, this::evaluateCandidacy);
+            eventLoop.after(backOffMs, this::evaluateCandidacy);
         }
     }
 
@@ -180,7 +180,7 @@
                 return;
             }
             if (listing == null) {
-                kernel.after(RETRY_MS, () -> {
+                eventLoop.after(RETRY_MS, () -> {
                     if (watchId == watchGeneration) {
                         watchLeaderRecord();
                     }
@@ -244,7 +244,7 @@
                 && leaderRecord.term() == storedTerm
                 && leaderRecord.term() > term) {
             // A campaign whose answer was lost, or that was applied late, has won.
-            becomeLeader(leaderRecord.term(), leaderRecord.leaseId(), kernel.nowMs() - times.leaseMs());
+            becomeLeader(leaderRecord.term(), leaderRecord.leaseId(), eventLoop.nowMs() - timing.leaseMs());
         }
     }
 
@@ -260,25 +260,25 @@
     // ---- campaigning
 
     private void scheduleCampaign() {
-        if (campaigning || kernel.nowMs() < backOffUntil) {
+        if (campaigning || eventLoop.nowMs() < backOffUntil) {
             return;
         }
         campaigning = true;
         LOG.debug("standing for term {}, the record names {}", Math.max(storedTerm, highestTerm) + 1, leaderRecord);
-        kernel.after(kernel.random().nextInt(CAMPAIGN_JITTER_MS), this::campaign);
+        eventLoop.after(eventLoop.random().nextInt(CAMPAIGN_JITTER_MS), this::campaign);
     }
 
     private void campaign() {
         // Another candidate may have won since this campaign was planned.
-        if (leading || !leadershipVacant() || kernel.nowMs() < backOffUntil) {
+        if (leading || !leadershipVacant() || eventLoop.nowMs() < backOffUntil) {
             campaigning = false;
             return;
         }
-        long requestedAt = kernel.nowMs();
+        long requestedAt = eventLoop.nowMs();
         long candidateTerm = Math.max(storedTerm, highestTerm) + 1;
         long expectedLeaderRevision = leaderRecordRevision;
         long expectedTermRevision = termRevision;
-        store.grantLease(times.leaseMs(), newLeaseId -> {
+        store.grantLease(timing.leaseMs(), newLeaseId -> {
             if (newLeaseId == null) {
                 campaignFailed();
                 return;
@@ -311,7 +311,7 @@
     }
 
     private void campaignFailed() {
-        kernel.after(RETRY_MS, () -> {
+        eventLoop.after(RETRY_MS, () -> {
             campaigning = false;
             if (!leading) {
                 watchLeaderRecord();
@@ -340,7 +340,7 @@
         if (!leading) {
             return;
         }
-        long sentAt = kernel.nowMs();
+        long sentAt = eventLoop.nowMs();
         long renewedTerm = term;
         store.renewLease(leaseId, renewal -> {
             if (!leading || term != renewedTerm) {
--- a/src/main/java/io/quartzgw/leadership/LeadershipTiming.java
+++ b/src/main/java/io/quartzgw/leadership/LeadershipTiming.java
@@ -1,7 +1,7 @@
 package io.quartzgw.leadership;
 
 /**
- * The times of leadership, as ratios to the workers' figures.
+ * The timing of leadership, as ratios to the workers' figures.
  *
  * @param leaseMs life of the leader's hold on the state service
  * @param graceMs how long after its last confirmed renewal a leader still answers reports
--- a/src/main/java/io/quartzgw/leadership/PeerExchange.java
+++ b/src/main/java/io/quartzgw/leadership/PeerExchange.java
@@ -29,10 +29,10 @@
     /** How many jobs a message may name: at 48 bytes each for the longest names, it stays below 64 KiB. */
     private static final int MAX_JOBS_PER_MESSAGE = 1_200;
 
-    private final EventLoop kernel;
+    private final EventLoop eventLoop;
     private final Leadership leadership;
     private final StoreClient store;
-    private final LeadershipTiming times;
+    private final LeadershipTiming timing;
     private final String member;
     private final long process;
     private final Map<String, Endpoint> endpoints;
@@ -64,27 +64,27 @@
 
     /** @param endpoints the peer listeners of the other controllers, by member */
     public PeerExchange(
-            EventLoop kernel,
+            EventLoop eventLoop,
             Leadership leadership,
             StoreClient store,
-            LeadershipTiming times,
+            LeadershipTiming timing,
             String member,
             long process,
             Map<String, Endpoint> others,
             CancellationRegistry cancellations,
             CancellationWatermark watermark,
             WriteBudgetExchange shares) {
-        this.kernel = kernel;
+        this.eventLoop = eventLoop;
         this.leadership = leadership;
         this.store = store;
-        this.times = times;
+        this.timing = timing;
         this.member = member;
         this.process = process;
         this.endpoints = new LinkedHashMap<>(others);
         this.cancellations = cancellations;
         this.watermark = watermark;
         this.writeBudget = shares;
-        this.redirectedAgents = new RedirectedAgents(kernel, times.heartbeatMs());
+        this.redirectedAgents = new RedirectedAgents(eventLoop, timing.heartbeatMs());
     }
 
     /**
@@ -98,7 +98,7 @@
         this.countsListener = countsListener;
         this.noticeListener = noticeListener;
         broadcast();
-        kernel.every(times.heartbeatMs(), () -> {
+        eventLoop.every(timing.heartbeatMs(), () -> {
             redirectedAgents.probe();
             broadcast();
         });
@@ -131,7 +131,7 @@
         String leader = leadership.leaderMember();
         Endpoint endpoint = leader == null ? null : endpoints.get(leader);
         if (endpoint != null) {
-            kernel.call(Call.postCbor(endpoint, PATH, message, times.heartbeatMs()), reply -> {});
+            eventLoop.call(Call.postCbor(endpoint, PATH, message, timing.heartbeatMs()), reply -> {});
         }
     }
 
@@ -156,7 +156,7 @@
     }
 
     private boolean isRecent(PeerState peer) {
-        return kernel.nowMs() - peer.heardAt <= STALE_AFTER_HEARTBEATS * times.heartbeatMs();
+        return eventLoop.nowMs() - peer.heardAt <= STALE_AFTER_HEARTBEATS * timing.heartbeatMs();
     }
 
     /** Whether some other controller, heard of lately, reaches the state service. */
@@ -168,7 +168,7 @@
     public void serve(Request request) {
         JsonNode message = Json.readCborOrNull(request.body());
         if (message == null || !endpoints.containsKey(message.path("member").asText())) {
-            kernel.answer(request.exchange(), Response.error(400, "not a peer's message"));
+            eventLoop.answer(request.exchange(), Response.error(400, "not a peer's message"));
             return;
         }
         // A message may be a late copy, from a process that is gone: it does not show who runs now. The peer's
@@ -190,15 +190,15 @@
         }
         ObjectNode answer = message();
         writeBudget.addGrant(name, message, answer);
-        kernel.answer(request.exchange(), Response.cbor(answer));
+        eventLoop.answer(request.exchange(), Response.cbor(answer));
     }
 
     private void send(String name, Endpoint endpoint, ObjectNode message) {
         // One message at a time to each: a cut must not pile up calls.
         if (awaitingAnswer.add(name)) {
-            long sentAt = kernel.nowMs();
+            long sentAt = eventLoop.nowMs();
             LeaderRecord recordWhenAsked = leadership.leaderRecord();
-            kernel.call(Call.postCbor(endpoint, PATH, message, 2 * times.heartbeatMs()), reply -> {
+            eventLoop.call(Call.postCbor(endpoint, PATH, message, 2 * timing.heartbeatMs()), reply -> {
                 awaitingAnswer.remove(name);
                 if (reply.ok()) {
                     onAnswer(name, reply.cbor(), sentAt, recordWhenAsked);
@@ -218,7 +218,9 @@
                 .put("up_ms", watermark.uptimeMs())
                 .put("leading", leadership.leading() ? leadership.term() : 0)
                 .put("term", leadership.highestTerm())
-                .put("store", store.reachable() && store.respondedWithin(STALE_AFTER_HEARTBEATS * times.heartbeatMs()));
+                .put(
+                        "store",
+                        store.reachable() && store.respondedWithin(STALE_AFTER_HEARTBEATS * timing.heartbeatMs()));
     }
 
     // An answer was made after the message that it answers was sent, so it tells who runs.
@@ -252,7 +254,7 @@
             return;
         }
         peer.statusSequence = message.path("sequence").asLong();
-        peer.heardAt = kernel.nowMs();
+        peer.heardAt = eventLoop.nowMs();
         peer.redirectedAgents = message.path("workers").asInt();
         peer.storeReachable = message.path("store").asBoolean();
         peer.acknowledgedTerm =
--- a/src/main/java/io/quartzgw/leadership/RedirectedAgents.java
+++ b/src/main/java/io/quartzgw/leadership/RedirectedAgents.java
@@ -22,7 +22,7 @@
 
     private static final int IGNORE_AFTER_STALL_HEARTBEATS = 2;
 
-    private final EventLoop kernel;
+    private final EventLoop eventLoop;
     private final long heartbeatMs;
     private final Map<String, Redirection> redirections = new HashMap<>();
     private long lastReachedAt = Long.MIN_VALUE / 2;
@@ -31,15 +31,15 @@
 
     private record Redirection(Endpoint address, long at) {}
 
-    RedirectedAgents(EventLoop kernel, long heartbeatMs) {
-        this.kernel = kernel;
+    RedirectedAgents(EventLoop eventLoop, long heartbeatMs) {
+        this.eventLoop = eventLoop;
         this.heartbeatMs = heartbeatMs;
-        this.probedAt = kernel.nowMs();
+        this.probedAt = eventLoop.nowMs();
     }
 
     void add(String machine, Endpoint address) {
-        if (kernel.nowMs() > ignoreUntil) {
-            redirections.put(machine, new Redirection(address, kernel.nowMs()));
+        if (eventLoop.nowMs() > ignoreUntil) {
+            redirections.put(machine, new Redirection(address, eventLoop.nowMs()));
         }
     }
 
@@ -47,20 +47,20 @@
     void probe() {
         // Guards the leader that was elected meanwhile: to a node that stood still, reports that had waited for it
         // look like workers that are turned away now, and with a wave of lost machines they would depose a healthy one.
-        if (kernel.nowMs() - probedAt > STALL_HEARTBEATS * heartbeatMs) {
+        if (eventLoop.nowMs() - probedAt > STALL_HEARTBEATS * heartbeatMs) {
             redirections.clear();
-            ignoreUntil = kernel.nowMs() + IGNORE_AFTER_STALL_HEARTBEATS * heartbeatMs;
+            ignoreUntil = eventLoop.nowMs() + IGNORE_AFTER_STALL_HEARTBEATS * heartbeatMs;
         }
-        probedAt = kernel.nowMs();
+        probedAt = eventLoop.nowMs();
         redirections.values().removeIf(seen -> !isRecent(seen.at));
         if (redirections.isEmpty()) {
             return;
         }
         List<Redirection> recent = List.copyOf(redirections.values());
-        Endpoint address = recent.get(kernel.random().nextInt(recent.size())).address();
-        kernel.call(Call.get(address, "/show", heartbeatMs), reply -> {
+        Endpoint address = recent.get(eventLoop.random().nextInt(recent.size())).address();
+        eventLoop.call(Call.get(address, "/show", heartbeatMs), reply -> {
             if (reply.ok()) {
-                lastReachedAt = kernel.nowMs();
+                lastReachedAt = eventLoop.nowMs();
             }
         });
     }
@@ -75,6 +75,6 @@
     }
 
     private boolean isRecent(long moment) {
-        return kernel.nowMs() - moment <= EXPIRY_HEARTBEATS * heartbeatMs;
+        return eventLoop.nowMs() - moment <= EXPIRY_HEARTBEATS * heartbeatMs;
     }
 }
--- a/src/main/java/io/quartzgw/leadership/WriteBudgetExchange.java
+++ b/src/main/java/io/quartzgw/leadership/WriteBudgetExchange.java
@@ -5,22 +5,22 @@
 import io.quartzgw.eventloop.EventLoop;
 import io.quartzgw.store.StoreClient;
 import io.quartzgw.store.StoreLimits;
-import io.quartzgw.store.WriteBudgetLender;
+import io.quartzgw.store.WriteBudgetAllocator;
 
 /**
  * This node's share of the changes that the state service takes. Every message between controllers says how many its
- * sender wants; the leader's answers lend them, for as long as its term is confirmed. Only answers lend: the borrower
- * knows when it asked, so a late copy lends nothing for longer than it should.
+ * sender wants; the leader's answers grant them, for as long as its term is confirmed. Only answers lend: the grantee
+ * knows when it asked, so a late copy grants nothing for longer than it should.
  */
 public final class WriteBudgetExchange {
     private static final String DEMAND_FIELD = "writes_wanted";
     private static final String GRANT_FIELD = "writes_lent";
-    /** A loan outlasts one heartbeat whose message is lost. */
+    /** A grant outlasts one heartbeat whose message is lost. */
     private static final double GRANT_HEARTBEATS = 2.5;
     /** The part of a former demand that is still counted at the next heartbeat: bursts come again. */
     private static final double DEMAND_DECAY = 0.7;
 
-    private final EventLoop kernel;
+    private final EventLoop eventLoop;
     private final Leadership leadership;
     private final StoreClient store;
     private final StoreLimits limits;
@@ -30,8 +30,8 @@
     /** What is measured over a shorter time says little. */
     private final long minMeasurementMs;
 
-    private WriteBudgetLender lender;
-    private long lenderTerm;
+    private WriteBudgetAllocator allocator;
+    private long allocatorTerm;
     private double demandPerS;
     private long measuredAt;
 
@@ -40,36 +40,36 @@
      * @param members how many controllers there are
      */
     public WriteBudgetExchange(
-            EventLoop kernel,
+            EventLoop eventLoop,
             Leadership leadership,
             StoreClient store,
             StoreLimits limits,
-            LeadershipTiming times,
+            LeadershipTiming timing,
             String member,
             int members) {
-        this.kernel = kernel;
+        this.eventLoop = eventLoop;
         this.leadership = leadership;
         this.store = store;
         this.limits = limits;
         this.member = member;
         this.members = members;
-        this.grantMs = (long) (GRANT_HEARTBEATS * times.heartbeatMs());
-        this.minMeasurementMs = times.heartbeatMs() / 2;
-        this.measuredAt = kernel.nowMs();
+        this.grantMs = (long) (GRANT_HEARTBEATS * timing.heartbeatMs());
+        this.minMeasurementMs = timing.heartbeatMs() / 2;
+        this.measuredAt = eventLoop.nowMs();
     }
 
-    /** Measures what this node wants, and lends it its own part if it leads; once a heartbeat. */
+    /** Measures what this node wants, and grants it its own part if it leads; once a heartbeat. */
     void measureDemand() {
-        long elapsed = kernel.nowMs() - measuredAt;
+        long elapsed = eventLoop.nowMs() - measuredAt;
         if (elapsed < minMeasurementMs) {
             return;
         }
-        measuredAt = kernel.nowMs();
+        measuredAt = eventLoop.nowMs();
         demandPerS = Math.max(DEMAND_DECAY * demandPerS, store.takeWriteDemand() * 1000.0 / elapsed);
-        if (canLend()) {
-            double lent = lender.grant(member, demandPerS, kernel.nowMs());
-            if (lender.canGrant(kernel.nowMs())) {
-                store.borrowWrites(lent, kernel.nowMs() + grantMs);
+        if (mayGrant()) {
+            double grantedPerS = allocator.grant(member, demandPerS, eventLoop.nowMs());
+            if (allocator.canGrant(eventLoop.nowMs())) {
+                store.applyWriteGrant(grantedPerS, eventLoop.nowMs() + grantMs);
             }
         }
     }
@@ -79,12 +79,13 @@
         message.put(DEMAND_FIELD, demandPerS);
     }
 
-    /** Adds to the answer to a member's message what the leader lends it. */
-    void addGrant(String borrower, JsonNode message, ObjectNode answer) {
-        if (canLend()) {
-            double lent = lender.grant(borrower, message.path(DEMAND_FIELD).asDouble(), kernel.nowMs());
-            if (lender.canGrant(kernel.nowMs())) {
-                answer.put(GRANT_FIELD, lent);
+    /** Adds to the answer to a member's message what the leader grants it. */
+    void addGrant(String grantee, JsonNode message, ObjectNode answer) {
+        if (mayGrant()) {
+            double grantedPerS =
+                    allocator.grant(grantee, message.path(DEMAND_FIELD).asDouble(), eventLoop.nowMs());
+            if (allocator.canGrant(eventLoop.nowMs())) {
+                answer.put(GRANT_FIELD, grantedPerS);
             }
         }
     }
@@ -92,17 +93,17 @@
     /** Takes what an answer lends, from the moment at which this node asked. */
     void applyGrant(JsonNode answer, long requestedAt) {
         if (answer.has(GRANT_FIELD)) {
-            store.borrowWrites(answer.path(GRANT_FIELD).asDouble(), requestedAt + grantMs);
+            store.applyWriteGrant(answer.path(GRANT_FIELD).asDouble(), requestedAt + grantMs);
         }
     }
 
-    private boolean canLend() {
+    private boolean mayGrant() {
         if (!leadership.isConfirmed()) {
             return false;
         }
-        if (lender == null || lenderTerm != leadership.term()) {
-            lender = new WriteBudgetLender(limits, members, grantMs, kernel.nowMs());
-            lenderTerm = leadership.term();
+        if (allocator == null || allocatorTerm != leadership.term()) {
+            allocator = new WriteBudgetAllocator(limits, members, grantMs, eventLoop.nowMs());
+            allocatorTerm = leadership.term();
         }
         return true;
     }
--- a/src/main/java/io/quartzgw/store/RequestQueue.java
+++ b/src/main/java/io/quartzgw/store/RequestQueue.java
@@ -22,7 +22,7 @@
 
     private static final int TOO_MANY_REQUESTS = 429;
 
-    private final EventLoop kernel;
+    private final EventLoop eventLoop;
     private final Consumer<Reply> observer;
     private final TokenBucket requestBudget;
     private final TokenBucket writeBudget;
@@ -43,16 +43,16 @@
      * @param share the part of the service's limits that this node may use
      * @param observer told of every reply before the caller is
      */
-    RequestQueue(EventLoop kernel, StoreLimits share, Consumer<Reply> observer) {
-        this.kernel = kernel;
+    RequestQueue(EventLoop eventLoop, StoreLimits share, Consumer<Reply> observer) {
+        this.eventLoop = eventLoop;
         this.observer = observer;
-        this.requestBudget = new TokenBucket(share.requestsPerS(), kernel.nowMs());
-        this.writeBudget = new TokenBucket(share.writesPerS(), kernel.nowMs());
+        this.requestBudget = new TokenBucket(share.requestsPerS(), eventLoop.nowMs());
+        this.writeBudget = new TokenBucket(share.writesPerS(), eventLoop.nowMs());
     }
 
     /** Sends a call when its turn comes; the caller gets exactly one reply. */
     void submit(Call call, int writeCount, RequestUrgency urgency, Consumer<Reply> callback) {
-        QueuedCall waiting = new QueuedCall(call, writeCount, kernel.nowMs(), callback);
+        QueuedCall waiting = new QueuedCall(call, writeCount, eventLoop.nowMs(), callback);
         submittedWrites += writeCount;
         queueFor(writeCount == 0, urgency).addLast(waiting);
         drain();
@@ -69,15 +69,15 @@
         };
     }
 
-    /** Lends this node more changes a second until a moment, in place of what was lent before. */
-    void borrowWrites(double perS, long until) {
-        writeBudget.borrow(perS, until, kernel.nowMs());
+    /** Grants this node more changes a second until a moment, in place of what was granted before. */
+    void applyWriteGrant(double perS, long until) {
+        writeBudget.grant(perS, until, eventLoop.nowMs());
         drain();
     }
 
     /** How many changes a second this node may make now. */
     double writesPerS() {
-        return writeBudget.ratePerS(kernel.nowMs());
+        return writeBudget.ratePerS(eventLoop.nowMs());
     }
 
     /** How many changes wait or were asked for since this was last asked. */
@@ -125,15 +125,15 @@
     }
 
     private boolean overdue(Deque<QueuedCall> queue) {
-        return !queue.isEmpty() && kernel.nowMs() - queue.peekFirst().queuedAt > MAX_QUEUE_MS;
+        return !queue.isEmpty() && eventLoop.nowMs() - queue.peekFirst().queuedAt > MAX_QUEUE_MS;
     }
 
     private void rejectOverdue(Deque<QueuedCall> queue) {
         while (overdue(queue)) {
             QueuedCall overdue = queue.pollFirst();
-            kernel.increment("store.refused", 1);
+            eventLoop.increment("store.refused", 1);
             // Deferred, so that a refusal never runs inside the caller's own call.
-            kernel.after(0, () -> overdue.callback.accept(new Reply(TOO_MANY_REQUESTS, new byte[0])));
+            eventLoop.after(0, () -> overdue.callback.accept(new Reply(TOO_MANY_REQUESTS, new byte[0])));
         }
     }
 
@@ -146,7 +146,7 @@
     /** Sends the first of a queue, or says that it has to wait. */
     private boolean sendNext(Deque<QueuedCall> queue) {
         QueuedCall next = queue.peekFirst();
-        long now = kernel.nowMs();
+        long now = eventLoop.nowMs();
         long wait = Math.max(
                 requestBudget.waitMsFor(1, now), next.writes == 0 ? 0 : writeBudget.waitMsFor(next.writes, now));
         if (wait > 0) {
@@ -158,18 +158,18 @@
     }
 
     private void send(QueuedCall next) {
-        requestBudget.take(1, kernel.nowMs());
-        writeBudget.take(next.writes, kernel.nowMs());
-        kernel.increment("store.requests", 1);
-        kernel.increment("store.writes", next.writes);
-        kernel.call(next.call, reply -> {
+        requestBudget.take(1, eventLoop.nowMs());
+        writeBudget.take(next.writes, eventLoop.nowMs());
+        eventLoop.increment("store.requests", 1);
+        eventLoop.increment("store.writes", next.writes);
+        eventLoop.call(next.call, reply -> {
             observer.accept(reply);
             next.callback.accept(reply);
         });
     }
 
     private void retryAfter(long delayMs) {
-        long at = kernel.nowMs() + delayMs;
+        long at = eventLoop.nowMs() + delayMs;
         if (at >= retryAt) {
             return;
         }
@@ -177,7 +177,7 @@
             retry.cancel();
         }
         retryAt = at;
-        retry = kernel.after(delayMs, () -> {
+        retry = eventLoop.after(delayMs, () -> {
             retryAt = Long.MAX_VALUE;
             drain();
         });
--- a/src/main/java/io/quartzgw/store/StoreClient.java
+++ b/src/main/java/io/quartzgw/store/StoreClient.java
@@ -29,7 +29,7 @@
     /** Failures in a row for this long mean that the service is away for this node. */
     private static final int UNAVAILABLE_AFTER_MS = 400;
 
-    private final EventLoop kernel;
+    private final EventLoop eventLoop;
     private final Endpoint endpoint;
     private final StoreLimits share;
     private final RequestQueue requests;
@@ -38,11 +38,11 @@
     private long failingSince = Long.MAX_VALUE;
 
     /** @param share the part of the state service's limits that this node may use */
-    public StoreClient(EventLoop kernel, Endpoint endpoint, StoreLimits share) {
-        this.kernel = kernel;
+    public StoreClient(EventLoop eventLoop, Endpoint endpoint, StoreLimits share) {
+        this.eventLoop = eventLoop;
         this.endpoint = endpoint;
         this.share = share;
-        this.requests = new RequestQueue(kernel, share, this::recordHealth);
+        this.requests = new RequestQueue(eventLoop, share, this::recordHealth);
     }
 
     /** How many changes a second this node may make now. */
@@ -66,9 +66,9 @@
         return (long) (changes * 1000 / (part * requests.writesPerS()));
     }
 
-    /** Lends this node more changes a second until a moment, in place of what was lent before. */
-    public void borrowWrites(double perS, long until) {
-        requests.borrowWrites(perS, until);
+    /** Grants this node more changes a second until a moment, in place of what was granted before. */
+    public void applyWriteGrant(double perS, long until) {
+        requests.applyWriteGrant(perS, until);
     }
 
     /** How many changes wait or were asked for since this was last asked. */
@@ -78,17 +78,17 @@
 
     /** Whether the service answers this node, as far as recent calls tell. */
     public boolean reachable() {
-        return kernel.nowMs() - failingSince < UNAVAILABLE_AFTER_MS;
+        return eventLoop.nowMs() - failingSince < UNAVAILABLE_AFTER_MS;
     }
 
     /** Whether the service has only failed this node for longer than the given time. */
     public boolean failingLongerThan(long ms) {
-        return kernel.nowMs() - failingSince > ms;
+        return eventLoop.nowMs() - failingSince > ms;
     }
 
     /** Whether the service has answered this node at all within the given time. */
     public boolean respondedWithin(long ms) {
-        return kernel.nowMs() - lastResponseAt <= ms;
+        return eventLoop.nowMs() - lastResponseAt <= ms;
     }
 
     // ---- reads
@@ -114,7 +114,7 @@
 
     /** The listing, or null when the service did not tell. */
     public void list(String prefix, Consumer<Listing> callback) {
-        readPage(prefix, null, new ArrayList<>(), Long.MAX_VALUE, kernel.nowMs(), callback);
+        readPage(prefix, null, new ArrayList<>(), Long.MAX_VALUE, eventLoop.nowMs(), callback);
     }
 
     private void readPage(
@@ -266,7 +266,7 @@
             return;
         }
         watcher.caughtUp(fromRevision, readAt);
-        long sentAt = kernel.nowMs();
+        long sentAt = eventLoop.nowMs();
         String path = "/follow?starts=" + prefix + "&since=" + fromRevision + "&hold_ms=" + watcher.pollMs();
         requests.submit(
                 Call.get(endpoint, path, watcher.pollMs() + WATCH_TIMEOUT_SLACK_MS), 0, RequestUrgency.HIGH, reply -> {
@@ -284,7 +284,7 @@
                         }
                         watch(prefix, body.path("store_rev").asLong(), sentAt, watcher);
                     } else {
-                        kernel.after(UNAVAILABLE_AFTER_MS / 2, () -> watch(prefix, fromRevision, readAt, watcher));
+                        eventLoop.after(UNAVAILABLE_AFTER_MS / 2, () -> watch(prefix, fromRevision, readAt, watcher));
                     }
                 });
     }
@@ -303,7 +303,7 @@
     private void scheduleProbe() {
         if (!probing) {
             probing = true;
-            kernel.after(
+            eventLoop.after(
                     UNAVAILABLE_AFTER_MS,
                     () -> requests.submit(
                             Call.get(endpoint, "/keys?starts=probe/&most=1", CALL_TIMEOUT_MS),
@@ -320,10 +320,10 @@
 
     private void recordHealth(Reply reply) {
         if (reply.status() == Reply.LOST || reply.status() == 503) {
-            failingSince = Math.min(failingSince, kernel.nowMs());
+            failingSince = Math.min(failingSince, eventLoop.nowMs());
             scheduleProbe();
         } else {
-            lastResponseAt = kernel.nowMs();
+            lastResponseAt = eventLoop.nowMs();
             failingSince = Long.MAX_VALUE;
         }
     }
--- a/src/main/java/io/quartzgw/store/StoreLimits.java
+++ b/src/main/java/io/quartzgw/store/StoreLimits.java
@@ -4,7 +4,7 @@
 public record StoreLimits(double requestsPerS, double writesPerS, int maxValueBytes, int maxTransactionWrites) {
     /** The part of the limits that all nodes together allow themselves. */
     private static final double USED_FRACTION = 0.9;
-    /** The part of an even share of changes that a node always has; the rest is lent by the leader. */
+    /** The part of an even share of changes that a node always has; the rest is granted by the leader. */
     private static final double GUARANTEED_FRACTION = 0.6;
 
     /** One node's own share of the limits. */
@@ -16,7 +16,7 @@
                 maxTransactionWrites);
     }
 
-    /** How many changes a second all nodes' own shares leave, to be lent. */
+    /** How many changes a second all nodes' own shares leave, to be granted by the leader. */
     public double sharedWritesPerS() {
         return writesPerS * USED_FRACTION * (1 - GUARANTEED_FRACTION);
     }
--- a/src/main/java/io/quartzgw/store/TokenBucket.java
+++ b/src/main/java/io/quartzgw/store/TokenBucket.java
@@ -1,10 +1,12 @@
 package io.quartzgw.store;
 
-/** A token bucket that holds one second's worth. Beyond its own rate it may have a lent one, which ends at its time. */
+/**
+ * A token bucket that holds one second's worth. Beyond its own rate it may have a granted one, which ends at its time.
+ */
 public final class TokenBucket {
     private final double ownRatePerS;
-    private double borrowedRatePerS;
-    private long borrowedUntil = Long.MIN_VALUE / 2;
+    private double grantedRatePerS;
+    private long grantedUntil = Long.MIN_VALUE / 2;
     private double tokens;
     private long refilledAt;
 
@@ -15,16 +17,16 @@
         this.refilledAt = now;
     }
 
-    /** Lends a further rate until a moment, in place of the one that was lent before. */
-    public void borrow(double perS, long until, long now) {
+    /** Grants a further rate until a moment, in place of the one that was granted before. */
+    public void grant(double perS, long until, long now) {
         refill(now);
-        borrowedRatePerS = perS;
-        borrowedUntil = until;
+        grantedRatePerS = perS;
+        grantedUntil = until;
     }
 
     /** The rate at a moment. */
     public double ratePerS(long now) {
-        return now < borrowedUntil ? ownRatePerS + borrowedRatePerS : ownRatePerS;
+        return now < grantedUntil ? ownRatePerS + grantedRatePerS : ownRatePerS;
     }
 
     /** Milliseconds until so many tokens are there; 0 when they are. */
@@ -46,7 +48,7 @@
 
     private void refill(long now) {
         double added = (now - refilledAt) * ownRatePerS
-                + Math.max(0, Math.min(now, borrowedUntil) - refilledAt) * borrowedRatePerS;
+                + Math.max(0, Math.min(now, grantedUntil) - refilledAt) * grantedRatePerS;
         tokens = Math.min(capacity(now), tokens + added / 1000);
         refilledAt = now;
     }
--- a/src/test/java/io/quartzgw/cancellation/CancellationRegistryTest.java
+++ b/src/test/java/io/quartzgw/cancellation/CancellationRegistryTest.java
@@ -15,12 +15,12 @@
 class CancellationRegistryTest {
     private static final long CANCEL_MS = 36_000;
 
-    private final EventLoop kernel = new EventLoop(1);
-    private final CancellationRegistry here = new CancellationRegistry(kernel, CANCEL_MS);
-    private final CancellationRegistry there = new CancellationRegistry(kernel, CANCEL_MS);
+    private final EventLoop eventLoop = new EventLoop(1);
+    private final CancellationRegistry here = new CancellationRegistry(eventLoop, CANCEL_MS);
+    private final CancellationRegistry there = new CancellationRegistry(eventLoop, CANCEL_MS);
 
     private void time(long now) {
-        kernel.processBatch(List.of(), new ClockReading(now, now));
+        eventLoop.processBatch(List.of(), new ClockReading(now, now));
     }
 
     private static ObjectNode message(CancellationRegistry from) {
--- a/src/test/java/io/quartzgw/cancellation/CancellationWatermarkTest.java
+++ b/src/test/java/io/quartzgw/cancellation/CancellationWatermarkTest.java
@@ -16,15 +16,15 @@
     private static final long CANCEL_MS = 36_000;
     private static final List<String> OTHERS = List.of("rig-1", "rig-2");
 
-    private final EventLoop kernel = new EventLoop(1);
+    private final EventLoop eventLoop = new EventLoop(1);
 
     private void time(long now) {
-        kernel.processBatch(List.of(), new ClockReading(now, now));
+        eventLoop.processBatch(List.of(), new ClockReading(now, now));
     }
 
     private CancellationWatermark started(long at) {
         time(at);
-        return new CancellationWatermark(kernel, CANCEL_MS, OTHERS);
+        return new CancellationWatermark(eventLoop, CANCEL_MS, OTHERS);
     }
 
     private void answered(CancellationWatermark watermark, long at, long process, long upMs) {
--- a/src/test/java/io/quartzgw/leadership/PeerExchangeTest.java
+++ b/src/test/java/io/quartzgw/leadership/PeerExchangeTest.java
@@ -26,22 +26,23 @@
 class PeerExchangeTest {
     private static final LeadershipTiming TIMES = LeadershipTiming.of(2.5, 16, 36);
 
-    private final EventLoop kernel = new EventLoop(1);
+    private final EventLoop eventLoop = new EventLoop(1);
     private final StoreClient store =
-            new StoreClient(kernel, new Endpoint("10.2.0.1", 1), new StoreLimits(10, 10, 8192, 16));
-    private final CancellationWatermark watermark = new CancellationWatermark(kernel, 36_000, Set.of("rig-1"));
-    private final Leadership leadership = new Leadership(kernel, store, TIMES, "rig-0", 1, watermark);
+            new StoreClient(eventLoop, new Endpoint("10.2.0.1", 1), new StoreLimits(10, 10, 8192, 16));
+    private final CancellationWatermark watermark = new CancellationWatermark(eventLoop, 36_000, Set.of("rig-1"));
+    private final Leadership leadership = new Leadership(eventLoop, store, TIMES, "rig-0", 1, watermark);
     private final PeerExchange peers = new PeerExchange(
-            kernel,
+            eventLoop,
             leadership,
             store,
             TIMES,
             "rig-0",
             1,
             Map.of("rig-1", new Endpoint("10.0.0.2", 8081)),
-            new CancellationRegistry(kernel, 36_000),
+            new CancellationRegistry(eventLoop, 36_000),
             watermark,
-            new WriteBudgetExchange(kernel, leadership, store, new StoreLimits(10, 10, 8192, 16), TIMES, "rig-0", 2));
+            new WriteBudgetExchange(
+                    eventLoop, leadership, store, new StoreLimits(10, 10, 8192, 16), TIMES, "rig-0", 2));
     private final List<JsonNode> told = new ArrayList<>();
 
     private static ObjectNode message(long process, long sequence) {
@@ -49,7 +50,7 @@
     }
 
     private void serve(ObjectNode message) {
-        kernel.processBatch(
+        eventLoop.processBatch(
                 List.of(new Command.Arrived(
                         new Request(1, ListenerKind.PEER, "POST", PeerExchange.PATH, "", Json.writeCbor(message)))),
                 new ClockReading(2, 2));
@@ -59,12 +60,12 @@
     // the message that it sent just before, with the counts.
     @Test
     void countsAreTakenThoughAnAnswerOvertookThemAndNeverOlderOnes() {
-        kernel.processBatch(List.of(), new ClockReading(1, 1));
-        kernel.onRequest(peers::serve);
+        eventLoop.processBatch(List.of(), new ClockReading(1, 1));
+        eventLoop.onRequest(peers::serve);
         peers.start(most -> null, told::add, notice -> {});
         Effect.Send beat = (Effect.Send)
-                kernel.processBatch(List.of(), new ClockReading(1, 1)).get(0);
-        kernel.processBatch(
+                eventLoop.processBatch(List.of(), new ClockReading(1, 1)).get(0);
+        eventLoop.processBatch(
                 List.of(new Command.CallEnded(beat.call(), new Reply(200, Json.writeCbor(message(7, 11))))),
                 new ClockReading(2, 2));
         JsonNode newest = Json.object().set("j-1", Json.array().add(1).add(2));
--- a/src/test/java/io/quartzgw/leadership/RedirectedAgentsTest.java
+++ b/src/test/java/io/quartzgw/leadership/RedirectedAgentsTest.java
@@ -16,8 +16,8 @@
     private static final long HEARTBEAT_MS = 1_000;
     private static final Endpoint WORKER = new Endpoint("10.1.0.1", 9000);
 
-    private final EventLoop kernel = new EventLoop(1);
-    private final RedirectedAgents redirected = new RedirectedAgents(kernel, HEARTBEAT_MS);
+    private final EventLoop eventLoop = new EventLoop(1);
+    private final RedirectedAgents redirected = new RedirectedAgents(eventLoop, HEARTBEAT_MS);
 
     /** A worker reports, a heartbeat later it is asked, and it answers. */
     private int countAfterReportAndHeartbeat(long now) {
@@ -26,14 +26,14 @@
         for (Effect effect : act(now + HEARTBEAT_MS, redirected::probe)) {
             answers.add(new Command.CallEnded(((Effect.Send) effect).call(), new Reply(200, new byte[0])));
         }
-        kernel.processBatch(answers, new ClockReading(now + HEARTBEAT_MS, 0));
+        eventLoop.processBatch(answers, new ClockReading(now + HEARTBEAT_MS, 0));
         return redirected.count();
     }
 
     private List<Effect> act(long now, Runnable action) {
-        kernel.processBatch(List.of(), new ClockReading(now, 0));
+        eventLoop.processBatch(List.of(), new ClockReading(now, 0));
         action.run();
-        return kernel.processBatch(List.of(), new ClockReading(now, 0));
+        return eventLoop.processBatch(List.of(), new ClockReading(now, 0));
     }
 
     @Test
--- a/src/test/java/io/quartzgw/store/PackedRecordsTest.java
+++ b/src/test/java/io/quartzgw/store/PackedRecordsTest.java
@@ -18,12 +18,12 @@
 class PackedRecordsTest {
     private static final String PREFIX = "p/";
 
-    private final EventLoop kernel = new EventLoop(1);
+    private final EventLoop eventLoop = new EventLoop(1);
     private final SplittableRandom random = new SplittableRandom(4);
     private final SimulatedStore service = new SimulatedStore();
-    private final LossyLink link = new LossyLink(kernel, service, random);
+    private final LossyLink link = new LossyLink(eventLoop, service, random);
     private final StoreClient client =
-            new StoreClient(kernel, new Endpoint("10.2.0.1", 1), new StoreLimits(100_000, 100_000, 8192, 16));
+            new StoreClient(eventLoop, new Endpoint("10.2.0.1", 1), new StoreLimits(100_000, 100_000, 8192, 16));
     private final PackedRecords records = new PackedRecords(client, PREFIX, Transaction::new);
 
     private Map<String, JsonNode> stored() {
@@ -69,7 +69,7 @@
     @Test
     void aWriteEndsWhileRecordsGoOnChanging() {
         int[] changes = new int[1];
-        kernel.onBatchEnd(() -> {
+        eventLoop.onBatchEnd(() -> {
             if (changes[0] < 50) {
                 records.put("i-later" + changes[0]++, Json.array().add("x".repeat(200)), 0);
             }
--- a/src/test/java/io/quartzgw/store/RequestQueueTest.java
+++ b/src/test/java/io/quartzgw/store/RequestQueueTest.java
@@ -17,7 +17,7 @@
     private static final Endpoint SERVICE = new Endpoint("10.2.0.1", 1);
     private static final StoreLimits TEN_AND_TWO = new StoreLimits(10, 2, 8192, 16);
 
-    private final EventLoop kernel = new EventLoop(1);
+    private final EventLoop eventLoop = new EventLoop(1);
     private final List<String> sent = new ArrayList<>();
     private final List<Reply> refused = new ArrayList<>();
     private long now;
@@ -25,7 +25,7 @@
     /** Lets time pass in steps of a millisecond, so that every timer fires when it is due. */
     private void pass(long ms) {
         for (long end = now + ms; now < end; now++) {
-            List<Effect> effects = kernel.processBatch(List.of(), new ClockReading(now, now));
+            List<Effect> effects = eventLoop.processBatch(List.of(), new ClockReading(now, now));
             effects.forEach(effect -> sent.add(((Effect.Send) effect).request().path()));
         }
     }
@@ -37,7 +37,7 @@
     // Guards reads against writes: users' questions were refused while only the budget of writes was short.
     @Test
     void aReadDoesNotWaitBehindAWriteThatLacksBudget() {
-        RequestQueue queue = new RequestQueue(kernel, TEN_AND_TWO, reply -> {});
+        RequestQueue queue = new RequestQueue(eventLoop, TEN_AND_TWO, reply -> {});
         for (int i = 0; i < 4; i++) {
             submit(queue, "/write" + i, 1, RequestUrgency.NORMAL);
         }
@@ -48,7 +48,7 @@
 
     @Test
     void urgentWritesGoBeforeOthersAndWhatWaitsTooLongIsRefused() {
-        RequestQueue queue = new RequestQueue(kernel, TEN_AND_TWO, reply -> {});
+        RequestQueue queue = new RequestQueue(eventLoop, TEN_AND_TWO, reply -> {});
         submit(queue, "/first", 2, RequestUrgency.NORMAL);
         submit(queue, "/normal", 2, RequestUrgency.NORMAL);
         submit(queue, "/urgent", 2, RequestUrgency.HIGH);
@@ -62,7 +62,7 @@
     // Guards submissions while users ask many times as often as usual.
     @Test
     void manyReadsDoNotStarveAWrite() {
-        RequestQueue queue = new RequestQueue(kernel, TEN_AND_TWO, reply -> {});
+        RequestQueue queue = new RequestQueue(eventLoop, TEN_AND_TWO, reply -> {});
         for (int i = 0; i < 30; i++) {
             submit(queue, "/read", 0, RequestUrgency.NORMAL);
         }
@@ -77,7 +77,7 @@
     // submissions.
     @Test
     void neitherUrgentWritesNorOthersStarveWhatHasWaited() {
-        RequestQueue queue = new RequestQueue(kernel, TEN_AND_TWO, reply -> {});
+        RequestQueue queue = new RequestQueue(eventLoop, TEN_AND_TWO, reply -> {});
         submit(queue, "/first", 2, RequestUrgency.HIGH);
         submit(queue, "/last", 1, RequestUrgency.BACKGROUND);
         submit(queue, "/normal", 1, RequestUrgency.NORMAL);
--- a/src/test/java/io/quartzgw/store/WriteBudgetLenderTest.java
+++ b/src/test/java/io/quartzgw/store/WriteBudgetAllocatorTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What all controllers may write together, whatever becomes of messages and leaders. */
-class WriteBudgetLenderTest {
+class WriteBudgetAllocatorTest {
     private static final int MEMBERS = 5;
     private static final long LIFE_MS = 2_000;
     private static final long HEARTBEAT_MS = 800;
@@ -23,19 +23,19 @@
     private static final class Member {
         private final String name;
         private double wantedPerS;
-        private double lentPerS;
-        private long lentUntil;
+        private double grantedPerS;
+        private long grantedUntil;
 
         Member(int number) {
             this.name = "rig-" + number;
         }
 
         double perS(long now) {
-            return LIMITS.perNode(MEMBERS).writesPerS() + (now < lentUntil ? lentPerS : 0);
+            return LIMITS.perNode(MEMBERS).writesPerS() + (now < grantedUntil ? grantedPerS : 0);
         }
     }
 
-    private record LateAnswer(Member member, double lentPerS, long asked, long at) {}
+    private record LateAnswer(Member member, double grantedPerS, long asked, long at) {}
 
     private static List<Member> members() {
         List<Member> members = new ArrayList<>();
@@ -55,11 +55,11 @@
     void togetherNeverMoreThanTheLimit() {
         List<Member> members = members();
         List<LateAnswer> late = new ArrayList<>();
-        WriteBudgetLender leader = new WriteBudgetLender(LIMITS, MEMBERS, LIFE_MS, 0);
+        WriteBudgetAllocator leader = new WriteBudgetAllocator(LIMITS, MEMBERS, LIFE_MS, 0);
         double most = 0;
         for (long now = 0; now < 2_000_000; now += 50) {
             if (random.nextInt(100) == 0) {
-                leader = new WriteBudgetLender(LIMITS, MEMBERS, LIFE_MS, now);
+                leader = new WriteBudgetAllocator(LIMITS, MEMBERS, LIFE_MS, now);
             }
             for (Member member : members) {
                 if (random.nextInt(40) == 0) {
@@ -67,17 +67,17 @@
                 }
                 if (random.nextInt((int) (HEARTBEAT_MS / 50)) == 0) {
                     long asked = now - random.nextInt(500);
-                    double lent = leader.grant(member.name, member.wantedPerS, now);
+                    double grantedPerS = leader.grant(member.name, member.wantedPerS, now);
                     if (leader.canGrant(now) && random.nextInt(5) > 0) {
-                        late.add(new LateAnswer(member, lent, asked, now + random.nextInt(3_000)));
+                        late.add(new LateAnswer(member, grantedPerS, asked, now + random.nextInt(3_000)));
                     }
                 }
             }
             for (LateAnswer answer : List.copyOf(late)) {
                 if (answer.at <= now) {
                     late.remove(answer);
-                    answer.member.lentPerS = answer.lentPerS;
-                    answer.member.lentUntil = answer.asked + LIFE_MS;
+                    answer.member.grantedPerS = answer.grantedPerS;
+                    answer.member.grantedUntil = answer.asked + LIFE_MS;
                 }
             }
             double together = together(members, now);
@@ -87,11 +87,11 @@
         assertTrue(most > 0.95 * MOST_PER_S, "and the limit is made use of: " + most);
     }
 
-    private static void beatUntilSettled(WriteBudgetLender leader, List<Member> members) {
+    private static void beatUntilSettled(WriteBudgetAllocator leader, List<Member> members) {
         for (long now = 0; now <= 5 * LIFE_MS; now += HEARTBEAT_MS) {
             for (Member member : members) {
-                member.lentPerS = leader.grant(member.name, member.wantedPerS, now);
-                member.lentUntil = now + LIFE_MS;
+                member.grantedPerS = leader.grant(member.name, member.wantedPerS, now);
+                member.grantedUntil = now + LIFE_MS;
             }
         }
     }
@@ -101,18 +101,18 @@
     void whoNeedsMoreGetsWhatTheOthersLeave() {
         List<Member> members = members();
         members.get(2).wantedPerS = 50;
-        beatUntilSettled(new WriteBudgetLender(LIMITS, MEMBERS, LIFE_MS, 0), members);
-        assertEquals(LIMITS.sharedWritesPerS(), members.get(2).lentPerS, EPSILON, "all that is lent");
+        beatUntilSettled(new WriteBudgetAllocator(LIMITS, MEMBERS, LIFE_MS, 0), members);
+        assertEquals(LIMITS.sharedWritesPerS(), members.get(2).grantedPerS, EPSILON, "all that is grantedPerS");
         members.get(4).wantedPerS = 50;
-        beatUntilSettled(new WriteBudgetLender(LIMITS, MEMBERS, LIFE_MS, 0), members);
-        assertEquals(members.get(2).lentPerS, members.get(4).lentPerS, EPSILON, "two in need share evenly");
-        assertEquals(LIMITS.sharedWritesPerS(), members.get(2).lentPerS + members.get(4).lentPerS, EPSILON);
+        beatUntilSettled(new WriteBudgetAllocator(LIMITS, MEMBERS, LIFE_MS, 0), members);
+        assertEquals(members.get(2).grantedPerS, members.get(4).grantedPerS, EPSILON, "two in need share evenly");
+        assertEquals(LIMITS.sharedWritesPerS(), members.get(2).grantedPerS + members.get(4).grantedPerS, EPSILON);
     }
 
     @Test
     void aLoanEndsAtItsTimeAndWhatItBroughtWithIt() {
         TokenBucket budget = new TokenBucket(2, 0);
-        budget.borrow(8, 1_000, 0);
+        budget.grant(8, 1_000, 0);
         assertEquals(0, budget.waitMsFor(10, 999), "one second's worth of both rates");
         assertEquals(0, budget.waitMsFor(2, 1_000));
         budget.take(2, 1_000);
