--- /dev/null
+++ b/src/main/java/io/quartzgw/leadership/Candidacy.java
@@ -0,0 +1,161 @@
+package io.quartzgw.leadership;
+
+import io.quartzgw.eventloop.EventLoop;
+import io.quartzgw.store.LeaseGrant;
+import io.quartzgw.store.RequestUrgency;
+import io.quartzgw.store.StoreClient;
+import io.quartzgw.store.Transaction;
+import io.quartzgw.store.TransactionOutcome;
+import java.util.HashSet;
+import java.util.Set;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Runs this controller's election attempts, one at a time, while the leadership is vacant. */
+final class Candidacy {
+    private static final Logger LOG = LoggerFactory.getLogger(Candidacy.class);
+
+    private static final int RETRY_MS = 250;
+    /** Spreads the candidates, so that mostly one transaction wins without a conflict. */
+    private static final int MAX_JITTER_MS = 60;
+
+    /** What a candidacy asks of its owner, and reports to it. */
+    interface Owner {
+        boolean leading();
+
+        /** The highest term that this controller knows besides the stored one. */
+        long highestTerm();
+
+        void electionWon(Victory victory);
+    }
+
+    /**
+     * A won election.
+     *
+     * @param termRevision the revision of the term key that the election has written
+     * @param requestedAtMs when the lease was requested: it can't have begun earlier
+     */
+    record Victory(long term, long termRevision, long leaseId, long requestedAtMs) {}
+
+    /** One attempt: the term it is for, and the state of the keys that it requires. */
+    private record Attempt(long term, long requiredLeaderRevision, long requiredTermRevision, long requestedAtMs) {}
+
+    private final EventLoop eventLoop;
+    private final StoreClient store;
+    private final LeadershipTiming timing;
+    private final ControllerIdentity identity;
+    private final ElectionState state;
+    private final Owner owner;
+    private final Set<Long> deadProcesses = new HashSet<>();
+    private boolean attemptInProgress;
+    private long backOffUntilMs = Long.MIN_VALUE;
+
+    Candidacy(
+            EventLoop eventLoop,
+            StoreClient store,
+            LeadershipTiming timing,
+            ControllerIdentity identity,
+            ElectionState state,
+            Owner owner) {
+        this.eventLoop = eventLoop;
+        this.store = store;
+        this.timing = timing;
+        this.identity = identity;
+        this.state = state;
+        this.owner = owner;
+    }
+
+    /** Makes no attempt for a while, so that another controller is elected. */
+    void backOff(long durationMs) {
+        backOffUntilMs = eventLoop.nowMs() + durationMs;
+    }
+
+    /** Records that a process has ended: a leader record that names it is void. */
+    void markDead(long process) {
+        deadProcesses.add(process);
+    }
+
+    /** Whether nobody leads, or only a process that is surely dead. */
+    boolean leadershipVacant() {
+        return state.leader().map(this::isDead).orElse(true);
+    }
+
+    private boolean isDead(LeaderRecord leader) {
+        // A record of this member's other process: that one has ended, since this one runs.
+        boolean formerProcess = leader.member().equals(identity.member()) && leader.process() != identity.process();
+        return formerProcess || deadProcesses.contains(leader.process());
+    }
+
+    /** Schedules an election attempt, unless one is in progress or this controller backs off. */
+    void schedule() {
+        if (attemptInProgress || backingOff()) {
+            return;
+        }
+        attemptInProgress = true;
+        LOG.atDebug()
+                .addKeyValue("term", nextTerm())
+                .addKeyValue("former_leader", state.leader().orElse(null))
+                .log("election scheduled");
+        eventLoop.after(eventLoop.random().nextInt(MAX_JITTER_MS), this::begin);
+    }
+
+    private boolean backingOff() {
+        return eventLoop.nowMs() < backOffUntilMs;
+    }
+
+    private long nextTerm() {
+        return Math.max(state.term(), owner.highestTerm()) + 1;
+    }
+
+    private void begin() {
+        // Another candidate may have won since this attempt was scheduled.
+        if (owner.leading() || !leadershipVacant() || backingOff()) {
+            attemptInProgress = false;
+            return;
+        }
+        Attempt attempt = new Attempt(nextTerm(), state.leaderRevision(), state.termRevision(), eventLoop.nowMs());
+        store.grantLease(timing.leaseMs(), grant -> onLeaseGrant(attempt, grant));
+    }
+
+    private void onLeaseGrant(Attempt attempt, LeaseGrant grant) {
+        if (grant instanceof LeaseGrant.Granted granted) {
+            store.commit(
+                    electionTransaction(attempt, granted.leaseId()),
+                    RequestUrgency.HIGH,
+                    outcome -> onOutcome(attempt, granted.leaseId(), outcome));
+        } else {
+            retryLater();
+        }
+    }
+
+    private Transaction electionTransaction(Attempt attempt, long leaseId) {
+        LeaderRecord leader = new LeaderRecord(identity.member(), identity.process(), attempt.term(), leaseId);
+        return new Transaction()
+                .require(Leadership.LEADER_KEY, attempt.requiredLeaderRevision())
+                .require(Leadership.TERM_KEY, attempt.requiredTermRevision())
+                .putWithLease(Leadership.LEADER_KEY, LeaderRecordCodec.encode(leader), leaseId)
+                .put(Leadership.TERM_KEY, LeaderRecordCodec.encodeTerm(attempt.term()));
+    }
+
+    private void onOutcome(Attempt attempt, long leaseId, TransactionOutcome outcome) {
+        if (outcome instanceof TransactionOutcome.Committed committed) {
+            attemptInProgress = false;
+            owner.electionWon(new Victory(attempt.term(), committed.revision(), leaseId, attempt.requestedAtMs()));
+            return;
+        }
+        // A transaction without an answer may yet be applied: its lease must outlive it.
+        if (!(outcome instanceof TransactionOutcome.Unknown)) {
+            store.revokeLease(leaseId);
+        }
+        retryLater();
+    }
+
+    private void retryLater() {
+        eventLoop.after(RETRY_MS, () -> {
+            attemptInProgress = false;
+            if (!owner.leading()) {
+                state.reload();
+            }
+        });
+    }
+}
--- a/src/main/java/io/quartzgw/leadership/PeerExchange.java
+++ b/src/main/java/io/quartzgw/leadership/PeerExchange.java
@@ -15,6 +15,7 @@
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.IntFunction;
@@ -197,7 +198,7 @@
         // One message at a time to each: a cut must not pile up calls.
         if (awaitingAnswer.add(name)) {
             long sentAt = eventLoop.nowMs();
-            LeaderRecord recordWhenAsked = leadership.leaderRecord();
+            Optional<LeaderRecord> recordWhenAsked = leadership.leaderRecord();
             eventLoop.call(Call.postCbor(endpoint, PATH, message, 2 * timing.heartbeatMs()), reply -> {
                 awaitingAnswer.remove(name);
                 if (reply.ok()) {
@@ -224,7 +225,7 @@
     }
 
     // An answer was made after the message that it answers was sent, so it tells who runs.
-    private void onAnswer(String name, JsonNode answer, long sentAt, LeaderRecord recordWhenAsked) {
+    private void onAnswer(String name, JsonNode answer, long sentAt, Optional<LeaderRecord> recordWhenAsked) {
         long processId = answer.path("process").asLong();
         PeerState peer = peers.computeIfAbsent(name, key -> new PeerState());
         if (peer.process != processId) {
@@ -236,7 +237,7 @@
         writeBudget.applyGrant(answer, sentAt);
         boolean complete = applyDurableFacts(answer);
         watermark.peerAnswered(name, processId, answer.path("up_ms").asLong(), sentAt, complete);
-        leadership.observeMemberProcess(name, processId, recordWhenAsked);
+        leadership.observePeerProcess(new ControllerIdentity(name, processId), recordWhenAsked);
     }
 
     // Answers have no counts: one that overtakes the leader's message on its way must not make it look old, or
--- a/src/main/java/io/quartzgw/store/KeyChange.java
+++ b/src/main/java/io/quartzgw/store/KeyChange.java
@@ -1,6 +1,17 @@
 package io.quartzgw.store;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import java.util.Optional;
 
-/** A change seen by a follow; the value is null when the key was dropped. */
-public record KeyChange(String key, JsonNode value, long revision) {}
+/**
+ * A change of a key that a watch has delivered.
+ *
+ * @param value the new value, or null when the key was deleted; see {@link #newValue()}
+ */
+public record KeyChange(String key, JsonNode value, long revision) {
+
+    /** The new value; empty when the key was deleted. */
+    public Optional<JsonNode> newValue() {
+        return Optional.ofNullable(value);
+    }
+}
--- a/src/main/java/io/quartzgw/store/StoreClient.java
+++ b/src/main/java/io/quartzgw/store/StoreClient.java
@@ -1,330 +1,196 @@
 package io.quartzgw.store;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quartzgw.eventloop.EventLoop;
 import io.quartzgw.http.Call;
 import io.quartzgw.http.Endpoint;
-import io.quartzgw.http.Json;
 import io.quartzgw.http.Reply;
-import java.util.ArrayList;
-import java.util.HashSet;
 import java.util.List;
-import java.util.Set;
 import java.util.function.Consumer;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 
-/** Talks to the state service inside this node's budget; every call ends in one answer. */
+/**
+ * The client of the state store. It stays inside this controller's share of the store's limits, and every callback is
+ * called exactly once, on the event loop's thread and never inside the call that it belongs to.
+ */
 public final class StoreClient {
-    private static final Logger LOG = LoggerFactory.getLogger(StoreClient.class);
-    private static final String NO_SUCH_LEASE = "no such lease";
-    private static final int LIST_PAGE_SIZE = 1000;
-    private static final int CALL_TIMEOUT_MS = 1_500;
-    /** How much later than its hold time an unanswered follow is given up. */
-    private static final int WATCH_TIMEOUT_SLACK_MS = 3_000;
-
-    private static final int WATCH_MS = 20_000;
-    /** Failures in a row for this long mean that the service is away for this node. */
-    private static final int UNAVAILABLE_AFTER_MS = 400;
+    private static final int DEFAULT_POLL_MS = 20_000;
 
     private final EventLoop eventLoop;
-    private final Endpoint endpoint;
+    private final StoreCodec codec;
     private final StoreLimits share;
     private final RequestQueue requests;
-    private boolean probing;
-    private long lastResponseAt = Long.MIN_VALUE / 2;
-    private long failingSince = Long.MAX_VALUE;
+    private final StoreHealth health;
 
-    /** @param share the part of the state service's limits that this node may use */
+    /** @param share the part of the state store's limits that this controller may use */
     public StoreClient(EventLoop eventLoop, Endpoint endpoint, StoreLimits share) {
         this.eventLoop = eventLoop;
-        this.endpoint = endpoint;
+        this.codec = new StoreCodec(endpoint);
         this.share = share;
-        this.requests = new RequestQueue(eventLoop, share, this::recordHealth);
+        this.health = new StoreHealth(eventLoop, this::sendProbe);
+        this.requests = new RequestQueue(eventLoop, share, health::record);
     }
 
-    /** How many changes a second this node may make now. */
+    // ---- limits
+
+    /** How many writes a second this controller may make now. */
     public double writesPerS() {
         return requests.writesPerS();
     }
 
+    /** How many writes a transaction may have. */
     public int maxTransactionWrites() {
         return share.maxTransactionWrites();
     }
 
+    /** How long a value may be. */
     public int maxValueBytes() {
         return share.maxValueBytes();
     }
 
     /**
-     * How long to wait after so many changes until the same caller's next ones, so that on average they take no more
-     * than a part of this node's share.
+     * How long to wait after a number of writes until the same caller's next ones, so that on average they take no more
+     * than a fraction of this controller's share.
      */
-    public long pauseMsAfter(int changes, double part) {
-        return (long) (changes * 1000 / (part * requests.writesPerS()));
+    public long pauseMsAfter(int writeCount, double fraction) {
+        return (long) (writeCount * 1000 / (fraction * requests.writesPerS()));
     }
 
-    /** Grants this node more changes a second until a moment, in place of what was granted before. */
-    public void applyWriteGrant(double perS, long until) {
-        requests.applyWriteGrant(perS, until);
+    /** Grants this controller more writes a second until a moment, in place of the grant before. */
+    public void applyWriteGrant(double writesPerS, long untilMs) {
+        requests.applyWriteGrant(writesPerS, untilMs);
     }
 
-    /** How many changes wait or were asked for since this was last asked. */
+    /** How many writes were queued or submitted since this method was last called. */
     public int takeWriteDemand() {
         return requests.takeWriteDemand();
     }
 
-    /** Whether the service answers this node, as far as recent calls tell. */
+    // ---- health
+
+    /** Whether the store answers this controller, judged by recent calls. */
     public boolean reachable() {
-        return eventLoop.nowMs() - failingSince < UNAVAILABLE_AFTER_MS;
+        return health.reachable();
+    }
+
+    /** Whether all calls have failed for longer than the given time. */
+    public boolean failingLongerThan(long durationMs) {
+        return health.failingLongerThan(durationMs);
     }
 
-    /** Whether the service has only failed this node for longer than the given time. */
-    public boolean failingLongerThan(long ms) {
-        return eventLoop.nowMs() - failingSince > ms;
+    /** Whether the store has answered any call within the given time. */
+    public boolean respondedWithin(long durationMs) {
+        return health.respondedWithin(durationMs);
     }
 
-    /** Whether the service has answered this node at all within the given time. */
-    public boolean respondedWithin(long ms) {
-        return eventLoop.nowMs() - lastResponseAt <= ms;
+    private void sendProbe(Runnable onReply) {
+        submitRead(codec.probeRequest(), RequestUrgency.HIGH, reply -> onReply.run());
     }
 
     // ---- reads
 
-    /** The entry; an empty list when there is none; null when the service did not tell. */
+    /** Reads one key. */
+    public void read(String key, Consumer<ReadResult> callback) {
+        submitRead(
+                codec.readRequest(key), RequestUrgency.NORMAL, reply -> callback.accept(StoreCodec.decodeRead(reply)));
+    }
+
+    /** Reads one key: an empty list when there is none, null when the store is unavailable; use {@link #read}. */
     public void get(String key, Consumer<List<KeyValue>> callback) {
-        requests.submit(Call.get(endpoint, "/keys/" + key, CALL_TIMEOUT_MS), 0, RequestUrgency.NORMAL, reply -> {
-            if (reply.ok()) {
-                callback.accept(List.of(entry(reply.json())));
+        read(key, result -> {
+            if (result instanceof ReadResult.Found found) {
+                callback.accept(List.of(found.entry()));
             } else {
-                callback.accept(reply.status() == 404 ? List.of() : null);
+                callback.accept(result instanceof ReadResult.Absent ? List.of() : null);
             }
         });
     }
 
     /**
-     * Every entry with the prefix, read page by page.
+     * All keys with a prefix.
      *
-     * @param revision the one before the first page
-     * @param readAt when the first page was asked for: all changes made before are in it
+     * @param revision the revision of the store before the first page was read
+     * @param readAt when the first page was requested: all changes made before are included
      */
     public record Listing(List<KeyValue> entries, long revision, long readAt) {}
 
-    /** The listing, or null when the service did not tell. */
-    public void list(String prefix, Consumer<Listing> callback) {
-        readPage(prefix, null, new ArrayList<>(), Long.MAX_VALUE, eventLoop.nowMs(), callback);
+    /** Reads all keys with a prefix, page by page. */
+    public void listPrefix(String prefix, Consumer<ListResult> callback) {
+        new PrefixReader(eventLoop, requests, codec, prefix, callback).start();
     }
 
-    private void readPage(
-            String prefix,
-            String afterKey,
-            List<KeyValue> entries,
-            long revision,
-            long readAt,
-            Consumer<Listing> callback) {
-        String path =
-                "/keys?starts=" + prefix + (afterKey == null ? "" : "&since=" + afterKey) + "&most=" + LIST_PAGE_SIZE;
-        requests.submit(Call.get(endpoint, path, CALL_TIMEOUT_MS), 0, RequestUrgency.HIGH, reply -> {
-            if (!reply.ok()) {
-                callback.accept(null);
-                return;
-            }
-            JsonNode body = reply.json();
-            body.path("items").forEach(item -> entries.add(entry(item)));
-            // A follow from the first page's revision sees again what changed between the pages.
-            long firstRevision = Math.min(revision, body.path("store_rev").asLong());
-            if (body.path("more").asBoolean() && !entries.isEmpty()) {
-                readPage(prefix, entries.get(entries.size() - 1).key(), entries, firstRevision, readAt, callback);
-            } else {
-                callback.accept(new Listing(entries, firstRevision, readAt));
-            }
-        });
-    }
-
-    private static KeyValue entry(JsonNode item) {
-        return new KeyValue(
-                item.path("path").asText(),
-                item.path("data"),
-                item.path("key_rev").asLong());
+    /** Reads all keys with a prefix: null when the store is unavailable; use {@link #listPrefix}. */
+    public void list(String prefix, Consumer<Listing> callback) {
+        listPrefix(
+                prefix,
+                result -> callback.accept(result instanceof ListResult.Listed listed ? listed.listing() : null));
     }
 
     // ---- transactions
 
     /** Sends a transaction; an outcome that is not known is reported as such and must not be taken for a failure. */
     public void commit(Transaction transaction, RequestUrgency urgency, Consumer<TransactionOutcome> callback) {
-        ObjectNode body = Json.object();
-        ArrayNode guards = body.putArray("guards");
-        transaction.preconditions.forEach(
-                guard -> guards.addObject().put("path", guard.key()).put("key_rev", guard.revision()));
-        // Without changes a transaction only compares.
-        ArrayNode apply = transaction.writes.isEmpty() ? Json.array() : body.putArray("apply");
-        for (Transaction.Write write : transaction.writes) {
-            if (write.value() == null) {
-                apply.addObject().put("drop", write.key());
-                continue;
-            }
-            ObjectNode change = apply.addObject().put("write", write.key());
-            change.set("data", write.value());
-            if (write.leaseId() != Transaction.NO_LEASE) {
-                change.put("permit", write.leaseId());
-            }
-        }
         requests.submit(
-                Call.post(endpoint, "/multi", body, CALL_TIMEOUT_MS),
+                codec.transactionRequest(transaction),
                 transaction.writeCount(),
                 urgency,
-                reply -> callback.accept(outcome(reply)));
+                reply -> callback.accept(StoreCodec.decodeOutcome(reply)));
     }
 
-    private static TransactionOutcome outcome(Reply reply) {
-        switch (reply.status()) {
-            case 200:
-                return new TransactionOutcome.Committed(
-                        reply.json().path("store_rev").asLong());
-            case 409:
-                Set<String> failed = new HashSet<>();
-                reply.json().path("failed").forEach(key -> failed.add(key.asText()));
-                return new TransactionOutcome.Conflict(failed);
-            case 400:
-                if (!reply.json().path("error").asText().equals(NO_SUCH_LEASE)) {
-                    LOG.error("the state service refuses a transaction: {}", reply.json());
-                }
-                return new TransactionOutcome.LeaseExpired();
-            case 429:
-            case 503:
-                return new TransactionOutcome.Refused();
-            default:
-                return new TransactionOutcome.Unknown();
-        }
-    }
-
-    // ---- holds
+    // ---- leases
 
-    /** The hold's number, or null when none was granted. */
-    public void grantLease(long ttlMs, Consumer<Long> callback) {
-        requests.submit(
-                Call.post(endpoint, "/holds", Json.object().put("life_ms", ttlMs), CALL_TIMEOUT_MS),
-                0,
+    /** Requests a lease, to which keys can be attached: they are deleted when it expires. */
+    public void grantLease(long ttlMs, Consumer<LeaseGrant> callback) {
+        submitRead(
+                codec.leaseRequest(ttlMs),
                 RequestUrgency.HIGH,
-                reply ->
-                        callback.accept(reply.ok() ? reply.json().path("permit").asLong() : null));
+                reply -> callback.accept(StoreCodec.decodeLease(reply)));
     }
 
-    /** What an extension brought. */
-    public enum LeaseRenewal {
-        RENEWED,
-        EXPIRED,
-        UNKNOWN
-    }
-
-    /** Renews a lease of the state service. */
+    /** Renews a lease for its full time to live. */
     public void renewLease(long leaseId, Consumer<LeaseRenewal> callback) {
-        requests.submit(
-                Call.post(endpoint, "/holds/" + leaseId + "/extend", Json.object(), CALL_TIMEOUT_MS),
-                0,
+        submitRead(
+                codec.renewalRequest(leaseId),
                 RequestUrgency.HIGH,
-                reply -> callback.accept(
-                        reply.ok()
-                                ? LeaseRenewal.RENEWED
-                                : reply.status() == 404 ? LeaseRenewal.EXPIRED : LeaseRenewal.UNKNOWN));
+                reply -> callback.accept(StoreCodec.decodeRenewal(reply)));
     }
 
+    /** Ends a lease; if the request is lost, the lease expires by itself. */
     public void revokeLease(long leaseId) {
-        requests.submit(
-                Call.delete(endpoint, "/holds/" + leaseId, CALL_TIMEOUT_MS), 0, RequestUrgency.NORMAL, reply -> {});
+        submitRead(codec.revocationRequest(leaseId), RequestUrgency.NORMAL, reply -> {});
     }
 
-    // ---- follows
+    // ---- watches
 
-    /** Receives changes until it says that it wants no more. */
+    /** Receives the changes of a prefix until it is no longer active. */
     public interface Watcher {
+        /** Whether the watch goes on. */
         boolean active();
 
-        /** All changes up to a revision have been told, and so all that were made before a moment. */
+        /** All changes up to a revision have been delivered, and so all that were made before a moment. */
         default void caughtUp(long revision, long readAt) {}
 
-        /** How long the service may wait for a change before it answers that there was none. */
+        /** How long the store may wait for a change before it answers that there was none. */
         default long pollMs() {
-            return WATCH_MS;
+            return DEFAULT_POLL_MS;
         }
 
+        /** Receives changes in the order of their revisions; there is at least one. */
         void onChanges(List<KeyChange> changes);
 
-        /** Changes were missed: everything has to be read again. */
+        /** Changes were missed, and the watch has ended: everything has to be read again. */
         void onCompacted();
     }
 
     /**
-     * Follows a prefix from a revision until the follower wants no more or is outdated.
+     * Watches a prefix from a revision until the watcher is no longer active, or the store no longer has all changes
+     * since the revision.
      *
      * @param readAt a moment before which nothing was changed that the revision lacks
      */
     public void watch(String prefix, long fromRevision, long readAt, Watcher watcher) {
-        if (!watcher.active()) {
-            return;
-        }
-        watcher.caughtUp(fromRevision, readAt);
-        long sentAt = eventLoop.nowMs();
-        String path = "/follow?starts=" + prefix + "&since=" + fromRevision + "&hold_ms=" + watcher.pollMs();
-        requests.submit(
-                Call.get(endpoint, path, watcher.pollMs() + WATCH_TIMEOUT_SLACK_MS), 0, RequestUrgency.HIGH, reply -> {
-                    if (!watcher.active()) {
-                        return;
-                    }
-                    if (reply.status() == 410) {
-                        watcher.onCompacted();
-                    } else if (reply.ok()) {
-                        JsonNode body = reply.json();
-                        List<KeyChange> changes = new ArrayList<>();
-                        body.path("news").forEach(item -> changes.add(change(item)));
-                        if (!changes.isEmpty()) {
-                            watcher.onChanges(changes);
-                        }
-                        watch(prefix, body.path("store_rev").asLong(), sentAt, watcher);
-                    } else {
-                        eventLoop.after(UNAVAILABLE_AFTER_MS / 2, () -> watch(prefix, fromRevision, readAt, watcher));
-                    }
-                });
-    }
-
-    private static KeyChange change(JsonNode item) {
-        boolean dropped = item.hasNonNull("drop");
-        return new KeyChange(
-                item.path(dropped ? "drop" : "write").asText(),
-                dropped ? null : item.path("data"),
-                item.path("key_rev").asLong());
+        new PrefixWatch(eventLoop, requests, codec, prefix, watcher).poll(fromRevision, readAt);
     }
 
-    // ---- health
-
-    // Users are refused at once while the service is away, so nothing else would find it back.
-    private void scheduleProbe() {
-        if (!probing) {
-            probing = true;
-            eventLoop.after(
-                    UNAVAILABLE_AFTER_MS,
-                    () -> requests.submit(
-                            Call.get(endpoint, "/keys?starts=probe/&most=1", CALL_TIMEOUT_MS),
-                            0,
-                            RequestUrgency.HIGH,
-                            reply -> {
-                                probing = false;
-                                if (failingSince != Long.MAX_VALUE) {
-                                    scheduleProbe();
-                                }
-                            }));
-        }
-    }
-
-    private void recordHealth(Reply reply) {
-        if (reply.status() == Reply.LOST || reply.status() == 503) {
-            failingSince = Math.min(failingSince, eventLoop.nowMs());
-            scheduleProbe();
-        } else {
-            lastResponseAt = eventLoop.nowMs();
-            failingSince = Long.MAX_VALUE;
-        }
+    private void submitRead(Call call, RequestUrgency urgency, Consumer<Reply> callback) {
+        requests.submit(call, 0, urgency, callback);
     }
 }
--- /dev/null
+++ b/src/main/java/io/quartzgw/store/StoreHealth.java
@@ -0,0 +1,65 @@
+package io.quartzgw.store;
+
+import io.quartzgw.eventloop.EventLoop;
+import io.quartzgw.http.Reply;
+import java.util.function.Consumer;
+
+/** Whether the state store answers this controller, judged by the replies to all calls and by probes while it fails. */
+final class StoreHealth {
+    /** Failures in a row for this long mean that this controller can't use the service. */
+    static final int UNAVAILABLE_AFTER_MS = 400;
+
+    private static final long NEVER = Long.MIN_VALUE / 2;
+    private static final long NOT_FAILING = Long.MAX_VALUE;
+    private static final int SERVICE_UNAVAILABLE = 503;
+
+    private final EventLoop eventLoop;
+    private final Consumer<Runnable> prober;
+    private boolean probing;
+    private long lastResponseAt = NEVER;
+    private long failingSince = NOT_FAILING;
+
+    /** @param prober sends a probe and runs its argument after the reply, which is recorded like any other */
+    StoreHealth(EventLoop eventLoop, Consumer<Runnable> prober) {
+        this.eventLoop = eventLoop;
+        this.prober = prober;
+    }
+
+    /** Records how a call ended. */
+    void record(Reply reply) {
+        if (reply.status() == Reply.LOST || reply.status() == SERVICE_UNAVAILABLE) {
+            failingSince = Math.min(failingSince, eventLoop.nowMs());
+            scheduleProbe();
+        } else {
+            lastResponseAt = eventLoop.nowMs();
+            failingSince = NOT_FAILING;
+        }
+    }
+
+    boolean reachable() {
+        return eventLoop.nowMs() - failingSince < UNAVAILABLE_AFTER_MS;
+    }
+
+    boolean failingLongerThan(long durationMs) {
+        return eventLoop.nowMs() - failingSince > durationMs;
+    }
+
+    boolean respondedWithin(long durationMs) {
+        return eventLoop.nowMs() - lastResponseAt <= durationMs;
+    }
+
+    // Users are refused at once while the service is unavailable, so no other call would notice its return.
+    private void scheduleProbe() {
+        if (!probing) {
+            probing = true;
+            eventLoop.after(UNAVAILABLE_AFTER_MS, () -> prober.accept(this::onProbeEnd));
+        }
+    }
+
+    private void onProbeEnd() {
+        probing = false;
+        if (failingSince != NOT_FAILING) {
+            scheduleProbe();
+        }
+    }
+}
