--- a/src/main/java/io/quartzgw/cancellation/CancellationRegistry.java
+++ b/src/main/java/io/quartzgw/cancellation/CancellationRegistry.java
@@ -1,58 +1,59 @@
 package io.quartzgw.cancellation;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quartzgw.eventloop.EventLoop;
-import io.quartzgw.http.Json;
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.function.Consumer;
 
 /**
- * The jobs that a user was told are cancelled, here or at another controller. Every controller keeps them all, whoever
- * leads, and names them to the others until the job's tasks are gone: so a cancellation outlives the controller that
- * told it, and a new leader knows it before it has read anything.
+ * The jobs that are cancelled, as acknowledged to a user by this or another controller. Every controller records all of
+ * them, whoever leads, and announces them to the others until no task of the job can run any more. So a cancellation
+ * outlives the controller that acknowledged it, and a new leader knows it before it has read anything.
  */
 public final class CancellationRegistry {
-    private static final String CANCELLED_FIELD = "cancelled";
-    private static final String COMPLETE_FIELD = "cancelled_whole";
-    /** A cancelled job's tasks are gone after the limit; it is named for longer, as clocks and messages are. */
+    /**
+     * How long a job is announced, in cancel limits: longer than its tasks may run, as clocks drift and messages wait.
+     */
     private static final double ANNOUNCED_LIMITS = 1.5;
-    /** Kept for longer than named: a name that comes back from another controller must not be new again. */
+    /** How long a job is retained: longer than announced, so that a late announcement does not make it new again. */
     private static final double RETAINED_LIMITS = 4;
-    /** At 24 bytes each, with the age, a message stays below 64 KiB beside all else that it says. */
+    /** At 24 bytes each, with the age, a message stays below 64 KiB beside all its other fields. */
     private static final int MAX_ANNOUNCED = 1_500;
 
     private final EventLoop eventLoop;
     private final long announcedMs;
     private final long retainedMs;
-    private final Map<String, Long> cancelledAt = new LinkedHashMap<>();
+    private final Map<String, Long> cancelledAtMs = new LinkedHashMap<>();
     private Consumer<String> listener = job -> {};
 
-    /** @param cancelMs how long after a cancellation its tasks may still run */
-    public CancellationRegistry(EventLoop eventLoop, long cancelMs) {
+    /** @param cancelLimitMs how long after a cancellation the job's tasks may still run */
+    public CancellationRegistry(EventLoop eventLoop, long cancelLimitMs) {
         this.eventLoop = eventLoop;
-        this.announcedMs = (long) (ANNOUNCED_LIMITS * cancelMs);
-        this.retainedMs = (long) (RETAINED_LIMITS * cancelMs);
+        this.announcedMs = (long) (ANNOUNCED_LIMITS * cancelLimitMs);
+        this.retainedMs = (long) (RETAINED_LIMITS * cancelLimitMs);
     }
 
-    /** @param listener hears of each job that becomes known as cancelled */
+    /** @param listener receives each job that becomes known as cancelled */
     public void listener(Consumer<String> listener) {
         this.listener = listener;
     }
 
+    /** Whether a job is recorded as cancelled. */
     public boolean contains(String job) {
-        return cancelledAt.containsKey(job);
+        return cancelledAtMs.containsKey(job);
     }
 
+    /** Whether no job is recorded as cancelled. */
     public boolean isEmpty() {
-        return cancelledAt.isEmpty();
+        return cancelledAtMs.isEmpty();
     }
 
     /**
-     * Notes that a job is cancelled, before a user is told so; says whether that is new here. Any answer may be the
-     * first that reaches the user: the one to the abort, to a poll, or to a repeated submission.
+     * Records that a job is cancelled. This must come before any response that lets a user know: the one to the
+     * cancellation, to a poll, or to a repeated submission.
+     *
+     * @return whether the job was not recorded before
      */
     public boolean record(String job) {
         return record(job, 0);
@@ -60,57 +61,40 @@
 
     private boolean record(String job, long ageMs) {
         expire();
-        if (ageMs >= retainedMs || cancelledAt.putIfAbsent(job, eventLoop.nowMs() - ageMs) != null) {
+        if (ageMs >= retainedMs || cancelledAtMs.putIfAbsent(job, eventLoop.nowMs() - ageMs) != null) {
             return false;
         }
         listener.accept(job);
         return true;
     }
 
+    // The map is nearly in the order of time: jobs that other controllers have announced are a little older.
     private void expire() {
-        // Nearly in the order of their times: those from other controllers are a little older.
-        Iterator<Long> oldest = cancelledAt.values().iterator();
-        while (oldest.hasNext() && eventLoop.nowMs() - oldest.next() > retainedMs) {
-            oldest.remove();
+        Iterator<Long> oldestFirst = cancelledAtMs.values().iterator();
+        while (oldestFirst.hasNext() && eventLoop.nowMs() - oldestFirst.next() > retainedMs) {
+            oldestFirst.remove();
         }
     }
 
-    // ---- between controllers
-
-    /** Puts the names into a message, each with how long ago it was told. */
-    public void writeTo(ObjectNode message) {
+    /** The jobs to announce to the other controllers, each with its age. */
+    public CancellationAnnouncement announcement() {
         expire();
-        ObjectNode announced = Json.object();
-        boolean complete = true;
-        for (Map.Entry<String, Long> entry : cancelledAt.entrySet()) {
-            long age = eventLoop.nowMs() - entry.getValue();
-            if (age < announcedMs) {
-                complete = announced.size() < MAX_ANNOUNCED;
-                if (!complete) {
-                    break;
-                }
-                announced.put(entry.getKey(), age);
+        Map<String, Long> ageMsByJob = new LinkedHashMap<>();
+        for (Map.Entry<String, Long> entry : cancelledAtMs.entrySet()) {
+            long ageMs = eventLoop.nowMs() - entry.getValue();
+            if (ageMs >= announcedMs) {
+                continue;
+            }
+            if (ageMsByJob.size() == MAX_ANNOUNCED) {
+                return new CancellationAnnouncement(ageMsByJob, false);
             }
+            ageMsByJob.put(entry.getKey(), ageMs);
         }
-        message.set(CANCELLED_FIELD, announced);
-        message.put(COMPLETE_FIELD, complete);
+        return new CancellationAnnouncement(ageMsByJob, true);
     }
 
-    /** How many jobs a message names. */
-    public static int announcedCount(JsonNode message) {
-        return message.path(CANCELLED_FIELD).size();
-    }
-
-    /**
-     * Takes the names from a message, however late it comes: a cancellation stays true.
-     *
-     * @return whether the message names all that its sender has to name
-     */
-    public boolean readFrom(JsonNode message) {
-        message.path(CANCELLED_FIELD)
-                .properties()
-                .forEach(entry ->
-                        record(entry.getKey(), Math.max(0, entry.getValue().asLong())));
-        return message.path(COMPLETE_FIELD).asBoolean();
+    /** Records the jobs of another controller's announcement, however late it comes: a cancellation stays true. */
+    public void recordAll(CancellationAnnouncement announcement) {
+        announcement.ageMsByJob().forEach((job, ageMs) -> record(job, Math.max(0, ageMs)));
     }
 }
--- a/src/main/java/io/quartzgw/leadership/LeaderTerm.java
+++ b/src/main/java/io/quartzgw/leadership/LeaderTerm.java
@@ -1,42 +1,42 @@
 package io.quartzgw.leadership;
 
 /**
- * One term in which this node was elected. Whatever a leader starts and later continues has to ask first whether the
- * term still stands.
+ * One term for which this controller was elected. Whatever a leader starts and continues later must first check that
+ * the term is still current.
  */
 public final class LeaderTerm {
     private final Leadership leadership;
     private final long fencingToken;
     private final long termRevision;
 
-    /** Takes the term that this node leads with now. */
+    /** Captures the term that this controller leads with now. */
     public LeaderTerm(Leadership leadership) {
         this.leadership = leadership;
         this.fencingToken = leadership.term();
         this.termRevision = leadership.termRevision();
     }
 
-    /** The term itself: workers drop orders with a lower one. */
+    /** The number of the term: agents drop commands with a lower one. */
     public long fencingToken() {
         return fencingToken;
     }
 
-    /** Revision of the term key, which guards every write of this leader to the state service. */
+    /** The revision of the term key, which every write of this leader to the state store requires. */
     public long termRevision() {
         return termRevision;
     }
 
-    /** Notes a token that a message has shown; a higher one ends this term. */
+    /** Records a token that a message has shown; a higher one ends this term. */
     public void observeToken(long token) {
         leadership.observeTerm(token);
     }
 
-    /** Whether this node still leads with this term, as far as it knows. */
+    /** Whether this controller still leads with this term, as far as it knows. */
     public boolean isCurrent() {
         return leadership.leading() && leadership.term() == fencingToken;
     }
 
-    /** Whether this node surely still holds this term: no other node can have been elected. */
+    /** Whether this controller surely still leads with this term: no other controller can have been elected. */
     public boolean isConfirmed() {
         return isCurrent() && leadership.isConfirmed();
     }
--- a/src/main/java/io/quartzgw/leadership/PeerExchange.java
+++ b/src/main/java/io/quartzgw/leadership/PeerExchange.java
@@ -1,17 +1,15 @@
 package io.quartzgw.leadership;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quartzgw.cancellation.CancellationRegistry;
 import io.quartzgw.cancellation.CancellationWatermark;
 import io.quartzgw.eventloop.EventLoop;
 import io.quartzgw.http.Call;
 import io.quartzgw.http.Endpoint;
-import io.quartzgw.http.Json;
 import io.quartzgw.http.Request;
 import io.quartzgw.http.Response;
+import io.quartzgw.leadership.PeerMessage.Attachments;
 import io.quartzgw.store.StoreClient;
-import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -21,49 +19,66 @@
 import java.util.function.IntFunction;
 
 /**
- * What controllers tell each other, in CBOR: who runs as which process, who leads with which term, whether the state
- * service answers, and the leader's counts for display.
+ * Exchanges messages with the other controllers: once a heartbeat with each, and at once after an event. They announce
+ * which process runs, who leads with which term, whether the state store answers, cancelled jobs and the job counts.
  */
 public final class PeerExchange {
+    /** The path of the peer listener that messages are posted to. */
     public static final String PATH = "/peer";
+
     private static final int STALE_AFTER_HEARTBEATS = 4;
+    private static final int ANSWER_TIMEOUT_HEARTBEATS = 2;
     /** How many jobs a message may name: at 48 bytes each for the longest names, it stays below 64 KiB. */
     private static final int MAX_JOBS_PER_MESSAGE = 1_200;
 
     private final EventLoop eventLoop;
-    private final Leadership leadership;
-    private final StoreClient store;
     private final LeadershipTiming timing;
-    private final String member;
-    private final long process;
+    private final ControllerIdentity identity;
     private final Map<String, Endpoint> endpoints;
-    private final Map<String, PeerState> peers = new HashMap<>();
-    private final Set<String> awaitingAnswer = new HashSet<>();
-    private final RedirectedAgents redirectedAgents;
+    private final Leadership leadership;
+    private final StoreClient store;
     private final CancellationRegistry cancellations;
     private final CancellationWatermark watermark;
     private final WriteBudgetExchange writeBudget;
+    private final long staleAfterMs;
+    private final PeerRegistry peers;
+    private final RedirectedAgents redirectedAgents;
+    private final Set<String> awaitingAnswer = new HashSet<>();
     private long lastSequence;
-    private IntFunction<JsonNode> countsSource = most -> null;
+    private IntFunction<JsonNode> countsSource = maxJobs -> null;
     private Consumer<JsonNode> countsListener = counts -> {};
     private Consumer<JsonNode> noticeListener = notice -> {};
 
-    /** The last that a peer told. */
-    private static final class PeerState {
-        private long heardAt;
-        /** The number of its process's newest message. */
-        private long statusSequence;
-        /** The number of its newest message that had counts. */
-        private long countsSequence;
+    /** The parts of this controller whose state is announced to peers, and that learn from their messages. */
+    public record Participants(
+            Leadership leadership,
+            StoreClient store,
+            CancellationRegistry cancellations,
+            CancellationWatermark watermark,
+            WriteBudgetExchange writeBudget) {}
 
-        private boolean storeReachable;
-        private int redirectedAgents;
-        private long process;
-        /** The highest term of others that the peer has seen, and so no longer answers below. */
-        private long acknowledgedTerm;
+    /** @param endpoints the peer listeners of the other controllers, by member */
+    public PeerExchange(
+            EventLoop eventLoop,
+            LeadershipTiming timing,
+            ControllerIdentity identity,
+            Map<String, Endpoint> endpoints,
+            Participants participants) {
+        this.eventLoop = eventLoop;
+        this.timing = timing;
+        this.identity = identity;
+        this.endpoints = new LinkedHashMap<>(endpoints);
+        this.leadership = participants.leadership();
+        this.store = participants.store();
+        this.cancellations = participants.cancellations();
+        this.watermark = participants.watermark();
+        this.writeBudget = participants.writeBudget();
+        this.staleAfterMs = STALE_AFTER_HEARTBEATS * timing.heartbeatMs();
+        this.peers = new PeerRegistry(eventLoop, staleAfterMs);
+        this.redirectedAgents = new RedirectedAgents(eventLoop, timing.heartbeatMs());
     }
 
-    /** @param endpoints the peer listeners of the other controllers, by member */
+    /** Takes the participants one by one; use the constructor with {@link Participants}. */
     public PeerExchange(
             EventLoop eventLoop,
             Leadership leadership,
@@ -71,26 +86,24 @@
             LeadershipTiming timing,
             String member,
             long process,
-            Map<String, Endpoint> others,
+            Map<String, Endpoint> endpoints,
             CancellationRegistry cancellations,
             CancellationWatermark watermark,
-            WriteBudgetExchange shares) {
-        this.eventLoop = eventLoop;
-        this.leadership = leadership;
-        this.store = store;
-        this.timing = timing;
-        this.member = member;
-        this.process = process;
-        this.endpoints = new LinkedHashMap<>(others);
-        this.cancellations = cancellations;
-        this.watermark = watermark;
-        this.writeBudget = shares;
-        this.redirectedAgents = new RedirectedAgents(eventLoop, timing.heartbeatMs());
+            WriteBudgetExchange writeBudget) {
+        this(
+                eventLoop,
+                timing,
+                new ControllerIdentity(member, process),
+                endpoints,
+                new Participants(leadership, store, cancellations, watermark, writeBudget));
     }
 
     /**
-     * @param countsSource a page of the leader's counts, of so many jobs at the most, or null when this node has none
-     * @param countsListener receives each page of the leader's counts, this node's own as well
+     * Begins to send messages.
+     *
+     * @param countsSource a page of the leader's job counts, of so many jobs at the most, or null when this controller
+     *     has none
+     * @param countsListener receives each page of the leader's job counts, this controller's own as well
      * @param noticeListener receives a peer's notice about a job
      */
     public void start(
@@ -105,170 +118,154 @@
         });
     }
 
-    /** Tells every peer at once, for example that this node has been elected. */
+    // ---- sending
+
+    /** Sends a message to every peer at once, for example after this controller was elected. */
     public void broadcast() {
         writeBudget.measureDemand();
-        ObjectNode message = message();
-        JsonNode counts =
-                countsSource.apply(Math.max(1, MAX_JOBS_PER_MESSAGE - CancellationRegistry.announcedCount(message)));
-        if (counts != null) {
-            countsListener.accept(counts);
-            message.set("counts", counts);
-        }
-        endpoints.forEach((name, endpoint) -> send(name, endpoint, message));
+        PeerMessage status = newMessage();
+        int maxJobs = Math.max(1, MAX_JOBS_PER_MESSAGE - status.cancellations().size());
+        Optional<JsonNode> counts = Optional.ofNullable(countsSource.apply(maxJobs));
+        counts.ifPresent(countsListener);
+        PeerMessage message =
+                counts.map(Attachments::ofJobCounts).map(status::with).orElse(status);
+        endpoints.keySet().forEach(member -> send(member, message));
     }
 
-    /** Hands a notice about a job to the leader, if another node leads. */
-    public void notifyLeader(ObjectNode notice) {
-        postToLeader(message().set("notice", notice));
+    /** Sends a notice about a job to the leader, if another controller leads. */
+    public void notifyLeader(JsonNode notice) {
+        postToLeader(newMessage().with(Attachments.ofNotice(notice)));
     }
 
-    /** Tells the leader at once, if another node leads, what every message says: which jobs are cancelled. */
+    /** Sends a message with the cancelled jobs to the leader at once, if another controller leads. */
     public void sendToLeader() {
-        postToLeader(message());
+        postToLeader(newMessage());
     }
 
-    private void postToLeader(ObjectNode message) {
-        String leader = leadership.leaderMember();
-        Endpoint endpoint = leader == null ? null : endpoints.get(leader);
-        if (endpoint != null) {
-            eventLoop.call(Call.postCbor(endpoint, PATH, message, timing.heartbeatMs()), reply -> {});
-        }
+    private void postToLeader(PeerMessage message) {
+        leadership
+                .leader()
+                .map(endpoints::get)
+                .ifPresent(endpoint -> eventLoop.call(
+                        Call.postCbor(endpoint, PATH, PeerMessageCodec.encode(message), timing.heartbeatMs()),
+                        reply -> {}));
     }
 
-    /** Whether every other controller has said that it answers workers with no term below this one. */
-    public boolean allAcknowledgedTerm(long term) {
-        return endpoints.keySet().stream()
-                .allMatch(name -> peers.containsKey(name) && peers.get(name).acknowledgedTerm >= term);
-    }
-
-    /** Notes that a worker reported to this node while another one leads, or none. */
-    public void redirectedAgents(String machine, Endpoint address) {
-        redirectedAgents.add(machine, address);
+    private void send(String member, PeerMessage message) {
+        // One message at a time to each peer: calls must not pile up while it can't be reached.
+        if (!awaitingAnswer.add(member)) {
+            return;
+        }
+        long sentAtMs = eventLoop.nowMs();
+        Optional<LeaderRecord> recordWhenAsked = leadership.leaderRecord();
+        Call call = Call.postCbor(
+                endpoints.get(member),
+                PATH,
+                PeerMessageCodec.encode(message),
+                ANSWER_TIMEOUT_HEARTBEATS * timing.heartbeatMs());
+        eventLoop.call(call, reply -> {
+            awaitingAnswer.remove(member);
+            if (reply.ok()) {
+                onAnswer(member, PeerMessageCodec.decode(reply.cbor()), sentAtMs, recordWhenAsked);
+            }
+        });
     }
 
-    /** How many workers some other controller, heard of lately, has turned away lately and reaches. */
-    public int agentsReachingOthers() {
-        return peers.values().stream()
-                .filter(this::isRecent)
-                .mapToInt(peer -> peer.redirectedAgents)
-                .max()
-                .orElse(0);
+    private PeerMessage newMessage() {
+        PeerStatus status = new PeerStatus(
+                redirectedAgents.count(),
+                watermark.uptimeMs(),
+                leadership.leading() ? leadership.term() : 0,
+                leadership.highestTerm(),
+                store.reachable() && store.respondedWithin(staleAfterMs));
+        return new PeerMessage(
+                identity,
+                ++lastSequence,
+                status,
+                cancellations.announcement(),
+                writeBudget.demandPerS(),
+                Attachments.NONE);
     }
 
-    private boolean isRecent(PeerState peer) {
-        return eventLoop.nowMs() - peer.heardAt <= STALE_AFTER_HEARTBEATS * timing.heartbeatMs();
-    }
-
-    /** Whether some other controller, heard of lately, reaches the state service. */
-    public boolean anotherPeerReachesStore() {
-        return peers.values().stream().anyMatch(peer -> peer.storeReachable && isRecent(peer));
-    }
+    // ---- receiving
 
     /** Serves a peer's message. */
     public void serve(Request request) {
-        JsonNode message = Json.readCborOrNull(request.body());
-        if (message == null || !endpoints.containsKey(message.path("member").asText())) {
+        Optional<PeerMessage> message = PeerMessageCodec.decode(request.body())
+                .filter(received -> endpoints.containsKey(received.sender().member()));
+        if (message.isPresent()) {
+            PeerMessage answer = receive(message.get());
+            eventLoop.answer(request.exchange(), Response.cbor(PeerMessageCodec.encode(answer)));
+        } else {
             eventLoop.answer(request.exchange(), Response.error(400, "not a peer's message"));
-            return;
-        }
-        // A message may be a late copy, from a process that is gone: it does not show who runs now. The peer's
-        // answer to this node's next message does.
-        String name = message.path("member").asText();
-        PeerState peer = peers.get(name);
-        boolean present =
-                peer != null && peer.process == message.path("process").asLong();
-        if (present) {
-            applyStatus(peer, message);
-            applyCounts(peer, message);
-        }
-        if (!present) {
-            send(name, endpoints.get(name), message());
         }
+    }
+
+    private PeerMessage receive(PeerMessage message) {
+        // A message may be a late copy, of a process that has ended: it does not prove which process runs now. The
+        // peer's answer to this controller's next message does.
+        peers.present(message.sender())
+                .ifPresentOrElse(
+                        peer -> applyPresentState(peer, message),
+                        () -> send(message.sender().member(), newMessage()));
         applyDurableFacts(message);
-        if (message.has("notice")) {
-            noticeListener.accept(message.get("notice"));
-        }
-        ObjectNode answer = message();
-        writeBudget.addGrant(name, message, answer);
-        eventLoop.answer(request.exchange(), Response.cbor(answer));
+        message.attachments().notice().ifPresent(noticeListener);
+        PeerMessage answer = newMessage();
+        return writeBudget
+                .grantTo(message.sender().member(), message.writeDemandPerS())
+                .map(Attachments::ofWriteGrant)
+                .map(answer::with)
+                .orElse(answer);
     }
 
-    private void send(String name, Endpoint endpoint, ObjectNode message) {
-        // One message at a time to each: a cut must not pile up calls.
-        if (awaitingAnswer.add(name)) {
-            long sentAt = eventLoop.nowMs();
-            Optional<LeaderRecord> recordWhenAsked = leadership.leaderRecord();
-            eventLoop.call(Call.postCbor(endpoint, PATH, message, 2 * timing.heartbeatMs()), reply -> {
-                awaitingAnswer.remove(name);
-                if (reply.ok()) {
-                    onAnswer(name, reply.cbor(), sentAt, recordWhenAsked);
-                }
-            });
-        }
+    private void applyPresentState(PeerState peer, PeerMessage message) {
+        peer.applyStatus(message, eventLoop.nowMs());
+        message.attachments()
+                .jobCounts()
+                .filter(counts -> peer.acceptCounts(message))
+                .ifPresent(countsListener);
     }
 
-    private ObjectNode message() {
-        ObjectNode state = Json.object();
-        cancellations.writeTo(state);
-        writeBudget.addDemand(state);
-        return state.put("member", member)
-                .put("sequence", ++lastSequence)
-                .put("workers", redirectedAgents.count())
-                .put("process", process)
-                .put("up_ms", watermark.uptimeMs())
-                .put("leading", leadership.leading() ? leadership.term() : 0)
-                .put("term", leadership.highestTerm())
-                .put(
-                        "store",
-                        store.reachable() && store.respondedWithin(STALE_AFTER_HEARTBEATS * timing.heartbeatMs()));
+    // An answer was made after the message that it answers was sent, so it proves which process runs.
+    private void onAnswer(String member, PeerMessage answer, long sentAtMs, Optional<LeaderRecord> recordWhenAsked) {
+        ControllerIdentity peer = new ControllerIdentity(member, answer.sender().process());
+        peers.observeProcess(peer).applyStatus(answer, eventLoop.nowMs());
+        answer.attachments().writeGrantPerS().ifPresent(writesPerS -> writeBudget.applyGrant(writesPerS, sentAtMs));
+        applyDurableFacts(answer);
+        watermark.peerAnswered(
+                member,
+                peer.process(),
+                answer.status().uptimeMs(),
+                sentAtMs,
+                answer.cancellations().complete());
+        leadership.observePeerProcess(peer, recordWhenAsked);
     }
 
-    // An answer was made after the message that it answers was sent, so it tells who runs.
-    private void onAnswer(String name, JsonNode answer, long sentAt, Optional<LeaderRecord> recordWhenAsked) {
-        long processId = answer.path("process").asLong();
-        PeerState peer = peers.computeIfAbsent(name, key -> new PeerState());
-        if (peer.process != processId) {
-            peer.process = processId;
-            peer.statusSequence = 0;
-            peer.countsSequence = 0;
-        }
-        applyStatus(peer, answer);
-        writeBudget.applyGrant(answer, sentAt);
-        boolean complete = applyDurableFacts(answer);
-        watermark.peerAnswered(name, processId, answer.path("up_ms").asLong(), sentAt, complete);
-        leadership.observePeerProcess(new ControllerIdentity(name, processId), recordWhenAsked);
+    /** Applies what stays true, however late it comes: cancellations, and that a term was reached. */
+    private void applyDurableFacts(PeerMessage message) {
+        cancellations.recordAll(message.cancellations());
+        leadership.observeTerm(message.status().highestTerm());
     }
 
-    // Answers have no counts: one that overtakes the leader's message on its way must not make it look old, or
-    // two controllers that beat in step would never hear of the counts.
-    private void applyCounts(PeerState peer, JsonNode message) {
-        if (message.has("counts") && message.path("sequence").asLong() > peer.countsSequence) {
-            peer.countsSequence = message.path("sequence").asLong();
-            countsListener.accept(message.get("counts"));
-        }
+    // ---- the peers' state
+
+    /** Whether every other controller has announced that it answers agents with no term below this one. */
+    public boolean allAcknowledgedTerm(long term) {
+        return peers.allAcknowledged(endpoints.keySet(), term);
     }
 
-    /** Takes what a message says of the present, unless a newer one has said it. */
-    private void applyStatus(PeerState peer, JsonNode message) {
-        if (message.path("sequence").asLong() <= peer.statusSequence) {
-            return;
-        }
-        peer.statusSequence = message.path("sequence").asLong();
-        peer.heardAt = eventLoop.nowMs();
-        peer.redirectedAgents = message.path("workers").asInt();
-        peer.storeReachable = message.path("store").asBoolean();
-        peer.acknowledgedTerm =
-                Math.max(peer.acknowledgedTerm, message.path("term").asLong());
+    /** Records that an agent sent its heartbeat to this controller while another one leads, or none. */
+    public void redirectedAgents(String machine, Endpoint address) {
+        redirectedAgents.add(machine, address);
     }
 
-    /**
-     * Takes what stays true, however late it comes: cancellations, and that a term was reached. Says whether all
-     * cancellations were named.
-     */
-    private boolean applyDurableFacts(JsonNode message) {
-        boolean complete = cancellations.readFrom(message);
-        leadership.observeTerm(message.path("term").asLong());
-        return complete;
+    /** The most agents that one other controller has lately turned away and can reach. */
+    public int agentsReachingOthers() {
+        return peers.maxRedirectedAgents();
+    }
+
+    /** Whether the state store lately answered some other controller. */
+    public boolean anotherPeerReachesStore() {
+        return peers.anyReachesStore();
     }
 }
--- /dev/null
+++ b/src/main/java/io/quartzgw/leadership/PeerState.java
@@ -0,0 +1,73 @@
+package io.quartzgw.leadership;
+
+/** The newest status of one peer that is known to be of its present process. */
+final class PeerState {
+    private long process;
+    private long receivedAtMs;
+    /** The number of the process's newest message. */
+    private long statusSequence;
+    /** The number of its newest message that had job counts. */
+    private long countsSequence;
+
+    private boolean storeReachable;
+    private int redirectedAgents;
+    private long acknowledgedTerm;
+
+    /**
+     * Records that the peer has answered as a process: the messages of another one are numbered from the first again.
+     */
+    void observeProcess(long answeringProcess) {
+        if (process != answeringProcess) {
+            process = answeringProcess;
+            statusSequence = 0;
+            countsSequence = 0;
+        }
+    }
+
+    boolean isProcess(long otherProcess) {
+        return process == otherProcess;
+    }
+
+    /** Applies a message's status, unless a newer message was applied before. */
+    void applyStatus(PeerMessage message, long nowMs) {
+        if (message.sequence() <= statusSequence) {
+            return;
+        }
+        PeerStatus status = message.status();
+        statusSequence = message.sequence();
+        receivedAtMs = nowMs;
+        redirectedAgents = status.redirectedAgents();
+        storeReachable = status.storeReachable();
+        acknowledgedTerm = Math.max(acknowledgedTerm, status.highestTerm());
+    }
+
+    /**
+     * Whether the job counts of a message are the newest. They are numbered apart from the status, since answers have
+     * none: an answer that overtakes the leader's message must not make its counts look old, or two controllers whose
+     * heartbeats coincide would never receive any.
+     */
+    boolean acceptCounts(PeerMessage message) {
+        if (message.sequence() <= countsSequence) {
+            return false;
+        }
+        countsSequence = message.sequence();
+        return true;
+    }
+
+    long receivedAtMs() {
+        return receivedAtMs;
+    }
+
+    boolean storeReachable() {
+        return storeReachable;
+    }
+
+    int redirectedAgents() {
+        return redirectedAgents;
+    }
+
+    /** The highest term that the peer has observed, and so no longer answers agents below. */
+    long acknowledgedTerm() {
+        return acknowledgedTerm;
+    }
+}
--- a/src/main/java/io/quartzgw/leadership/RedirectedAgents.java
+++ b/src/main/java/io/quartzgw/leadership/RedirectedAgents.java
@@ -8,73 +8,82 @@
 import java.util.Map;
 
 /**
- * Workers that reported here while another controller leads, or none, and whether this node reaches them.
+ * Agents that sent a heartbeat to this controller while another one leads, or none, and whether this controller can
+ * reach them.
  *
- * <p>Many of them may mean that the leader is cut off from its workers, and should give up its term to one that isn't.
- * But workers that hear nobody turn up everywhere as well, and no leader would serve them better: so one of them is
- * asked now and then, and only those that answer speak for another leader.
+ * <p>Many of them may mean that the leader is cut off from its agents, and should give up its term to a controller that
+ * isn't. But agents that receive nothing turn up at every controller as well, and no other leader would serve them
+ * better. So one of them is probed at each heartbeat, and they count only while such probes are answered.
  */
 final class RedirectedAgents {
-    /** How long a worker counts: it tries the leader for some seconds in between. */
+    /** How long an agent counts: in between it tries the leader for some seconds. */
     private static final int EXPIRY_HEARTBEATS = 6;
-    /** A node that has missed so many heartbeats stood still; what it reads for a while after that is old. */
-    private static final int STALL_HEARTBEATS = 3;
+    /** A controller that has missed so many heartbeats was paused; what it reads for a while after that is old. */
+    private static final int PAUSE_HEARTBEATS = 3;
 
-    private static final int IGNORE_AFTER_STALL_HEARTBEATS = 2;
+    private static final int IGNORE_AFTER_PAUSE_HEARTBEATS = 2;
+    private static final String PROBE_PATH = "/show";
+    private static final long NEVER = Long.MIN_VALUE / 2;
 
     private final EventLoop eventLoop;
     private final long heartbeatMs;
     private final Map<String, Redirection> redirections = new HashMap<>();
-    private long lastReachedAt = Long.MIN_VALUE / 2;
-    private long probedAt;
-    private long ignoreUntil = Long.MIN_VALUE / 2;
+    private long lastReachedAtMs = NEVER;
+    private long probedAtMs;
+    private long ignoreUntilMs = NEVER;
 
-    private record Redirection(Endpoint address, long at) {}
+    private record Redirection(Endpoint address, long atMs) {}
 
     RedirectedAgents(EventLoop eventLoop, long heartbeatMs) {
         this.eventLoop = eventLoop;
         this.heartbeatMs = heartbeatMs;
-        this.probedAt = eventLoop.nowMs();
+        this.probedAtMs = eventLoop.nowMs();
     }
 
+    /** Records that an agent has sent a heartbeat to this controller. */
     void add(String machine, Endpoint address) {
-        if (eventLoop.nowMs() > ignoreUntil) {
+        if (eventLoop.nowMs() > ignoreUntilMs) {
             redirections.put(machine, new Redirection(address, eventLoop.nowMs()));
         }
     }
 
-    /** Asks one of them; to be called once a heartbeat. */
+    /** Probes one of the agents; to be called once a heartbeat. */
     void probe() {
-        // Guards the leader that was elected meanwhile: to a node that stood still, reports that had waited for it
-        // look like workers that are turned away now, and with a wave of lost machines they would depose a healthy one.
-        if (eventLoop.nowMs() - probedAt > STALL_HEARTBEATS * heartbeatMs) {
-            redirections.clear();
-            ignoreUntil = eventLoop.nowMs() + IGNORE_AFTER_STALL_HEARTBEATS * heartbeatMs;
-        }
-        probedAt = eventLoop.nowMs();
-        redirections.values().removeIf(seen -> !isRecent(seen.at));
+        discardAfterPause();
+        probedAtMs = eventLoop.nowMs();
+        redirections.values().removeIf(redirection -> !isRecent(redirection.atMs()));
         if (redirections.isEmpty()) {
             return;
         }
         List<Redirection> recent = List.copyOf(redirections.values());
         Endpoint address = recent.get(eventLoop.random().nextInt(recent.size())).address();
-        eventLoop.call(Call.get(address, "/show", heartbeatMs), reply -> {
+        eventLoop.call(Call.get(address, PROBE_PATH, heartbeatMs), reply -> {
             if (reply.ok()) {
-                lastReachedAt = eventLoop.nowMs();
+                lastReachedAtMs = eventLoop.nowMs();
             }
         });
     }
 
-    /** How many speak for another leader. */
+    // Guards the leader that was elected meanwhile: to a controller that was paused, heartbeats that were queued look
+    // like agents that are turned away now, and with a wave of lost machines they would depose a healthy leader.
+    private void discardAfterPause() {
+        if (eventLoop.nowMs() - probedAtMs > PAUSE_HEARTBEATS * heartbeatMs) {
+            redirections.clear();
+            ignoreUntilMs = eventLoop.nowMs() + IGNORE_AFTER_PAUSE_HEARTBEATS * heartbeatMs;
+        }
+    }
+
+    /** How many agents this controller has lately turned away; 0 while it reaches none of them. */
     int count() {
-        return isRecent(lastReachedAt)
-                ? (int) redirections.values().stream()
-                        .filter(seen -> isRecent(seen.at))
-                        .count()
-                : 0;
+        if (!isRecent(lastReachedAtMs)) {
+            return 0;
+        }
+        return (int) redirections.values().stream()
+                .filter(redirection -> isRecent(redirection.atMs()))
+                .count();
     }
 
-    private boolean isRecent(long moment) {
-        return eventLoop.nowMs() - moment <= EXPIRY_HEARTBEATS * heartbeatMs;
+    private boolean isRecent(long momentMs) {
+        return eventLoop.nowMs() - momentMs <= EXPIRY_HEARTBEATS * heartbeatMs;
     }
 }
--- a/src/main/java/io/quartzgw/leadership/WriteBudgetExchange.java
+++ b/src/main/java/io/quartzgw/leadership/WriteBudgetExchange.java
@@ -1,20 +1,17 @@
 package io.quartzgw.leadership;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quartzgw.eventloop.EventLoop;
 import io.quartzgw.store.StoreClient;
 import io.quartzgw.store.StoreLimits;
 import io.quartzgw.store.WriteBudgetAllocator;
+import java.util.Optional;
 
 /**
- * This node's share of the changes that the state service takes. Every message between controllers says how many its
- * sender wants; the leader's answers grant them, for as long as its term is confirmed. Only answers lend: the grantee
+ * This controller's grants of the state store's write budget. Every message between controllers has the sender's
+ * demand; the leader's answers grant part of the budget, while its term is confirmed. Only answers grant: the receiver
  * knows when it asked, so a late copy grants nothing for longer than it should.
  */
 public final class WriteBudgetExchange {
-    private static final String DEMAND_FIELD = "writes_wanted";
-    private static final String GRANT_FIELD = "writes_lent";
     /** A grant outlasts one heartbeat whose message is lost. */
     private static final double GRANT_HEARTBEATS = 2.5;
     /** The part of a former demand that is still counted at the next heartbeat: bursts come again. */
@@ -27,16 +24,18 @@
     private final String member;
     private final int members;
     private final long grantMs;
-    /** What is measured over a shorter time says little. */
+    /** A demand is not measured over less than this. */
     private final long minMeasurementMs;
 
+    /** The allocator of the term in which this controller last led; null before. */
     private WriteBudgetAllocator allocator;
+
     private long allocatorTerm;
     private double demandPerS;
-    private long measuredAt;
+    private long measuredAtMs;
 
     /**
-     * @param limits what the state service takes from all controllers together
+     * @param limits the state store's limits for all controllers together
      * @param members how many controllers there are
      */
     public WriteBudgetExchange(
@@ -55,46 +54,37 @@
         this.members = members;
         this.grantMs = (long) (GRANT_HEARTBEATS * timing.heartbeatMs());
         this.minMeasurementMs = timing.heartbeatMs() / 2;
-        this.measuredAt = eventLoop.nowMs();
+        this.measuredAtMs = eventLoop.nowMs();
     }
 
-    /** Measures what this node wants, and grants it its own part if it leads; once a heartbeat. */
+    /** Measures this controller's demand, and grants it its own part if it leads; once a heartbeat. */
     void measureDemand() {
-        long elapsed = eventLoop.nowMs() - measuredAt;
-        if (elapsed < minMeasurementMs) {
+        long elapsedMs = eventLoop.nowMs() - measuredAtMs;
+        if (elapsedMs < minMeasurementMs) {
             return;
         }
-        measuredAt = eventLoop.nowMs();
-        demandPerS = Math.max(DEMAND_DECAY * demandPerS, store.takeWriteDemand() * 1000.0 / elapsed);
-        if (mayGrant()) {
-            double grantedPerS = allocator.grant(member, demandPerS, eventLoop.nowMs());
-            if (allocator.canGrant(eventLoop.nowMs())) {
-                store.applyWriteGrant(grantedPerS, eventLoop.nowMs() + grantMs);
-            }
-        }
+        measuredAtMs = eventLoop.nowMs();
+        demandPerS = Math.max(DEMAND_DECAY * demandPerS, store.takeWriteDemand() * 1000.0 / elapsedMs);
+        grantTo(member, demandPerS).ifPresent(writesPerS -> applyGrant(writesPerS, eventLoop.nowMs()));
     }
 
-    /** Adds to a message what this node wants. */
-    void addDemand(ObjectNode message) {
-        message.put(DEMAND_FIELD, demandPerS);
+    /** How many writes a second this controller wants to make. */
+    double demandPerS() {
+        return demandPerS;
     }
 
-    /** Adds to the answer to a member's message what the leader grants it. */
-    void addGrant(String grantee, JsonNode message, ObjectNode answer) {
-        if (mayGrant()) {
-            double grantedPerS =
-                    allocator.grant(grantee, message.path(DEMAND_FIELD).asDouble(), eventLoop.nowMs());
-            if (allocator.canGrant(eventLoop.nowMs())) {
-                answer.put(GRANT_FIELD, grantedPerS);
-            }
+    /** How many writes a second this controller grants to a member, if it may grant any now; records the demand. */
+    Optional<Double> grantTo(String grantee, double wantedPerS) {
+        if (!mayGrant()) {
+            return Optional.empty();
         }
+        double grantedPerS = allocator.grant(grantee, wantedPerS, eventLoop.nowMs());
+        return allocator.canGrant(eventLoop.nowMs()) ? Optional.of(grantedPerS) : Optional.empty();
     }
 
-    /** Takes what an answer lends, from the moment at which this node asked. */
-    void applyGrant(JsonNode answer, long requestedAt) {
-        if (answer.has(GRANT_FIELD)) {
-            store.applyWriteGrant(answer.path(GRANT_FIELD).asDouble(), requestedAt + grantMs);
-        }
+    /** Applies a grant, which counts from the moment at which this controller asked. */
+    void applyGrant(double writesPerS, long requestedAtMs) {
+        store.applyWriteGrant(writesPerS, requestedAtMs + grantMs);
     }
 
     private boolean mayGrant() {
--- a/src/test/java/io/quartzgw/cancellation/CancellationRegistryTest.java
+++ b/src/test/java/io/quartzgw/cancellation/CancellationRegistryTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quartzgw.eventloop.ClockReading;
 import io.quartzgw.eventloop.EventLoop;
@@ -13,62 +14,69 @@
 import org.junit.jupiter.api.Test;
 
 class CancellationRegistryTest {
-    private static final long CANCEL_MS = 36_000;
+    private static final long CANCEL_LIMIT_MS = 36_000;
 
     private final EventLoop eventLoop = new EventLoop(1);
-    private final CancellationRegistry here = new CancellationRegistry(eventLoop, CANCEL_MS);
-    private final CancellationRegistry there = new CancellationRegistry(eventLoop, CANCEL_MS);
+    private final CancellationRegistry local = new CancellationRegistry(eventLoop, CANCEL_LIMIT_MS);
+    private final CancellationRegistry remote = new CancellationRegistry(eventLoop, CANCEL_LIMIT_MS);
 
-    private void time(long now) {
-        eventLoop.processBatch(List.of(), new ClockReading(now, now));
+    private void advanceTo(long nowMs) {
+        eventLoop.processBatch(List.of(), new ClockReading(nowMs, nowMs));
     }
 
-    private static ObjectNode message(CancellationRegistry from) {
+    private static ObjectNode messageOf(CancellationRegistry sender) {
         ObjectNode message = Json.object();
-        from.writeTo(message);
+        CancellationAnnouncementCodec.encode(sender.announcement(), message);
         return message;
     }
 
-    // Guards a leader that hears nothing for as long as its workers' leases may last.
+    /** Records the jobs of a message, and says whether it announces all that its sender has to. */
+    private static boolean receive(CancellationRegistry receiver, JsonNode message) {
+        CancellationAnnouncement announcement = CancellationAnnouncementCodec.decode(message);
+        receiver.recordAll(announcement);
+        return announcement.complete();
+    }
+
+    // Guards a leader that receives nothing for as long as its agents' leases may last.
     @Test
-    void aCancellationIsNamedForLongerThanTheLimitAndHeardOfOnce() {
-        List<String> heard = new ArrayList<>();
-        there.listener(heard::add);
-        time(1_000);
-        assertTrue(here.record("j-000001"));
-        assertFalse(here.record("j-000001"), "known already");
-        time(1_000 + CANCEL_MS);
-        assertTrue(there.readFrom(message(here)));
-        there.readFrom(message(here));
-        assertEquals(List.of("j-000001"), heard);
-        assertTrue(there.contains("j-000001"));
+    void cancellationIsAnnouncedBeyondTheLimitAndReportedToTheListenerOnce() {
+        List<String> reported = new ArrayList<>();
+        remote.listener(reported::add);
+        advanceTo(1_000);
+        assertTrue(local.record("j-000001"));
+        assertFalse(local.record("j-000001"), "recorded already");
+        advanceTo(1_000 + CANCEL_LIMIT_MS);
+        assertTrue(receive(remote, messageOf(local)));
+        receive(remote, messageOf(local));
+        assertEquals(List.of("j-000001"), reported);
+        assertTrue(remote.contains("j-000001"));
     }
 
-    // Guards the messages' size: names that go back and forth must not stay for ever.
+    // Guards the size of messages: jobs that two controllers announce to each other must not stay for ever.
     @Test
-    void namesThatGoBackAndForthAreNamedNoLonger() {
-        time(0);
-        here.record("j-000001");
-        for (long now = 500; now < 6 * CANCEL_MS; now += 500) {
-            time(now);
-            ObjectNode late = message(here);
-            time(now + 400);
-            there.readFrom(late);
-            here.readFrom(message(there));
+    void cancellationAnnouncedBackAndForthExpires() {
+        advanceTo(0);
+        local.record("j-000001");
+        for (long nowMs = 500; nowMs < 6 * CANCEL_LIMIT_MS; nowMs += 500) {
+            advanceTo(nowMs);
+            ObjectNode lateMessage = messageOf(local);
+            advanceTo(nowMs + 400);
+            receive(remote, lateMessage);
+            receive(local, messageOf(remote));
         }
-        assertEquals(0, CancellationRegistry.announcedCount(message(here)));
-        assertEquals(0, CancellationRegistry.announcedCount(message(there)));
-        assertTrue(here.isEmpty() && there.isEmpty());
+        assertEquals(0, local.announcement().size());
+        assertEquals(0, remote.announcement().size());
+        assertTrue(local.isEmpty() && remote.isEmpty());
     }
 
     @Test
-    void aMessageStaysSmallAndSaysThatItIsNotWhole() {
-        time(0);
+    void announcementOfTooManyJobsIsTruncatedAndMarkedIncomplete() {
+        advanceTo(0);
         for (int i = 0; i < 5_000; i++) {
-            here.record("j-" + (100_000_000 + i));
+            local.record("j-" + (100_000_000 + i));
         }
-        ObjectNode message = message(here);
+        ObjectNode message = messageOf(local);
         assertTrue(Json.writeCbor(message).length < 48 * 1024);
-        assertFalse(there.readFrom(message));
+        assertFalse(receive(remote, message));
     }
 }
--- a/src/test/java/io/quartzgw/cancellation/package-info.java
+++ b/src/test/java/io/quartzgw/cancellation/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of how cancellations are passed on and of what they allow. */
+/** Tests of how cancellations are announced, and of the cancellation watermark. */
 package io.quartzgw.cancellation;
--- a/src/test/java/io/quartzgw/leadership/PeerExchangeTest.java
+++ b/src/test/java/io/quartzgw/leadership/PeerExchangeTest.java
@@ -24,26 +24,25 @@
 import org.junit.jupiter.api.Test;
 
 class PeerExchangeTest {
-    private static final LeadershipTiming TIMES = LeadershipTiming.of(2.5, 16, 36);
+    private static final LeadershipTiming TIMING = LeadershipTiming.of(2.5, 16, 36);
+    private static final StoreLimits LIMITS = new StoreLimits(10, 10, 8192, 16);
 
     private final EventLoop eventLoop = new EventLoop(1);
-    private final StoreClient store =
-            new StoreClient(eventLoop, new Endpoint("10.2.0.1", 1), new StoreLimits(10, 10, 8192, 16));
+    private final StoreClient store = new StoreClient(eventLoop, new Endpoint("10.2.0.1", 1), LIMITS);
     private final CancellationWatermark watermark = new CancellationWatermark(eventLoop, 36_000, Set.of("rig-1"));
-    private final Leadership leadership = new Leadership(eventLoop, store, TIMES, "rig-0", 1, watermark);
-    private final PeerExchange peers = new PeerExchange(
+    private final Leadership leadership = new Leadership(eventLoop, store, TIMING, "rig-0", 1, watermark);
+    private final PeerExchange exchange = new PeerExchange(
             eventLoop,
-            leadership,
-            store,
-            TIMES,
-            "rig-0",
-            1,
+            TIMING,
+            new ControllerIdentity("rig-0", 1),
             Map.of("rig-1", new Endpoint("10.0.0.2", 8081)),
-            new CancellationRegistry(eventLoop, 36_000),
-            watermark,
-            new WriteBudgetExchange(
-                    eventLoop, leadership, store, new StoreLimits(10, 10, 8192, 16), TIMES, "rig-0", 2));
-    private final List<JsonNode> told = new ArrayList<>();
+            new PeerExchange.Participants(
+                    leadership,
+                    store,
+                    new CancellationRegistry(eventLoop, 36_000),
+                    watermark,
+                    new WriteBudgetExchange(eventLoop, leadership, store, LIMITS, TIMING, "rig-0", 2)));
+    private final List<JsonNode> receivedCounts = new ArrayList<>();
 
     private static ObjectNode message(long process, long sequence) {
         return Json.object().put("member", "rig-1").put("process", process).put("sequence", sequence);
@@ -56,24 +55,24 @@
                 new ClockReading(2, 2));
     }
 
-    // Guards the counts that users see: where two controllers beat in step, each answer of the leader overtakes
-    // the message that it sent just before, with the counts.
+    // Guards the counts that users see: where the heartbeats of two controllers coincide, each answer of the leader
+    // overtakes the message that it sent just before, with the counts.
     @Test
-    void countsAreTakenThoughAnAnswerOvertookThemAndNeverOlderOnes() {
+    void jobCountsOvertakenByAnAnswerAreAppliedAndOlderOnesIgnored() {
         eventLoop.processBatch(List.of(), new ClockReading(1, 1));
-        eventLoop.onRequest(peers::serve);
-        peers.start(most -> null, told::add, notice -> {});
-        Effect.Send beat = (Effect.Send)
+        eventLoop.onRequest(exchange::serve);
+        exchange.start(maxJobs -> null, receivedCounts::add, notice -> {});
+        Effect.Send heartbeat = (Effect.Send)
                 eventLoop.processBatch(List.of(), new ClockReading(1, 1)).get(0);
         eventLoop.processBatch(
-                List.of(new Command.CallEnded(beat.call(), new Reply(200, Json.writeCbor(message(7, 11))))),
+                List.of(new Command.CallEnded(heartbeat.call(), new Reply(200, Json.writeCbor(message(7, 11))))),
                 new ClockReading(2, 2));
         JsonNode newest = Json.object().set("j-1", Json.array().add(1).add(2));
         serve(message(7, 10).set("counts", newest));
-        assertEquals(List.of(newest), told);
+        assertEquals(List.of(newest), receivedCounts);
         serve(message(7, 9).set("counts", Json.object()));
-        assertEquals(List.of(newest), told, "older counts are a late copy");
+        assertEquals(List.of(newest), receivedCounts, "older counts are a late copy");
         serve(message(6, 12).set("counts", Json.object()));
-        assertEquals(List.of(newest), told, "a process that has not answered may be gone");
+        assertEquals(List.of(newest), receivedCounts, "a process that has not answered may have ended");
     }
 }
--- a/src/test/java/io/quartzgw/leadership/RedirectedAgentsTest.java
+++ b/src/test/java/io/quartzgw/leadership/RedirectedAgentsTest.java
@@ -14,42 +14,42 @@
 
 class RedirectedAgentsTest {
     private static final long HEARTBEAT_MS = 1_000;
-    private static final Endpoint WORKER = new Endpoint("10.1.0.1", 9000);
+    private static final Endpoint AGENT = new Endpoint("10.1.0.1", 9000);
 
     private final EventLoop eventLoop = new EventLoop(1);
-    private final RedirectedAgents redirected = new RedirectedAgents(eventLoop, HEARTBEAT_MS);
+    private final RedirectedAgents redirectedAgents = new RedirectedAgents(eventLoop, HEARTBEAT_MS);
 
-    /** A worker reports, a heartbeat later it is asked, and it answers. */
-    private int countAfterReportAndHeartbeat(long now) {
-        act(now, () -> redirected.add("i-000001", WORKER));
+    /** An agent sends a heartbeat, it is probed a controller's heartbeat later, and it answers. */
+    private int countAfterHeartbeatAndProbe(long nowMs) {
+        runAt(nowMs, () -> redirectedAgents.add("i-000001", AGENT));
         List<Command> answers = new ArrayList<>();
-        for (Effect effect : act(now + HEARTBEAT_MS, redirected::probe)) {
+        for (Effect effect : runAt(nowMs + HEARTBEAT_MS, redirectedAgents::probe)) {
             answers.add(new Command.CallEnded(((Effect.Send) effect).call(), new Reply(200, new byte[0])));
         }
-        eventLoop.processBatch(answers, new ClockReading(now + HEARTBEAT_MS, 0));
-        return redirected.count();
+        eventLoop.processBatch(answers, new ClockReading(nowMs + HEARTBEAT_MS, 0));
+        return redirectedAgents.count();
     }
 
-    private List<Effect> act(long now, Runnable action) {
-        eventLoop.processBatch(List.of(), new ClockReading(now, 0));
+    private List<Effect> runAt(long nowMs, Runnable action) {
+        eventLoop.processBatch(List.of(), new ClockReading(nowMs, 0));
         action.run();
-        return eventLoop.processBatch(List.of(), new ClockReading(now, 0));
+        return eventLoop.processBatch(List.of(), new ClockReading(nowMs, 0));
     }
 
     @Test
-    void aWorkerThatReportsHereAndIsReachedCounts() {
-        act(0, redirected::probe);
-        assertEquals(1, countAfterReportAndHeartbeat(HEARTBEAT_MS));
+    void agentThatAnswersTheProbeCounts() {
+        runAt(0, redirectedAgents::probe);
+        assertEquals(1, countAfterHeartbeatAndProbe(HEARTBEAT_MS));
     }
 
-    // Guards a healthy leader: reports that waited for a node that stood still are no sign of the present.
+    // Guards a healthy leader: heartbeats that were queued while this controller was paused say nothing of the present.
     @Test
-    void whatWaitedForANodeThatStoodStillDoesNotCount() {
-        act(0, redirected::probe);
-        long awake = 30 * HEARTBEAT_MS;
-        act(awake, () -> redirected.add("i-000001", WORKER));
-        act(awake + 1, redirected::probe);
-        assertEquals(0, countAfterReportAndHeartbeat(awake + HEARTBEAT_MS));
-        assertEquals(1, countAfterReportAndHeartbeat(awake + 4 * HEARTBEAT_MS));
+    void heartbeatsQueuedDuringAPauseOfTheControllerDoNotCount() {
+        runAt(0, redirectedAgents::probe);
+        long resumedMs = 30 * HEARTBEAT_MS;
+        runAt(resumedMs, () -> redirectedAgents.add("i-000001", AGENT));
+        runAt(resumedMs + 1, redirectedAgents::probe);
+        assertEquals(0, countAfterHeartbeatAndProbe(resumedMs + HEARTBEAT_MS));
+        assertEquals(1, countAfterHeartbeatAndProbe(resumedMs + 4 * HEARTBEAT_MS));
     }
 }
--- a/src/test/java/io/quartzgw/leadership/package-info.java
+++ b/src/test/java/io/quartzgw/leadership/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the messages between controllers. */
+/** Tests of elections, and of the messages between controllers. */
 package io.quartzgw.leadership;
