--- a/src/main/java/io/quartzgw/leadership/WriteBudgetExchange.java
+++ b/src/main/java/io/quartzgw/leadership/WriteBudgetExchange.java
@@ -27,13 +27,14 @@
     /** A demand is not measured over less than this. */
     private final long minMeasurementMs;
 
-    /** The allocator of the term in which this controller last led; null before. */
-    private WriteBudgetAllocator allocator;
+    /** The allocator of the term that this controller last led with. */
+    private Optional<TermAllocator> termAllocator = Optional.empty();
 
-    private long allocatorTerm;
     private double demandPerS;
     private long measuredAtMs;
 
+    private record TermAllocator(long term, WriteBudgetAllocator allocator) {}
+
     /**
      * @param limits the state store's limits for all controllers together
      * @param members how many controllers there are
@@ -75,11 +76,7 @@
 
     /** How many writes a second this controller grants to a member, if it may grant any now; records the demand. */
     Optional<Double> grantTo(String grantee, double wantedPerS) {
-        if (!mayGrant()) {
-            return Optional.empty();
-        }
-        double grantedPerS = allocator.grant(grantee, wantedPerS, eventLoop.nowMs());
-        return allocator.canGrant(eventLoop.nowMs()) ? Optional.of(grantedPerS) : Optional.empty();
+        return allocator().flatMap(allocator -> allocator.grant(grantee, wantedPerS, eventLoop.nowMs()));
     }
 
     /** Applies a grant, which counts from the moment at which this controller asked. */
@@ -87,14 +84,16 @@
         store.applyWriteGrant(writesPerS, requestedAtMs + grantMs);
     }
 
-    private boolean mayGrant() {
+    /** The allocator of the current term, if that is confirmed. */
+    private Optional<WriteBudgetAllocator> allocator() {
         if (!leadership.isConfirmed()) {
-            return false;
+            return Optional.empty();
         }
-        if (allocator == null || allocatorTerm != leadership.term()) {
-            allocator = new WriteBudgetAllocator(limits, members, grantMs, eventLoop.nowMs());
-            allocatorTerm = leadership.term();
+        long term = leadership.term();
+        if (termAllocator.filter(current -> current.term() == term).isEmpty()) {
+            termAllocator = Optional.of(
+                    new TermAllocator(term, new WriteBudgetAllocator(limits, members, grantMs, eventLoop.nowMs())));
         }
-        return true;
+        return termAllocator.map(TermAllocator::allocator);
     }
 }
--- a/src/main/java/io/quartzgw/store/PackedRecords.java
+++ b/src/main/java/io/quartzgw/store/PackedRecords.java
@@ -1,13 +1,12 @@
 package io.quartzgw.store;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quartzgw.http.Json;
-import java.util.ArrayList;
+import java.util.ArrayDeque;
+import java.util.Deque;
 import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
@@ -17,104 +16,77 @@
  * Many small records packed into few values under one prefix, so that a write costs the same whether one record has
  * changed or a hundred.
  *
- * <p>A transaction may be applied minutes late. Every write of a page guards the page's revision, so of two writes that
- * were sent from the same state only one can ever be applied, and a late copy changes nothing.
+ * <p>A transaction may be applied minutes late. Every write of a page requires the page's revision, so of two writes
+ * that were sent from the same state only one can ever be applied, and a late copy changes nothing.
  */
 public final class PackedRecords {
-    /** The part of a value that records may fill; the rest is for punctuation. */
+    /** The fraction of a value that records may fill; the rest is for punctuation. */
     private static final double FILL_FACTOR = 0.85;
-    /** All pages of a transaction together; the service takes 64 KiB with everything around them. */
+    /** All pages of a transaction together; the store takes 64 KiB with everything around them. */
     private static final int MAX_TRANSACTION_BYTES = 48 * 1024;
 
-    private static final int PUNCTUATION_BYTES = 6;
-
     private final StoreClient store;
     private final String prefix;
-    private final Supplier<Transaction> transactions;
+    private final Supplier<Transaction> guardedTransactions;
     private final int pageBytes;
     private final int pagesPerTransaction;
-    private final Map<Integer, Page> pages = new TreeMap<>();
-    private final Map<String, Page> pageByKey = new HashMap<>();
-
-    private static final class Page {
-        private final int number;
-        private final Map<String, JsonNode> records = new LinkedHashMap<>();
-        private final Map<String, Integer> recordBytes = new HashMap<>();
-        private long revision = Transaction.NO_REVISION;
-        private int bytes;
-        private boolean dirty;
-
-        Page(int number) {
-            this.number = number;
-        }
-
-        void put(String key, JsonNode record, int size) {
-            records.put(key, record);
-            bytes += size;
-            Integer before = recordBytes.put(key, size);
-            bytes -= before == null ? 0 : before;
-        }
+    private final Map<Integer, RecordPage> pages = new TreeMap<>();
+    private final Map<String, RecordPage> pageByKey = new HashMap<>();
 
-        void remove(String key) {
-            records.remove(key);
-            bytes -= recordBytes.remove(key);
-        }
-    }
+    /** What is left of one {@link #write}. */
+    private record PendingWrite(List<RecordPage> pages, RequestUrgency urgency, Consumer<Boolean> callback) {}
 
-    /** @param transactions an empty transaction that only the present leader can commit */
-    public PackedRecords(StoreClient store, String prefix, Supplier<Transaction> guarded) {
+    /** @param guardedTransactions an empty transaction that only the present leader can commit */
+    public PackedRecords(StoreClient store, String prefix, Supplier<Transaction> guardedTransactions) {
         this.store = store;
         this.prefix = prefix;
-        this.transactions = guarded;
+        this.guardedTransactions = guardedTransactions;
         this.pageBytes = (int) (store.maxValueBytes() * FILL_FACTOR);
         this.pagesPerTransaction =
                 Math.max(1, Math.min(store.maxTransactionWrites(), MAX_TRANSACTION_BYTES / store.maxValueBytes()));
     }
 
-    /** Takes the pages that the state service holds, and tells each record. */
-    public void load(List<KeyValue> entries, BiConsumer<String, JsonNode> record) {
+    /** Takes over the stored pages, and passes each record to a consumer, which may remove it. */
+    public void load(List<KeyValue> entries, BiConsumer<String, JsonNode> consumer) {
         for (KeyValue entry : entries) {
-            Page page = new Page(Integer.parseInt(entry.key().substring(prefix.length())));
-            page.revision = entry.revision();
-            pages.put(page.number, page);
-            entry.value().properties().forEach(item -> {
-                page.put(item.getKey(), item.getValue(), size(item.getKey(), item.getValue(), 0));
-                pageByKey.put(item.getKey(), page);
-            });
+            int number = Integer.parseInt(entry.key().substring(prefix.length()));
+            RecordPage page = RecordPage.decode(number, entry);
+            pages.put(number, page);
+            page.keys().forEach(key -> pageByKey.put(key, page));
         }
         List.copyOf(pageByKey.keySet())
-                .forEach(key -> record.accept(key, pageByKey.get(key).records.get(key)));
-    }
-
-    private static int size(String key, JsonNode record, int reserved) {
-        return key.length() + PUNCTUATION_BYTES + Math.max(reserved, Json.write(record).length);
+                .forEach(key -> consumer.accept(key, pageByKey.get(key).record(key)));
     }
 
     /**
      * Puts a record, to be written with the next {@link #write}.
      *
-     * @param reserved how many bytes the record may yet grow to
+     * @param reservedBytes how long the record may yet become
      */
-    public void put(String key, JsonNode record, int reserved) {
-        int size = size(key, record, reserved);
-        Page page = pageByKey.get(key);
-        if (page != null && page.bytes - page.recordBytes.get(key) + size > store.maxValueBytes()) {
-            // A page that the service refuses would hold up all others for good.
-            throw new IllegalArgumentException(key + " has outgrown what was reserved for it");
-        }
+    public void put(String key, JsonNode record, int reservedBytes) {
+        int size = RecordPage.size(key, record, reservedBytes);
+        RecordPage page = pageByKey.get(key);
         if (page == null) {
-            page = pages.values().stream()
-                    .filter(some -> some.bytes + size <= pageBytes)
-                    .findFirst()
-                    .orElse(null);
-            if (page == null) {
-                page = new Page(pages.size());
-                pages.put(page.number, page);
-            }
+            page = pageWithRoomFor(key, size).orElseGet(this::addPage);
             pageByKey.put(key, page);
+        } else if (page.bytesWith(key, size) > store.maxValueBytes()) {
+            // A page that the store rejects would hold up all others for good.
+            throw new IllegalArgumentException(key + " has outgrown what was reserved for it");
         }
         page.put(key, record, size);
-        page.dirty = true;
+        page.setDirty(true);
+    }
+
+    private Optional<RecordPage> pageWithRoomFor(String key, int size) {
+        return pages.values().stream()
+                .filter(page -> page.bytesWith(key, size) <= pageBytes)
+                .findFirst();
+    }
+
+    private RecordPage addPage() {
+        RecordPage page = RecordPage.empty(pages.size());
+        pages.put(page.number(), page);
+        return page;
     }
 
     /** Whether there is a record with this key. */
@@ -122,86 +94,97 @@
         return pageByKey.containsKey(key);
     }
 
-    /** How many changes the next write takes. */
+    /** How many pages the next {@link #write} takes. */
     public int dirtyPageCount() {
-        return (int) pages.values().stream().filter(page -> page.dirty).count();
+        return dirtyPages().size();
     }
 
-    /** Removes a record; it leaves the state service with the next change of its page. */
+    private List<RecordPage> dirtyPages() {
+        return pages.values().stream().filter(RecordPage::dirty).toList();
+    }
+
+    /** Removes a record; it leaves the state store with the next change of its page. */
     public void removeLazily(String key) {
-        Page page = pageByKey.remove(key);
-        if (page != null) {
-            page.remove(key);
-        }
+        removeFromPage(key);
     }
 
     /** Removes a record, to be written with the next {@link #write}. */
     public void remove(String key) {
-        Page page = pageByKey.get(key);
-        removeLazily(key);
-        if (page != null) {
-            page.dirty = true;
-        }
+        removeFromPage(key).ifPresent(page -> page.setDirty(true));
+    }
+
+    private Optional<RecordPage> removeFromPage(String key) {
+        Optional<RecordPage> page = Optional.ofNullable(pageByKey.remove(key));
+        page.ifPresent(found -> found.remove(key));
+        return page;
     }
 
     /**
-     * Writes what has changed up to now and says whether that is in the state service; one write at a time. What
+     * Writes what has changed up to now and reports whether that is in the state store; one write at a time. What
      * changes meanwhile is left for the next write: where the budget is short something always does, and a write that
-     * took it along would never be told as done.
+     * included it would never end.
      */
     public void write(RequestUrgency urgency, Consumer<Boolean> callback) {
-        writePages(pages.values().stream().filter(page -> page.dirty).toList(), urgency, callback);
+        writeNextBatch(new PendingWrite(dirtyPages(), urgency, callback));
     }
 
-    private void writePages(List<Page> dirtyPages, RequestUrgency urgency, Consumer<Boolean> callback) {
-        if (dirtyPages.isEmpty()) {
-            callback.accept(true);
+    private void writeNextBatch(PendingWrite write) {
+        if (write.pages().isEmpty()) {
+            write.callback().accept(true);
             return;
         }
         // No more than a second's worth, so that others get their turn.
-        int pagesNow = Math.max(1, Math.min(pagesPerTransaction, (int) store.writesPerS()));
-        List<Page> batch = dirtyPages.subList(0, Math.min(pagesNow, dirtyPages.size()));
-        List<Page> rest = dirtyPages.subList(batch.size(), dirtyPages.size());
-        Transaction transaction = transactions.get();
-        for (Page page : batch) {
-            ObjectNode value = Json.object();
-            page.records.forEach(value::set);
-            transaction.require(key(page), page.revision).put(key(page), value);
-            page.dirty = false;
+        int maxPages = Math.max(1, Math.min(pagesPerTransaction, (int) store.writesPerS()));
+        int batchSize = Math.min(maxPages, write.pages().size());
+        List<RecordPage> batch = write.pages().subList(0, batchSize);
+        List<RecordPage> rest = write.pages().subList(batchSize, write.pages().size());
+        PendingWrite remainder = new PendingWrite(rest, write.urgency(), write.callback());
+        store.commit(transactionOf(batch), write.urgency(), outcome -> onOutcome(outcome, batch, remainder));
+    }
+
+    private Transaction transactionOf(List<RecordPage> batch) {
+        Transaction transaction = guardedTransactions.get();
+        for (RecordPage page : batch) {
+            transaction.require(key(page), page.revision()).put(key(page), page.encode());
+            page.setDirty(false);
         }
-        store.commit(transaction, urgency, outcome -> {
-            if (outcome instanceof TransactionOutcome.Committed committed) {
-                batch.forEach(page -> page.revision = committed.revision());
-                writePages(rest, urgency, callback);
-                return;
-            }
-            batch.forEach(page -> page.dirty = true);
-            List<Page> conflicting = outcome instanceof TransactionOutcome.Conflict conflict
-                    ? batch.stream()
-                            .filter(page -> conflict.failedKeys().contains(key(page)))
-                            .toList()
-                    : List.of();
-            reloadRevisions(new ArrayList<>(conflicting), () -> callback.accept(false));
-        });
+        return transaction;
+    }
+
+    private void onOutcome(TransactionOutcome outcome, List<RecordPage> batch, PendingWrite remainder) {
+        if (outcome instanceof TransactionOutcome.Committed committed) {
+            batch.forEach(page -> page.setRevision(committed.revision()));
+            writeNextBatch(remainder);
+            return;
+        }
+        batch.forEach(page -> page.setDirty(true));
+        Deque<RecordPage> conflicting = new ArrayDeque<>();
+        if (outcome instanceof TransactionOutcome.Conflict conflict) {
+            batch.stream()
+                    .filter(page -> conflict.failedKeys().contains(key(page)))
+                    .forEach(conflicting::add);
+        }
+        reloadRevisions(conflicting, () -> remainder.callback().accept(false));
     }
 
-    // A write without an answer has been applied after all: its revision has to be read.
-    private void reloadRevisions(List<Page> conflicting, Runnable callback) {
+    // A conflict shows that a write without an answer was applied after all: its revision has to be read.
+    private void reloadRevisions(Deque<RecordPage> conflicting, Runnable callback) {
         if (conflicting.isEmpty()) {
             callback.run();
             return;
         }
-        Page page = conflicting.remove(conflicting.size() - 1);
-        store.get(key(page), found -> {
-            if (found != null) {
-                page.revision =
-                        found.isEmpty() ? Transaction.NO_REVISION : found.get(0).revision();
+        RecordPage page = conflicting.removeLast();
+        store.read(key(page), result -> {
+            if (result instanceof ReadResult.Found found) {
+                page.setRevision(found.entry().revision());
+            } else if (result instanceof ReadResult.Absent) {
+                page.setRevision(Transaction.NO_REVISION);
             }
             reloadRevisions(conflicting, callback);
         });
     }
 
-    private String key(Page page) {
-        return prefix + page.number;
+    private String key(RecordPage page) {
+        return prefix + page.number();
     }
 }
--- /dev/null
+++ b/src/main/java/io/quartzgw/store/RecordPage.java
@@ -0,0 +1,101 @@
+package io.quartzgw.store;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.quartzgw.http.Json;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.Set;
+
+/** One page of packed records: a JSON object under one key, with a field for each record. */
+final class RecordPage {
+    private static final int PUNCTUATION_BYTES = 6;
+
+    private final int number;
+    private final Map<String, JsonNode> records = new LinkedHashMap<>();
+    private final Map<String, Integer> recordBytes = new HashMap<>();
+    private long revision;
+    private int bytes;
+    private boolean dirty;
+
+    private RecordPage(int number, long revision) {
+        this.number = number;
+        this.revision = revision;
+    }
+
+    /** A page that is not stored. */
+    static RecordPage empty(int number) {
+        return new RecordPage(number, Transaction.NO_REVISION);
+    }
+
+    static RecordPage decode(int number, KeyValue stored) {
+        RecordPage page = new RecordPage(number, stored.revision());
+        stored.value()
+                .properties()
+                .forEach(
+                        field -> page.put(field.getKey(), field.getValue(), size(field.getKey(), field.getValue(), 0)));
+        return page;
+    }
+
+    JsonNode encode() {
+        ObjectNode value = Json.object();
+        records.forEach(value::set);
+        return value;
+    }
+
+    /**
+     * How many bytes a record takes in a page.
+     *
+     * @param reservedBytes how long the record may yet become
+     */
+    static int size(String key, JsonNode record, int reservedBytes) {
+        return key.length() + PUNCTUATION_BYTES + Math.max(reservedBytes, Json.write(record).length);
+    }
+
+    int number() {
+        return number;
+    }
+
+    /** The revision of the stored page, or {@link Transaction#NO_REVISION}. */
+    long revision() {
+        return revision;
+    }
+
+    void setRevision(long storedRevision) {
+        revision = storedRevision;
+    }
+
+    /** Whether the page has changes to be written. */
+    boolean dirty() {
+        return dirty;
+    }
+
+    void setDirty(boolean toBeWritten) {
+        dirty = toBeWritten;
+    }
+
+    Set<String> keys() {
+        return records.keySet();
+    }
+
+    JsonNode record(String key) {
+        return records.get(key);
+    }
+
+    /** How long the page would be if a record had this size. */
+    int bytesWith(String key, int size) {
+        return bytes - recordBytes.getOrDefault(key, 0) + size;
+    }
+
+    void put(String key, JsonNode record, int size) {
+        bytes = bytesWith(key, size);
+        records.put(key, record);
+        recordBytes.put(key, size);
+    }
+
+    void remove(String key) {
+        records.remove(key);
+        bytes -= recordBytes.remove(key);
+    }
+}
--- a/src/main/java/io/quartzgw/store/RequestQueue.java
+++ b/src/main/java/io/quartzgw/store/RequestQueue.java
@@ -6,20 +6,22 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.Consumer;
 
 /**
- * Calls to the state service that wait for this node's share of the service's limits. Urgent calls go first, but a
- * change that has waited for a while goes before urgent ones that came later. Calls that change nothing need only the
- * budget of requests, so they do not wait behind changes that lack the budget of changes.
+ * Calls to the state store that wait for this controller's share of the store's limits. Urgent calls go first, but a
+ * write that has waited for a while goes before urgent ones that came later. Reads need only the budget of requests, so
+ * they do not wait behind writes that lack the budget of writes.
  */
 final class RequestQueue {
-    /** A stage with a small buffer: calls of normal urgency that wait longer than this are refused. */
+    /** Calls of normal urgency that wait longer than this are rejected. */
     private static final int MAX_QUEUE_MS = 700;
 
-    /** A change that has waited for this much longer than an urgent one goes before it. */
+    /** A write that has waited for this much longer than an urgent one goes before it. */
     private static final int URGENT_AHEAD_MS = (int) (0.4 * MAX_QUEUE_MS);
 
+    private static final long NOT_SCHEDULED = Long.MAX_VALUE;
     private static final int TOO_MANY_REQUESTS = 429;
 
     private final EventLoop eventLoop;
@@ -31,17 +33,17 @@
     private final Deque<QueuedCall> normalReads = new ArrayDeque<>();
     private final Deque<QueuedCall> normalWrites = new ArrayDeque<>();
     private final Deque<QueuedCall> backgroundWrites = new ArrayDeque<>();
-    private EventLoop.Timer retry;
-    private long retryAt = Long.MAX_VALUE;
+    private Optional<EventLoop.Timer> drainTimer = Optional.empty();
+    private long drainAtMs = NOT_SCHEDULED;
     private int submittedWrites;
-    /** The changes that waited when {@link #takeWriteDemand} was last asked. */
+    /** The writes that were queued when {@link #takeWriteDemand} was last called. */
     private int previouslyQueuedWrites;
 
-    private record QueuedCall(Call call, int writes, long queuedAt, Consumer<Reply> callback) {}
+    private record QueuedCall(Call call, int writeCount, long queuedAtMs, Consumer<Reply> callback) {}
 
     /**
-     * @param share the part of the service's limits that this node may use
-     * @param observer told of every reply before the caller is
+     * @param share the part of the store's limits that this controller may use
+     * @param observer receives every reply of the store before the caller does
      */
     RequestQueue(EventLoop eventLoop, StoreLimits share, Consumer<Reply> observer) {
         this.eventLoop = eventLoop;
@@ -52,9 +54,8 @@
 
     /** Sends a call when its turn comes; the caller gets exactly one reply. */
     void submit(Call call, int writeCount, RequestUrgency urgency, Consumer<Reply> callback) {
-        QueuedCall waiting = new QueuedCall(call, writeCount, eventLoop.nowMs(), callback);
         submittedWrites += writeCount;
-        queueFor(writeCount == 0, urgency).addLast(waiting);
+        queueFor(writeCount == 0, urgency).addLast(new QueuedCall(call, writeCount, eventLoop.nowMs(), callback));
         drain();
     }
 
@@ -69,26 +70,26 @@
         };
     }
 
-    /** Grants this node more changes a second until a moment, in place of what was granted before. */
-    void applyWriteGrant(double perS, long until) {
-        writeBudget.grant(perS, until, eventLoop.nowMs());
+    /** Grants this controller more writes a second until a moment, in place of the grant before. */
+    void applyWriteGrant(double writesPerS, long untilMs) {
+        writeBudget.grant(writesPerS, untilMs, eventLoop.nowMs());
         drain();
     }
 
-    /** How many changes a second this node may make now. */
+    /** How many writes a second this controller may make now. */
     double writesPerS() {
         return writeBudget.ratePerS(eventLoop.nowMs());
     }
 
-    /** How many changes wait or were asked for since this was last asked. */
+    /** How many writes were queued or submitted since this method was last called. */
     int takeWriteDemand() {
-        int wanted = submittedWrites + previouslyQueuedWrites;
+        int demand = submittedWrites + previouslyQueuedWrites;
         submittedWrites = 0;
         previouslyQueuedWrites = 0;
         for (Deque<QueuedCall> queue : List.of(urgentWrites, normalWrites, backgroundWrites)) {
-            queue.forEach(waiting -> previouslyQueuedWrites += waiting.writes);
+            queue.forEach(queued -> previouslyQueuedWrites += queued.writeCount());
         }
-        return wanted;
+        return demand;
     }
 
     private void drain() {
@@ -96,7 +97,7 @@
         rejectOverdue(normalWrites);
         sendAll(urgentReads);
         sendWrites();
-        // Last, so that many questions starve no submission: there are far fewer changes than requests to spend.
+        // Last, so that many reads starve no write: the budget of writes is far smaller than that of requests.
         if (urgentReads.isEmpty()) {
             sendAll(normalReads);
         }
@@ -115,71 +116,79 @@
         if (overdue(backgroundWrites)) {
             return backgroundWrites;
         }
-        if (urgentWrites.isEmpty() || normalWrites.isEmpty()) {
-            return !urgentWrites.isEmpty() ? urgentWrites : !normalWrites.isEmpty() ? normalWrites : backgroundWrites;
+        if (urgentWrites.isEmpty()) {
+            return normalWrites.isEmpty() ? backgroundWrites : normalWrites;
+        }
+        if (normalWrites.isEmpty()) {
+            return urgentWrites;
         }
         // Guards submissions against a leader that always has something urgent to write.
-        long urgentSince = urgentWrites.peekFirst().queuedAt;
-        long changeSince = normalWrites.peekFirst().queuedAt;
-        return changeSince + URGENT_AHEAD_MS < urgentSince ? normalWrites : urgentWrites;
+        long urgentSinceMs = urgentWrites.peekFirst().queuedAtMs();
+        long normalSinceMs = normalWrites.peekFirst().queuedAtMs();
+        return normalSinceMs + URGENT_AHEAD_MS < urgentSinceMs ? normalWrites : urgentWrites;
     }
 
     private boolean overdue(Deque<QueuedCall> queue) {
-        return !queue.isEmpty() && eventLoop.nowMs() - queue.peekFirst().queuedAt > MAX_QUEUE_MS;
+        return !queue.isEmpty() && eventLoop.nowMs() - queue.peekFirst().queuedAtMs() > MAX_QUEUE_MS;
     }
 
     private void rejectOverdue(Deque<QueuedCall> queue) {
         while (overdue(queue)) {
-            QueuedCall overdue = queue.pollFirst();
+            QueuedCall rejected = queue.pollFirst();
             eventLoop.increment("store.refused", 1);
-            // Deferred, so that a refusal never runs inside the caller's own call.
-            eventLoop.after(0, () -> overdue.callback.accept(new Reply(TOO_MANY_REQUESTS, new byte[0])));
+            // Deferred, so that a rejection never runs inside the caller's own call.
+            eventLoop.after(0, () -> rejected.callback().accept(new Reply(TOO_MANY_REQUESTS, new byte[0])));
         }
     }
 
     private void sendAll(Deque<QueuedCall> queue) {
-        while (!queue.isEmpty() && sendNext(queue)) {
-            continue;
+        boolean withinBudget = true;
+        while (withinBudget && !queue.isEmpty()) {
+            withinBudget = sendNext(queue);
         }
     }
 
-    /** Sends the first of a queue, or says that it has to wait. */
+    /** Sends the first call of a queue, or schedules the next attempt and returns false when the budget is short. */
     private boolean sendNext(Deque<QueuedCall> queue) {
         QueuedCall next = queue.peekFirst();
-        long now = eventLoop.nowMs();
-        long wait = Math.max(
-                requestBudget.waitMsFor(1, now), next.writes == 0 ? 0 : writeBudget.waitMsFor(next.writes, now));
-        if (wait > 0) {
-            retryAfter(wait);
+        long waitMs = waitMsFor(next);
+        if (waitMs > 0) {
+            drainAfter(waitMs);
             return false;
         }
-        send(queue.pollFirst());
+        queue.pollFirst();
+        send(next);
         return true;
     }
 
+    private long waitMsFor(QueuedCall next) {
+        long nowMs = eventLoop.nowMs();
+        long requestWaitMs = requestBudget.waitMsFor(1, nowMs);
+        long writeWaitMs = next.writeCount() == 0 ? 0 : writeBudget.waitMsFor(next.writeCount(), nowMs);
+        return Math.max(requestWaitMs, writeWaitMs);
+    }
+
     private void send(QueuedCall next) {
         requestBudget.take(1, eventLoop.nowMs());
-        writeBudget.take(next.writes, eventLoop.nowMs());
+        writeBudget.take(next.writeCount(), eventLoop.nowMs());
         eventLoop.increment("store.requests", 1);
-        eventLoop.increment("store.writes", next.writes);
-        eventLoop.call(next.call, reply -> {
+        eventLoop.increment("store.writes", next.writeCount());
+        eventLoop.call(next.call(), reply -> {
             observer.accept(reply);
-            next.callback.accept(reply);
+            next.callback().accept(reply);
         });
     }
 
-    private void retryAfter(long delayMs) {
-        long at = eventLoop.nowMs() + delayMs;
-        if (at >= retryAt) {
+    private void drainAfter(long delayMs) {
+        long atMs = eventLoop.nowMs() + delayMs;
+        if (atMs >= drainAtMs) {
             return;
         }
-        if (retry != null) {
-            retry.cancel();
-        }
-        retryAt = at;
-        retry = eventLoop.after(delayMs, () -> {
-            retryAt = Long.MAX_VALUE;
+        drainTimer.ifPresent(EventLoop.Timer::cancel);
+        drainAtMs = atMs;
+        drainTimer = Optional.of(eventLoop.after(delayMs, () -> {
+            drainAtMs = NOT_SCHEDULED;
             drain();
-        });
+        }));
     }
 }
--- a/src/main/java/io/quartzgw/store/RequestUrgency.java
+++ b/src/main/java/io/quartzgw/store/RequestUrgency.java
@@ -2,10 +2,10 @@
 
 /** Which requests go first when the budget is short. */
 public enum RequestUrgency {
-    /** Renewal of leadership, aborts, ends of jobs, and records that starts wait for. */
+    /** Leases and watches, cancellations, ends of jobs, and records that starts wait for. */
     HIGH,
-    /** Users' submissions and polls. */
+    /** Submissions and polls of users. */
     NORMAL,
-    /** Records that nothing waits for; they are never refused. */
+    /** Records that nothing waits for; they are never rejected. */
     BACKGROUND
 }
--- a/src/main/java/io/quartzgw/store/StoreLimits.java
+++ b/src/main/java/io/quartzgw/store/StoreLimits.java
@@ -1,13 +1,13 @@
 package io.quartzgw.store;
 
-/** What the state service takes, from all nodes together. */
+/** The limits of the state store: for all controllers together, or one controller's share of them. */
 public record StoreLimits(double requestsPerS, double writesPerS, int maxValueBytes, int maxTransactionWrites) {
-    /** The part of the limits that all nodes together allow themselves. */
+    /** The fraction of the limits that all controllers together allow themselves. */
     private static final double USED_FRACTION = 0.9;
-    /** The part of an even share of changes that a node always has; the rest is granted by the leader. */
+    /** The fraction of an even share of writes that a controller always has; the leader grants the rest. */
     private static final double GUARANTEED_FRACTION = 0.6;
 
-    /** One node's own share of the limits. */
+    /** One controller's own share of the limits. */
     public StoreLimits perNode(int nodes) {
         return new StoreLimits(
                 requestsPerS * USED_FRACTION / nodes,
@@ -16,7 +16,7 @@
                 maxTransactionWrites);
     }
 
-    /** How many changes a second all nodes' own shares leave, to be granted by the leader. */
+    /** How many writes a second are left beside all controllers' own shares, for the leader to grant. */
     public double sharedWritesPerS() {
         return writesPerS * USED_FRACTION * (1 - GUARANTEED_FRACTION);
     }
--- a/src/main/java/io/quartzgw/store/TokenBucket.java
+++ b/src/main/java/io/quartzgw/store/TokenBucket.java
@@ -1,55 +1,58 @@
 package io.quartzgw.store;
 
 /**
- * A token bucket that holds one second's worth. Beyond its own rate it may have a granted one, which ends at its time.
+ * A token bucket that holds one second's worth of tokens. Beside its own rate it may have a granted one, which expires.
  */
 public final class TokenBucket {
+    private static final long NEVER = Long.MIN_VALUE / 2;
+    private static final double MS_PER_S = 1000;
+
     private final double ownRatePerS;
     private double grantedRatePerS;
-    private long grantedUntil = Long.MIN_VALUE / 2;
+    private long grantedUntilMs = NEVER;
     private double tokens;
-    private long refilledAt;
+    private long refilledAtMs;
 
-    /** @param ratePerS tokens added a second, and the capacity of the bucket */
-    public TokenBucket(double perS, long now) {
-        this.ownRatePerS = perS;
-        this.tokens = Math.max(1, perS);
-        this.refilledAt = now;
+    /** @param ratePerS tokens added a second, and the capacity of the bucket, which is full at first */
+    public TokenBucket(double ratePerS, long nowMs) {
+        this.ownRatePerS = ratePerS;
+        this.tokens = Math.max(1, ratePerS);
+        this.refilledAtMs = nowMs;
     }
 
-    /** Grants a further rate until a moment, in place of the one that was granted before. */
-    public void grant(double perS, long until, long now) {
-        refill(now);
-        grantedRatePerS = perS;
-        grantedUntil = until;
+    /** Adds a further rate until a moment, in place of the grant before. */
+    public void grant(double ratePerS, long untilMs, long nowMs) {
+        refill(nowMs);
+        grantedRatePerS = ratePerS;
+        grantedUntilMs = untilMs;
     }
 
     /** The rate at a moment. */
-    public double ratePerS(long now) {
-        return now < grantedUntil ? ownRatePerS + grantedRatePerS : ownRatePerS;
+    public double ratePerS(long nowMs) {
+        return nowMs < grantedUntilMs ? ownRatePerS + grantedRatePerS : ownRatePerS;
     }
 
-    /** Milliseconds until so many tokens are there; 0 when they are. */
-    public long waitMsFor(double count, long now) {
-        refill(now);
-        double missing = Math.min(count, capacity(now)) - tokens;
-        return missing <= 0 ? 0 : (long) Math.ceil(missing * 1000 / ratePerS(now));
+    /** Milliseconds until so many tokens are available; 0 when they are. */
+    public long waitMsFor(double count, long nowMs) {
+        refill(nowMs);
+        double missing = Math.min(count, capacity(nowMs)) - tokens;
+        return missing <= 0 ? 0 : (long) Math.ceil(missing * MS_PER_S / ratePerS(nowMs));
     }
 
-    /** Takes tokens, down to a debt when a single request costs more than the bucket holds. */
-    public void take(double count, long now) {
-        refill(now);
+    /** Takes tokens; the bucket goes into debt when a single request costs more than it holds. */
+    public void take(double count, long nowMs) {
+        refill(nowMs);
         tokens -= count;
     }
 
-    private double capacity(long now) {
-        return Math.max(1, ratePerS(now));
+    private double capacity(long nowMs) {
+        return Math.max(1, ratePerS(nowMs));
     }
 
-    private void refill(long now) {
-        double added = (now - refilledAt) * ownRatePerS
-                + Math.max(0, Math.min(now, grantedUntil) - refilledAt) * grantedRatePerS;
-        tokens = Math.min(capacity(now), tokens + added / 1000);
-        refilledAt = now;
+    private void refill(long nowMs) {
+        double added = (nowMs - refilledAtMs) * ownRatePerS
+                + Math.max(0, Math.min(nowMs, grantedUntilMs) - refilledAtMs) * grantedRatePerS;
+        tokens = Math.min(capacity(nowMs), tokens + added / MS_PER_S);
+        refilledAtMs = nowMs;
     }
 }
--- a/src/main/java/io/quartzgw/store/WriteBudgetAllocator.java
+++ b/src/main/java/io/quartzgw/store/WriteBudgetAllocator.java
@@ -4,97 +4,105 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 
 /**
- * What a leader has granted of the state service's changes: beyond their own shares, nodes get what they ask for, as
- * far as all that is granted stays within what there is to grant.
+ * A leader's allocation of the state store's shared write budget: beyond their own shares, controllers are granted what
+ * they demand, as far as all grants together stay within the shared part.
  *
- * <p>A grant ends at its time, counted by the grantee from when it asked. The allocator counts it from when it
- * answered, so it never takes for free what is still granted, whichever answers were lost or came late. A leader grants
- * nothing for one life of a grant after its election: what its predecessor has granted is over then.
+ * <p>A grant expires. The grantee counts its time to live from when it asked, the allocator from when it answered: so
+ * the allocator never takes a grant for expired that is still in use, whichever answers were lost or came late. A
+ * leader grants nothing for one time to live after its election: then the grants of its predecessor have expired.
  */
 public final class WriteBudgetAllocator {
-    /** Clocks drift by 0.05%: a grant is counted for a little longer than its life. */
+    /** Clocks drift by 0.05%: a grant is counted for a little longer than its time to live. */
     private static final double DRIFT_FACTOR = 1.01;
-    /**
-     * The part of what nobody needs that is granted all the same, evenly; the rest waits for the next that needs it.
-     */
+    /** The fraction of what nobody demands that is granted evenly all the same; the rest waits for new demand. */
     private static final double SPARE_FRACTION = 0.5;
 
     private final double sharedPerS;
     private final double ownPerS;
     private final int members;
-    private final long grantMs;
-    private final long electedAt;
+    private final long countedGrantMs;
+    private final long electedAtMs;
     private final Map<String, Grantee> grantees = new HashMap<>();
 
-    private record Grant(double writesPerS, long until) {}
+    private record Grant(double writesPerS, long untilMs) {}
 
     private static final class Grantee {
-        private double demandPerS;
-        private long askedAt;
         private final List<Grant> grants = new ArrayList<>();
+        private double demandPerS;
+        private long askedAtMs;
+
+        void demand(double writesPerS, long nowMs) {
+            demandPerS = writesPerS;
+            askedAtMs = nowMs;
+        }
 
-        /** The most that this node may have been granted: an answer with a later grant may have been lost. */
-        double grantedPerS(long now) {
-            grants.removeIf(grant -> grant.until <= now);
+        void add(Grant grant) {
+            grants.add(grant);
+        }
+
+        /** The most that may be in use: an answer with a later grant may have been lost. */
+        double grantedPerS(long nowMs) {
+            grants.removeIf(grant -> grant.untilMs() <= nowMs);
             return grants.stream().mapToDouble(Grant::writesPerS).max().orElse(0);
         }
     }
 
     /**
-     * @param limits of the state service
+     * @param limits the state store's limits for all controllers together
      * @param members how many controllers there are
-     * @param lifeMs how long a grant lasts
-     * @param now a moment at which, or after which, this leader was elected
+     * @param grantMs time to live of a grant
+     * @param nowMs a moment at which, or after which, this leader was elected
      */
-    public WriteBudgetAllocator(StoreLimits limits, int members, long lifeMs, long now) {
+    public WriteBudgetAllocator(StoreLimits limits, int members, long grantMs, long nowMs) {
         this.sharedPerS = limits.sharedWritesPerS();
         this.ownPerS = limits.perNode(members).writesPerS();
         this.members = members;
-        this.grantMs = (long) Math.ceil(lifeMs * DRIFT_FACTOR);
-        this.electedAt = now;
-    }
-
-    /** Whether the loans of a former leader are over, so that this one may lend. */
-    public boolean canGrant(long now) {
-        return now - electedAt >= grantMs;
+        this.countedGrantMs = (long) Math.ceil(grantMs * DRIFT_FACTOR);
+        this.electedAtMs = nowMs;
     }
 
     /**
-     * Grants a node as much as it may have now, in changes a second; until this leader lends, what is wanted is noted.
+     * Records a controller's demand, and grants it as many writes a second as it may have now; empty while grants of a
+     * former leader may be in use.
      */
-    public double grant(String member, double wantedPerS, long now) {
+    public Optional<Double> grant(String member, double wantedPerS, long nowMs) {
         Grantee grantee = grantees.computeIfAbsent(member, name -> new Grantee());
-        grantee.demandPerS = Math.max(0, wantedPerS - ownPerS);
-        grantee.askedAt = now;
-        if (!canGrant(now)) {
-            return 0;
+        grantee.demand(Math.max(0, wantedPerS - ownPerS), nowMs);
+        if (nowMs - electedAtMs < countedGrantMs) {
+            return Optional.empty();
         }
-        double free = sharedPerS;
+        double writesPerS = Math.max(0, Math.min(freePerSFor(grantee, nowMs), fairSharePerS(grantee, nowMs)));
+        grantee.add(new Grant(writesPerS, nowMs + countedGrantMs));
+        return Optional.of(writesPerS);
+    }
+
+    private double freePerSFor(Grantee grantee, long nowMs) {
+        double freePerS = sharedPerS;
         for (Grantee other : grantees.values()) {
-            free -= other == grantee ? 0 : other.grantedPerS(now);
+            freePerS -= other == grantee ? 0 : other.grantedPerS(nowMs);
         }
-        double perS = Math.max(0, Math.min(free, fairShare(grantee, now)));
-        grantee.grants.add(new Grant(perS, now + grantMs));
-        return perS;
+        return freePerS;
     }
 
-    // Who needs less than an even part of what is there gets all that it needs, and leaves the rest to the others.
-    private double fairShare(Grantee grantee, long now) {
-        List<Double> needs = grantees.values().stream()
-                .filter(some -> now - some.askedAt < grantMs)
-                .map(some -> some.demandPerS)
+    // A controller that demands less than an even part of what is left gets all of it, and leaves the rest to the
+    // others.
+    private double fairSharePerS(Grantee grantee, long nowMs) {
+        List<Double> demands = grantees.values().stream()
+                .filter(other -> nowMs - other.askedAtMs < countedGrantMs)
+                .map(other -> other.demandPerS)
                 .sorted()
                 .toList();
-        double left = sharedPerS;
-        for (int i = 0; i < needs.size(); i++) {
-            double even = left / (needs.size() - i);
-            if (needs.get(i) > even) {
-                return Math.min(grantee.demandPerS, even);
+        double leftPerS = sharedPerS;
+        for (int i = 0; i < demands.size(); i++) {
+            double evenPerS = leftPerS / (demands.size() - i);
+            if (demands.get(i) > evenPerS) {
+                return Math.min(grantee.demandPerS, evenPerS);
             }
-            left -= needs.get(i);
+            leftPerS -= demands.get(i);
         }
-        return grantee.demandPerS + left * SPARE_FRACTION / members;
+        return grantee.demandPerS + leftPerS * SPARE_FRACTION / members;
     }
 }
--- a/src/test/java/io/quartzgw/store/PackedRecordsTest.java
+++ b/src/test/java/io/quartzgw/store/PackedRecordsTest.java
@@ -1,6 +1,7 @@
 package io.quartzgw.store;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.JsonNode;
@@ -20,24 +21,27 @@
 
     private final EventLoop eventLoop = new EventLoop(1);
     private final SplittableRandom random = new SplittableRandom(4);
-    private final SimulatedStore service = new SimulatedStore();
-    private final LossyLink link = new LossyLink(eventLoop, service, random);
+    private final SimulatedStore storeServer = new SimulatedStore();
+    private final LossyLink link = new LossyLink(eventLoop, storeServer, random);
     private final StoreClient client =
             new StoreClient(eventLoop, new Endpoint("10.2.0.1", 1), new StoreLimits(100_000, 100_000, 8192, 16));
     private final PackedRecords records = new PackedRecords(client, PREFIX, Transaction::new);
 
     private Map<String, JsonNode> stored() {
         Map<String, JsonNode> stored = new TreeMap<>();
-        client.list(PREFIX, listing -> listing.entries()
-                .forEach(
-                        page -> page.value().properties().forEach(item -> stored.put(item.getKey(), item.getValue()))));
+        client.listPrefix(PREFIX, result -> {
+            ListResult.Listed listed = assertInstanceOf(ListResult.Listed.class, result);
+            listed.listing().entries().forEach(page -> page.value()
+                    .properties()
+                    .forEach(field -> stored.put(field.getKey(), field.getValue())));
+        });
         link.pass(1, false);
         return stored;
     }
 
     // Guards against a batch that is applied minutes late and overwrites a newer one.
     @Test
-    void whatWasWrittenStaysWhateverComesLate() {
+    void writtenRecordsSurviveLostAndLateTransactions() {
         Map<String, JsonNode> model = new TreeMap<>();
         for (int round = 0; round < 400; round++) {
             String key = "i-" + random.nextInt(300);
@@ -60,14 +64,14 @@
                 assertEquals(model, stored(), "after a late copy");
             }
         }
-        assertTrue(service.count(PREFIX) > 1, "more than one page");
-        assertTrue(service.count(PREFIX) < 10, "and far fewer than records");
+        assertTrue(storeServer.count(PREFIX) > 1, "more than one page");
+        assertTrue(storeServer.count(PREFIX) < 10, "and far fewer than records");
     }
 
-    // Guards against a write that takes along what changes while it is under way: under a small budget something always
+    // Guards against a write that includes what changes while it is in progress: under a small budget something always
     // does, and starts that wait for the write would wait for as long as machines are rented.
     @Test
-    void aWriteEndsWhileRecordsGoOnChanging() {
+    void writeCompletesWhileRecordsGoOnChanging() {
         int[] changes = new int[1];
         eventLoop.onBatchEnd(() -> {
             if (changes[0] < 50) {
@@ -75,11 +79,11 @@
             }
         });
         records.put("i-first", Json.array().add(1), 0);
-        int[] changesAtEnd = {-1};
-        records.write(RequestUrgency.NORMAL, written -> changesAtEnd[0] = written ? changes[0] : -1);
+        int[] changesAtCompletion = {-1};
+        records.write(RequestUrgency.NORMAL, written -> changesAtCompletion[0] = written ? changes[0] : -1);
         link.pass(1, false);
-        assertTrue(changesAtEnd[0] >= 0, "it has ended");
-        assertTrue(changesAtEnd[0] < 10, "and not when all changes were over: " + changesAtEnd[0]);
+        assertTrue(changesAtCompletion[0] >= 0, "it has completed");
+        assertTrue(changesAtCompletion[0] < 10, "and not only after all changes: " + changesAtCompletion[0]);
         assertTrue(stored().containsKey("i-first"));
     }
 }
--- a/src/test/java/io/quartzgw/store/RequestQueueTest.java
+++ b/src/test/java/io/quartzgw/store/RequestQueueTest.java
@@ -12,81 +12,81 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What goes out first when the budget is short, and what is refused. */
+/** The order of calls when the budget is short, and which are rejected. */
 class RequestQueueTest {
     private static final Endpoint SERVICE = new Endpoint("10.2.0.1", 1);
-    private static final StoreLimits TEN_AND_TWO = new StoreLimits(10, 2, 8192, 16);
+    private static final StoreLimits LIMITS = new StoreLimits(10, 2, 8192, 16);
 
     private final EventLoop eventLoop = new EventLoop(1);
     private final List<String> sent = new ArrayList<>();
-    private final List<Reply> refused = new ArrayList<>();
-    private long now;
+    private final List<Reply> rejected = new ArrayList<>();
+    private long nowMs;
 
     /** Lets time pass in steps of a millisecond, so that every timer fires when it is due. */
-    private void pass(long ms) {
-        for (long end = now + ms; now < end; now++) {
-            List<Effect> effects = eventLoop.processBatch(List.of(), new ClockReading(now, now));
+    private void advance(long durationMs) {
+        for (long endMs = nowMs + durationMs; nowMs < endMs; nowMs++) {
+            List<Effect> effects = eventLoop.processBatch(List.of(), new ClockReading(nowMs, nowMs));
             effects.forEach(effect -> sent.add(((Effect.Send) effect).request().path()));
         }
     }
 
     private void submit(RequestQueue queue, String path, int writes, RequestUrgency urgency) {
-        queue.submit(Call.get(SERVICE, path, 1_000), writes, urgency, refused::add);
+        queue.submit(Call.get(SERVICE, path, 1_000), writes, urgency, rejected::add);
     }
 
-    // Guards reads against writes: users' questions were refused while only the budget of writes was short.
+    // Guards reads against writes: polls of users were rejected while only the budget of writes was short.
     @Test
-    void aReadDoesNotWaitBehindAWriteThatLacksBudget() {
-        RequestQueue queue = new RequestQueue(eventLoop, TEN_AND_TWO, reply -> {});
+    void readIsSentWhileWritesWaitForBudget() {
+        RequestQueue queue = new RequestQueue(eventLoop, LIMITS, reply -> {});
         for (int i = 0; i < 4; i++) {
             submit(queue, "/write" + i, 1, RequestUrgency.NORMAL);
         }
         submit(queue, "/read", 0, RequestUrgency.NORMAL);
-        pass(1);
+        advance(1);
         assertEquals(List.of("/write0", "/write1", "/read"), sent);
     }
 
     @Test
-    void urgentWritesGoBeforeOthersAndWhatWaitsTooLongIsRefused() {
-        RequestQueue queue = new RequestQueue(eventLoop, TEN_AND_TWO, reply -> {});
+    void urgentWriteIsSentFirstAndOverdueNormalWriteIsRejected() {
+        RequestQueue queue = new RequestQueue(eventLoop, LIMITS, reply -> {});
         submit(queue, "/first", 2, RequestUrgency.NORMAL);
         submit(queue, "/normal", 2, RequestUrgency.NORMAL);
         submit(queue, "/urgent", 2, RequestUrgency.HIGH);
-        pass(1_100);
+        advance(1_100);
         assertEquals(List.of("/first", "/urgent"), sent);
-        pass(100);
-        assertEquals(1, refused.size());
-        assertEquals(429, refused.get(0).status());
+        advance(100);
+        assertEquals(1, rejected.size());
+        assertEquals(429, rejected.get(0).status());
     }
 
-    // Guards submissions while users ask many times as often as usual.
+    // Guards submissions while users poll many times as often as usual.
     @Test
-    void manyReadsDoNotStarveAWrite() {
-        RequestQueue queue = new RequestQueue(eventLoop, TEN_AND_TWO, reply -> {});
+    void writeIsSentBeforeManyQueuedReads() {
+        RequestQueue queue = new RequestQueue(eventLoop, LIMITS, reply -> {});
         for (int i = 0; i < 30; i++) {
             submit(queue, "/read", 0, RequestUrgency.NORMAL);
         }
-        pass(10);
+        advance(10);
         assertEquals(10, sent.size());
         submit(queue, "/write", 1, RequestUrgency.NORMAL);
-        pass(150);
+        advance(150);
         assertEquals("/write", sent.get(10));
     }
 
     // Guards submissions against a leader that always has something urgent to write, and its starts against
     // submissions.
     @Test
-    void neitherUrgentWritesNorOthersStarveWhatHasWaited() {
-        RequestQueue queue = new RequestQueue(eventLoop, TEN_AND_TWO, reply -> {});
+    void writesThatHaveWaitedAreSentBeforeLaterUrgentWrites() {
+        RequestQueue queue = new RequestQueue(eventLoop, LIMITS, reply -> {});
         submit(queue, "/first", 2, RequestUrgency.HIGH);
         submit(queue, "/last", 1, RequestUrgency.BACKGROUND);
         submit(queue, "/normal", 1, RequestUrgency.NORMAL);
-        pass(300);
+        advance(300);
         for (int i = 0; i < 5; i++) {
             submit(queue, "/urgent" + i, 1, RequestUrgency.HIGH);
         }
-        pass(1_800);
+        advance(1_800);
         assertEquals(List.of("/first", "/normal", "/last", "/urgent0", "/urgent1"), sent);
-        assertEquals(List.of(), refused);
+        assertEquals(List.of(), rejected);
     }
 }
--- a/src/test/java/io/quartzgw/store/package-info.java
+++ b/src/test/java/io/quartzgw/store/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of records packed into pages. */
+/** Tests of the queue of requests, the write budget and packed records. */
 package io.quartzgw.store;
