--- a/src/main/java/io/quartzgw/leadership/Leadership.java
+++ b/src/main/java/io/quartzgw/leadership/Leadership.java
@@ -49,23 +49,33 @@
     /** The lease of the current term; present only while this controller leads. */
     private Optional<LeaderLease> lease = Optional.empty();
 
-    /** @param process number of this process, which no other process of the member has */
+    /** @param watermark the moment before which this controller knows all cancellations */
     public Leadership(
             EventLoop eventLoop,
             StoreClient store,
             LeadershipTiming timing,
-            String member,
-            long process,
+            ControllerIdentity identity,
             CancellationWatermark watermark) {
         this.eventLoop = eventLoop;
         this.store = store;
         this.timing = timing;
-        this.identity = new ControllerIdentity(member, process);
+        this.identity = identity;
         this.watermark = watermark;
         this.state = new ElectionState(eventLoop, store, this::evaluateRole);
         this.candidacy = new Candidacy(eventLoop, store, timing, identity, state, new CandidacyOwner());
     }
 
+    /** Takes the identity in its parts; use the constructor with {@link ControllerIdentity}. */
+    public Leadership(
+            EventLoop eventLoop,
+            StoreClient store,
+            LeadershipTiming timing,
+            String member,
+            long process,
+            CancellationWatermark watermark) {
+        this(eventLoop, store, timing, new ControllerIdentity(member, process), watermark);
+    }
+
     /** Begins to watch the election keys and to take part in elections. */
     public void start(Listener listener) {
         this.listener = listener;
--- a/src/main/java/io/quartzgw/leadership/PeerExchange.java
+++ b/src/main/java/io/quartzgw/leadership/PeerExchange.java
@@ -45,9 +45,7 @@
     private final RedirectedAgents redirectedAgents;
     private final Set<String> awaitingAnswer = new HashSet<>();
     private long lastSequence;
-    private IntFunction<JsonNode> countsSource = maxJobs -> null;
-    private Consumer<JsonNode> countsListener = counts -> {};
-    private Consumer<JsonNode> noticeListener = notice -> {};
+    private PeerPayloads payloads = PeerPayloads.NONE;
 
     /** The parts of this controller whose state is announced to peers, and that learn from their messages. */
     public record Participants(
@@ -98,19 +96,9 @@
                 new Participants(leadership, store, cancellations, watermark, writeBudget));
     }
 
-    /**
-     * Begins to send messages.
-     *
-     * @param countsSource a page of the leader's job counts, of so many jobs at the most, or null when this controller
-     *     has none
-     * @param countsListener receives each page of the leader's job counts, this controller's own as well
-     * @param noticeListener receives a peer's notice about a job
-     */
-    public void start(
-            IntFunction<JsonNode> countsSource, Consumer<JsonNode> countsListener, Consumer<JsonNode> noticeListener) {
-        this.countsSource = countsSource;
-        this.countsListener = countsListener;
-        this.noticeListener = noticeListener;
+    /** Begins to send messages. */
+    public void start(PeerPayloads peerPayloads) {
+        this.payloads = peerPayloads;
         broadcast();
         eventLoop.every(timing.heartbeatMs(), () -> {
             redirectedAgents.probe();
@@ -118,6 +106,17 @@
         });
     }
 
+    /**
+     * Begins to send messages; use {@link #start(PeerPayloads)}.
+     *
+     * @param countsSource see {@link PeerPayloads#countsSource}, with null for empty
+     */
+    public void start(
+            IntFunction<JsonNode> countsSource, Consumer<JsonNode> countsListener, Consumer<JsonNode> noticeListener) {
+        start(new PeerPayloads(
+                maxJobs -> Optional.ofNullable(countsSource.apply(maxJobs)), countsListener, noticeListener));
+    }
+
     // ---- sending
 
     /** Sends a message to every peer at once, for example after this controller was elected. */
@@ -125,8 +124,8 @@
         writeBudget.measureDemand();
         PeerMessage status = newMessage();
         int maxJobs = Math.max(1, MAX_JOBS_PER_MESSAGE - status.cancellations().size());
-        Optional<JsonNode> counts = Optional.ofNullable(countsSource.apply(maxJobs));
-        counts.ifPresent(countsListener);
+        Optional<JsonNode> counts = payloads.countsSource().apply(maxJobs);
+        counts.ifPresent(payloads.countsListener());
         PeerMessage message =
                 counts.map(Attachments::ofJobCounts).map(status::with).orElse(status);
         endpoints.keySet().forEach(member -> send(member, message));
@@ -209,7 +208,7 @@
                         peer -> applyPresentState(peer, message),
                         () -> send(message.sender().member(), newMessage()));
         applyDurableFacts(message);
-        message.attachments().notice().ifPresent(noticeListener);
+        message.attachments().notice().ifPresent(payloads.noticeListener());
         PeerMessage answer = newMessage();
         return writeBudget
                 .grantTo(message.sender().member(), message.writeDemandPerS())
@@ -223,7 +222,7 @@
         message.attachments()
                 .jobCounts()
                 .filter(counts -> peer.acceptCounts(message))
-                .ifPresent(countsListener);
+                .ifPresent(payloads.countsListener());
     }
 
     // An answer was made after the message that it answers was sent, so it proves which process runs.
--- a/src/main/java/io/quartzgw/store/PackedRecords.java
+++ b/src/main/java/io/quartzgw/store/PackedRecords.java
@@ -70,7 +70,7 @@
             page = pageWithRoomFor(key, size).orElseGet(this::addPage);
             pageByKey.put(key, page);
         } else if (page.bytesWith(key, size) > store.maxValueBytes()) {
-            // A page that the store rejects would hold up all others for good.
+            // A page that the store rejects would block all others for good.
             throw new IllegalArgumentException(key + " has outgrown what was reserved for it");
         }
         page.put(key, record, size);
@@ -120,9 +120,9 @@
     }
 
     /**
-     * Writes what has changed up to now and reports whether that is in the state store; one write at a time. What
-     * changes meanwhile is left for the next write: where the budget is short something always does, and a write that
-     * included it would never end.
+     * Writes what has changed up to now and calls back with whether that is in the state store; one write at a time.
+     * What changes meanwhile is left for the next write: where the budget is short something always does, and a write
+     * that included it would never end.
      */
     public void write(RequestUrgency urgency, Consumer<Boolean> callback) {
         writeNextBatch(new PendingWrite(dirtyPages(), urgency, callback));
--- a/src/main/java/io/quartzgw/store/StoreLimits.java
+++ b/src/main/java/io/quartzgw/store/StoreLimits.java
@@ -8,14 +8,19 @@
     private static final double GUARANTEED_FRACTION = 0.6;
 
     /** One controller's own share of the limits. */
-    public StoreLimits perNode(int nodes) {
+    public StoreLimits perController(int controllers) {
         return new StoreLimits(
-                requestsPerS * USED_FRACTION / nodes,
-                writesPerS * USED_FRACTION * GUARANTEED_FRACTION / nodes,
+                requestsPerS * USED_FRACTION / controllers,
+                writesPerS * USED_FRACTION * GUARANTEED_FRACTION / controllers,
                 maxValueBytes,
                 maxTransactionWrites);
     }
 
+    /** The former name of {@link #perController}. */
+    public StoreLimits perNode(int nodes) {
+        return perController(nodes);
+    }
+
     /** How many writes a second are left beside all controllers' own shares, for the leader to grant. */
     public double sharedWritesPerS() {
         return writesPerS * USED_FRACTION * (1 - GUARANTEED_FRACTION);
--- a/src/main/java/io/quartzgw/store/WriteBudgetAllocator.java
+++ b/src/main/java/io/quartzgw/store/WriteBudgetAllocator.java
@@ -58,7 +58,7 @@
      */
     public WriteBudgetAllocator(StoreLimits limits, int members, long grantMs, long nowMs) {
         this.sharedPerS = limits.sharedWritesPerS();
-        this.ownPerS = limits.perNode(members).writesPerS();
+        this.ownPerS = limits.perController(members).writesPerS();
         this.members = members;
         this.countedGrantMs = (long) Math.ceil(grantMs * DRIFT_FACTOR);
         this.electedAtMs = nowMs;
--- a/src/test/java/io/quartzgw/leadership/PeerExchangeTest.java
+++ b/src/test/java/io/quartzgw/leadership/PeerExchangeTest.java
@@ -20,21 +20,23 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
 class PeerExchangeTest {
     private static final LeadershipTiming TIMING = LeadershipTiming.of(2.5, 16, 36);
+    private static final ControllerIdentity IDENTITY = new ControllerIdentity("rig-0", 1);
     private static final StoreLimits LIMITS = new StoreLimits(10, 10, 8192, 16);
 
     private final EventLoop eventLoop = new EventLoop(1);
     private final StoreClient store = new StoreClient(eventLoop, new Endpoint("10.2.0.1", 1), LIMITS);
     private final CancellationWatermark watermark = new CancellationWatermark(eventLoop, 36_000, Set.of("rig-1"));
-    private final Leadership leadership = new Leadership(eventLoop, store, TIMING, "rig-0", 1, watermark);
+    private final Leadership leadership = new Leadership(eventLoop, store, TIMING, IDENTITY, watermark);
     private final PeerExchange exchange = new PeerExchange(
             eventLoop,
             TIMING,
-            new ControllerIdentity("rig-0", 1),
+            IDENTITY,
             Map.of("rig-1", new Endpoint("10.0.0.2", 8081)),
             new PeerExchange.Participants(
                     leadership,
@@ -61,7 +63,7 @@
     void jobCountsOvertakenByAnAnswerAreAppliedAndOlderOnesIgnored() {
         eventLoop.processBatch(List.of(), new ClockReading(1, 1));
         eventLoop.onRequest(exchange::serve);
-        exchange.start(maxJobs -> null, receivedCounts::add, notice -> {});
+        exchange.start(new PeerPayloads(maxJobs -> Optional.empty(), receivedCounts::add, notice -> {}));
         Effect.Send heartbeat = (Effect.Send)
                 eventLoop.processBatch(List.of(), new ClockReading(1, 1)).get(0);
         eventLoop.processBatch(
--- a/src/test/java/io/quartzgw/store/WriteBudgetAllocatorTest.java
+++ b/src/test/java/io/quartzgw/store/WriteBudgetAllocatorTest.java
@@ -38,7 +38,7 @@
         }
 
         double writesPerS(long nowMs) {
-            return LIMITS.perNode(MEMBERS).writesPerS() + (nowMs < grantedUntilMs ? grantedPerS : 0);
+            return LIMITS.perController(MEMBERS).writesPerS() + (nowMs < grantedUntilMs ? grantedPerS : 0);
         }
     }
 
