--- a/src/main/java/io/quartzgw/cancellation/CancellationWatermark.java
+++ b/src/main/java/io/quartzgw/cancellation/CancellationWatermark.java
@@ -89,7 +89,7 @@
      * @param askedAtMs when it was asked
      * @param complete whether it announced all cancellations that it had to
      */
-    public void peerAnswered(String name, long process, long uptimeMs, long askedAtMs, boolean complete) {
+    public void recordPeerAnswer(String name, long process, long uptimeMs, long askedAtMs, boolean complete) {
         Peer peer = peers.get(name);
         if (!peer.answeredAs(process)) {
             peer.replaceProcess(process, gapBeforePresentProcess(peer, uptimeMs));
@@ -115,7 +115,7 @@
      *
      * @param confirmedAtMs the last moment at which this controller surely led
      */
-    public long knownUntil(long confirmedAtMs) {
+    public long knownUntilMs(long confirmedAtMs) {
         long knownByAllMs = isOpen(ownGap) ? ownGap.unknownFromMs() : eventLoop.nowMs();
         for (Peer peer : peers.values()) {
             knownByAllMs = Math.min(knownByAllMs, knownUntilMs(peer));
--- a/src/main/java/io/quartzgw/leadership/ElectionState.java
+++ b/src/main/java/io/quartzgw/leadership/ElectionState.java
@@ -123,6 +123,7 @@
         }
     }
 
+    /** One watch of the election keys; it ends when the keys are read again. */
     private final class ElectionWatcher implements StoreClient.Watcher {
         private final long generation;
 
--- a/src/main/java/io/quartzgw/leadership/Leadership.java
+++ b/src/main/java/io/quartzgw/leadership/Leadership.java
@@ -104,8 +104,8 @@
      * doesn't know may have been cancelled. That holds from the election on, also while the stored state is being read.
      */
     public boolean mayRenewAgentLeases() {
-        return lease.map(
-                        current -> eventLoop.nowMs() < watermark.knownUntil(current.confirmedAtMs()) + timing.graceMs())
+        return lease.map(current ->
+                        eventLoop.nowMs() < watermark.knownUntilMs(current.confirmedAtMs()) + timing.graceMs())
                 .orElse(false);
     }
 
@@ -201,6 +201,7 @@
         becomeLeader(leader.term(), leader.leaseId(), eventLoop.nowMs() - timing.leaseMs());
     }
 
+    /** Connects the candidacy to this role. */
     private final class CandidacyOwner implements Candidacy.Owner {
         @Override
         public boolean leading() {
--- a/src/main/java/io/quartzgw/leadership/PeerExchange.java
+++ b/src/main/java/io/quartzgw/leadership/PeerExchange.java
@@ -231,7 +231,7 @@
         peers.observeProcess(peer).applyStatus(answer, eventLoop.nowMs());
         answer.attachments().writeGrantPerS().ifPresent(writesPerS -> writeBudget.applyGrant(writesPerS, sentAtMs));
         applyDurableFacts(answer);
-        watermark.peerAnswered(
+        watermark.recordPeerAnswer(
                 member,
                 peer.process(),
                 answer.status().uptimeMs(),
--- a/src/main/java/io/quartzgw/leadership/RedirectedAgents.java
+++ b/src/main/java/io/quartzgw/leadership/RedirectedAgents.java
@@ -32,6 +32,7 @@
     private long probedAtMs;
     private long ignoreUntilMs = NEVER;
 
+    /** An agent's last heartbeat to this controller. */
     private record Redirection(Endpoint address, long atMs) {}
 
     RedirectedAgents(EventLoop eventLoop, long heartbeatMs) {
--- a/src/main/java/io/quartzgw/leadership/WriteBudgetExchange.java
+++ b/src/main/java/io/quartzgw/leadership/WriteBudgetExchange.java
@@ -33,6 +33,7 @@
     private double demandPerS;
     private long measuredAtMs;
 
+    /** The allocator of one term: a new term begins without grants. */
     private record TermAllocator(long term, WriteBudgetAllocator allocator) {}
 
     /**
--- a/src/main/java/io/quartzgw/store/RequestQueue.java
+++ b/src/main/java/io/quartzgw/store/RequestQueue.java
@@ -39,6 +39,7 @@
     /** The writes that were queued when {@link #takeWriteDemand} was last called. */
     private int previouslyQueuedWrites;
 
+    /** A call that waits for its turn. */
     private record QueuedCall(Call call, int writeCount, long queuedAtMs, Consumer<Reply> callback) {}
 
     /**
--- a/src/main/java/io/quartzgw/store/RequestUrgency.java
+++ b/src/main/java/io/quartzgw/store/RequestUrgency.java
@@ -2,7 +2,7 @@
 
 /** Which requests go first when the budget is short. */
 public enum RequestUrgency {
-    /** Leases and watches, cancellations, ends of jobs, and records that starts wait for. */
+    /** Leases, listings and watches, cancellations, ends of jobs, and records that starts wait for. */
     HIGH,
     /** Submissions and polls of users. */
     NORMAL,
--- a/src/main/java/io/quartzgw/store/StoreCodec.java
+++ b/src/main/java/io/quartzgw/store/StoreCodec.java
@@ -179,7 +179,11 @@
     /** The response to one poll of a watch. */
     sealed interface WatchResponse {
 
-        /** @param revision the revision up to which these are all changes */
+        /**
+         * The changes since the polled revision; there may be none.
+         *
+         * @param revision the revision up to which these are all changes
+         */
         record Changes(List<KeyChange> changes, long revision) implements WatchResponse {}
 
         /** The service has no longer all changes since the revision. */
--- a/src/main/java/io/quartzgw/store/Transaction.java
+++ b/src/main/java/io/quartzgw/store/Transaction.java
@@ -14,6 +14,7 @@
     private final List<Precondition> preconditions = new ArrayList<>();
     private final List<Write> writes = new ArrayList<>();
 
+    /** The revision that a key must have for the transaction to be applied. */
     record Precondition(String key, long revision) {}
 
     /** A write of one key. */
@@ -21,9 +22,14 @@
         String key();
     }
 
-    /** @param leaseId the lease that the key is attached to, if any */
+    /**
+     * Sets a value.
+     *
+     * @param leaseId the lease that the key is attached to, if any
+     */
     record Put(String key, JsonNode value, OptionalLong leaseId) implements Write {}
 
+    /** Deletes a key. */
     record Delete(String key) implements Write {}
 
     /** Requires that a key has a revision. */
--- a/src/main/java/io/quartzgw/store/WriteBudgetAllocator.java
+++ b/src/main/java/io/quartzgw/store/WriteBudgetAllocator.java
@@ -27,8 +27,10 @@
     private final long electedAtMs;
     private final Map<String, Grantee> grantees = new HashMap<>();
 
+    /** Writes that a controller may make until a moment. */
     private record Grant(double writesPerS, long untilMs) {}
 
+    /** A controller's last demand, and its grants that may be in use. */
     private static final class Grantee {
         private final List<Grant> grants = new ArrayList<>();
         private double demandPerS;
--- a/src/test/java/io/quartzgw/cancellation/CancellationWatermarkTest.java
+++ b/src/test/java/io/quartzgw/cancellation/CancellationWatermarkTest.java
@@ -29,21 +29,22 @@
 
     private void allPeersAnswer(CancellationWatermark watermark, long nowMs, long process, long uptimeMs) {
         advanceTo(nowMs);
-        PEERS.forEach(name -> watermark.peerAnswered(name, process, uptimeMs, nowMs - 5, true));
+        PEERS.forEach(name -> watermark.recordPeerAnswer(name, process, uptimeMs, nowMs - 5, true));
     }
 
     @Test
     void nothingIsKnownUntilTheStoreIsReadOrTheProcessIsOlderThanTheLimit() {
         CancellationWatermark watermark = startedAt(1_000);
         allPeersAnswer(watermark, 2_000, 7, 90_000);
-        assertTrue(watermark.knownUntil(2_000) < 0, "its former process may have acknowledged some just before");
+        assertTrue(watermark.knownUntilMs(2_000) < 0, "its former process may have acknowledged some just before");
         watermark.recordStoreRead(1_900);
-        assertEquals(1_995, watermark.knownUntil(2_000));
+        assertEquals(1_995, watermark.knownUntilMs(2_000));
         watermark.resetStoreRead();
         assertTrue(
-                watermark.knownUntil(2_000) < 0, "a new term's cluster state has nothing of what an earlier one read");
+                watermark.knownUntilMs(2_000) < 0,
+                "a new term's cluster state has nothing of what an earlier one read");
         allPeersAnswer(watermark, 1_000 + CANCEL_LIMIT_MS, 7, 90_000 + CANCEL_LIMIT_MS);
-        assertEquals(995 + CANCEL_LIMIT_MS, watermark.knownUntil(0));
+        assertEquals(995 + CANCEL_LIMIT_MS, watermark.knownUntilMs(0));
     }
 
     // What was read after the term was last confirmed must not count: a successor relies on that.
@@ -51,8 +52,8 @@
     void storeReadCountsUpToTheLastConfirmation() {
         CancellationWatermark watermark = startedAt(1_000);
         watermark.recordStoreRead(9_000);
-        assertEquals(5_000, watermark.knownUntil(5_000));
-        assertEquals(9_000, watermark.knownUntil(12_000));
+        assertEquals(5_000, watermark.knownUntilMs(5_000));
+        assertEquals(9_000, watermark.knownUntilMs(12_000));
     }
 
     @Test
@@ -60,21 +61,22 @@
         CancellationWatermark watermark = startedAt(0);
         allPeersAnswer(watermark, 50_000, 7, 50_000);
         advanceTo(52_000);
-        watermark.peerAnswered("rig-1", 8, 100, 51_990, true);
+        watermark.recordPeerAnswer("rig-1", 8, 100, 51_990, true);
         allPeersAnswer(watermark, 52_000, 8, 100);
-        assertEquals(49_995, watermark.knownUntil(0));
+        assertEquals(49_995, watermark.knownUntilMs(0));
         allPeersAnswer(watermark, 53_000, 9, 100);
-        assertEquals(49_995, watermark.knownUntil(0), "a second restart does not hide the first one's gap");
+        assertEquals(49_995, watermark.knownUntilMs(0), "a second restart does not hide the first one's gap");
         allPeersAnswer(watermark, 60_000, 9, 7_100);
-        assertEquals(49_995, watermark.knownUntil(0));
+        assertEquals(49_995, watermark.knownUntilMs(0));
         watermark.recordStoreRead(52_999);
         assertEquals(
-                49_995, watermark.knownUntil(0), "read before the last restart was noticed, and not confirmed since");
+                49_995, watermark.knownUntilMs(0), "read before the last restart was noticed, and not confirmed since");
         watermark.recordStoreRead(53_000);
-        assertEquals(59_995, watermark.knownUntil(0));
+        assertEquals(59_995, watermark.knownUntilMs(0));
         watermark.resetStoreRead();
         allPeersAnswer(watermark, 52_900 + CANCEL_LIMIT_MS, 9, CANCEL_LIMIT_MS);
-        assertEquals(52_895 + CANCEL_LIMIT_MS, watermark.knownUntil(0), "whatever was acknowledged before is settled");
+        assertEquals(
+                52_895 + CANCEL_LIMIT_MS, watermark.knownUntilMs(0), "whatever was acknowledged before is settled");
     }
 
     @Test
@@ -82,9 +84,9 @@
         CancellationWatermark watermark = startedAt(0);
         allPeersAnswer(watermark, 50_000, 7, 50_000);
         advanceTo(51_000);
-        watermark.peerAnswered("rig-1", 7, 51_000, 50_990, false);
-        watermark.peerAnswered("rig-2", 7, 51_000, 50_990, true);
-        assertEquals(49_995, watermark.knownUntil(0));
+        watermark.recordPeerAnswer("rig-1", 7, 51_000, 50_990, false);
+        watermark.recordPeerAnswer("rig-2", 7, 51_000, 50_990, true);
+        assertEquals(49_995, watermark.knownUntilMs(0));
     }
 
     /** A cancellation that a peer's process has acknowledged to a user. */
@@ -151,7 +153,7 @@
             acknowledged.stream()
                     .filter(one -> one.peer() == peer && one.process() == process[peer])
                     .forEach(announced::add);
-            watermark.peerAnswered(PEERS.get(peer), process[peer], nowMs - startedAtMs[peer], nowMs, true);
+            watermark.recordPeerAnswer(PEERS.get(peer), process[peer], nowMs - startedAtMs[peer], nowMs, true);
         }
 
         /** The cancellations whose limit is not over, and which are not known here. */
@@ -171,7 +173,7 @@
             for (long nowMs = 10; nowMs < 200_000; nowMs += 1 + history.random.nextInt(1_500)) {
                 advanceTo(nowMs);
                 history.step(nowMs);
-                long knownUntilMs = history.watermark.knownUntil(nowMs);
+                long knownUntilMs = history.watermark.knownUntilMs(nowMs);
                 for (Acknowledged unknown : history.unknown(nowMs)) {
                     String context = "seed " + seed + " at " + nowMs + ": " + unknown + " before " + knownUntilMs;
                     assertTrue(unknown.atMs() >= knownUntilMs, context);
