--- a/src/main/java/io/quartzgw/leadership/WriteBudgetExchange.java
+++ b/src/main/java/io/quartzgw/leadership/WriteBudgetExchange.java
@@ -1,109 +1,100 @@
 package io.quartzgw.leadership;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quartzgw.eventloop.EventLoop;
 import io.quartzgw.store.StoreClient;
 import io.quartzgw.store.StoreLimits;
-import io.quartzgw.store.WriteBudgetLender;
+import io.quartzgw.store.WriteBudgetAllocator;
+import java.util.Optional;
 
 /**
- * This node's share of the changes that the state service takes. Every message between controllers says how many its
- * sender wants; the leader's answers lend them, for as long as its term is confirmed. Only answers lend: the borrower
- * knows when it asked, so a late copy lends nothing for longer than it should.
+ * This controller's grants of the state store's write budget. Every message between controllers has the sender's
+ * demand; the leader's answers grant part of the budget, while its term is confirmed. Only answers grant: the receiver
+ * knows when it asked, so a late copy grants nothing for longer than it should.
  */
 public final class WriteBudgetExchange {
-    private static final String DEMAND_FIELD = "writes_wanted";
-    private static final String GRANT_FIELD = "writes_lent";
-    /** A loan outlasts one heartbeat whose message is lost. */
+    /** A grant outlasts one heartbeat whose message is lost. */
     private static final double GRANT_HEARTBEATS = 2.5;
     /** The part of a former demand that is still counted at the next heartbeat: bursts come again. */
     private static final double DEMAND_DECAY = 0.7;
 
-    private final EventLoop kernel;
+    private final EventLoop eventLoop;
     private final Leadership leadership;
     private final StoreClient store;
     private final StoreLimits limits;
     private final String member;
     private final int members;
     private final long grantMs;
-    /** What is measured over a shorter time says little. */
+    /** A demand is not measured over less than this. */
     private final long minMeasurementMs;
 
-    private WriteBudgetLender lender;
-    private long lenderTerm;
+    /** The allocator of the term that this controller last led with. */
+    private Optional<TermAllocator> termAllocator = Optional.empty();
+
     private double demandPerS;
-    private long measuredAt;
+    private long measuredAtMs;
+
+    /** The allocator of one term: a new term begins without grants. */
+    private record TermAllocator(long term, WriteBudgetAllocator allocator) {}
 
     /**
-     * @param limits what the state service takes from all controllers together
+     * @param limits the state store's limits for all controllers together
      * @param members how many controllers there are
      */
     public WriteBudgetExchange(
-            EventLoop kernel,
+            EventLoop eventLoop,
             Leadership leadership,
             StoreClient store,
             StoreLimits limits,
-            LeadershipTiming times,
+            LeadershipTiming timing,
             String member,
             int members) {
-        this.kernel = kernel;
+        this.eventLoop = eventLoop;
         this.leadership = leadership;
         this.store = store;
         this.limits = limits;
         this.member = member;
         this.members = members;
-        this.grantMs = (long) (GRANT_HEARTBEATS * times.heartbeatMs());
-        this.minMeasurementMs = times.heartbeatMs() / 2;
-        this.measuredAt = kernel.nowMs();
+        this.grantMs = (long) (GRANT_HEARTBEATS * timing.heartbeatMs());
+        this.minMeasurementMs = timing.heartbeatMs() / 2;
+        this.measuredAtMs = eventLoop.nowMs();
     }
 
-    /** Measures what this node wants, and lends it its own part if it leads; once a heartbeat. */
+    /** Measures this controller's demand, and grants it its own part if it leads; once a heartbeat. */
     void measureDemand() {
-        long elapsed = kernel.nowMs() - measuredAt;
-        if (elapsed < minMeasurementMs) {
+        long elapsedMs = eventLoop.nowMs() - measuredAtMs;
+        if (elapsedMs < minMeasurementMs) {
             return;
         }
-        measuredAt = kernel.nowMs();
-        demandPerS = Math.max(DEMAND_DECAY * demandPerS, store.takeWriteDemand() * 1000.0 / elapsed);
-        if (canLend()) {
-            double lent = lender.grant(member, demandPerS, kernel.nowMs());
-            if (lender.canGrant(kernel.nowMs())) {
-                store.borrowWrites(lent, kernel.nowMs() + grantMs);
-            }
-        }
+        measuredAtMs = eventLoop.nowMs();
+        demandPerS = Math.max(DEMAND_DECAY * demandPerS, store.takeWriteDemand() * 1000.0 / elapsedMs);
+        grantTo(member, demandPerS).ifPresent(writesPerS -> applyGrant(writesPerS, eventLoop.nowMs()));
     }
 
-    /** Adds to a message what this node wants. */
-    void addDemand(ObjectNode message) {
-        message.put(DEMAND_FIELD, demandPerS);
+    /** How many writes a second this controller wants to make. */
+    double demandPerS() {
+        return demandPerS;
     }
 
-    /** Adds to the answer to a member's message what the leader lends it. */
-    void addGrant(String borrower, JsonNode message, ObjectNode answer) {
-        if (canLend()) {
-            double lent = lender.grant(borrower, message.path(DEMAND_FIELD).asDouble(), kernel.nowMs());
-            if (lender.canGrant(kernel.nowMs())) {
-                answer.put(GRANT_FIELD, lent);
-            }
-        }
+    /** How many writes a second this controller grants to a member, if it may grant any now; records the demand. */
+    Optional<Double> grantTo(String grantee, double wantedPerS) {
+        return allocator().flatMap(allocator -> allocator.grant(grantee, wantedPerS, eventLoop.nowMs()));
     }
 
-    /** Takes what an answer lends, from the moment at which this node asked. */
-    void applyGrant(JsonNode answer, long requestedAt) {
-        if (answer.has(GRANT_FIELD)) {
-            store.borrowWrites(answer.path(GRANT_FIELD).asDouble(), requestedAt + grantMs);
-        }
+    /** Applies a grant, which counts from the moment at which this controller asked. */
+    void applyGrant(double writesPerS, long requestedAtMs) {
+        store.applyWriteGrant(writesPerS, requestedAtMs + grantMs);
     }
 
-    private boolean canLend() {
+    /** The allocator of the current term, if that is confirmed. */
+    private Optional<WriteBudgetAllocator> allocator() {
         if (!leadership.isConfirmed()) {
-            return false;
+            return Optional.empty();
         }
-        if (lender == null || lenderTerm != leadership.term()) {
-            lender = new WriteBudgetLender(limits, members, grantMs, kernel.nowMs());
-            lenderTerm = leadership.term();
+        long term = leadership.term();
+        if (termAllocator.filter(current -> current.term() == term).isEmpty()) {
+            termAllocator = Optional.of(
+                    new TermAllocator(term, new WriteBudgetAllocator(limits, members, grantMs, eventLoop.nowMs())));
         }
-        return true;
+        return termAllocator.map(TermAllocator::allocator);
     }
 }
