--- a/src/main/java/io/quartzgw/agent/AgentCommand.java
+++ b/src/main/java/io/quartzgw/agent/AgentCommand.java
@@ -1,48 +1,36 @@
 package io.quartzgw.agent;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quartzgw.http.Json;
-import io.quartzgw.scheduling.Allocation;
 import java.util.List;
 
-/** A command to a worker. */
+/** A command to an agent. */
 public sealed interface AgentCommand {
 
-    ObjectNode toJson();
-
-    /** Starts an attempt; without effect where the worker knows the attempt. */
-    record Start(Allocation booking) implements AgentCommand {
-        @Override
-        public ObjectNode toJson() {
-            return named("run", Attempt.of(booking));
-        }
-    }
-
-    /** Stops an attempt, giving it so many seconds to save. */
-    record Stop(Attempt attempt, double graceS) implements AgentCommand {
-        @Override
-        public ObjectNode toJson() {
-            return named("kill", attempt).put("wind_down_s", graceS);
+    /** The attempt that the command applies to. */
+    Attempt attempt();
+
+    /** Starts an attempt; an agent that knows the attempt ignores it. */
+    record Start(Attempt attempt) implements AgentCommand {}
+
+    /**
+     * Stops an attempt.
+     *
+     * @param graceSeconds how long the task may take to save its state
+     */
+    record Stop(Attempt attempt, double graceSeconds) implements AgentCommand {
+        /** Stops an attempt without a grace period. */
+        static Stop immediately(Attempt attempt) {
+            return new Stop(attempt, 0);
         }
     }
 
-    /** Removes an ended attempt from the reports. */
-    record Remove(Attempt attempt) implements AgentCommand {
-        @Override
-        public ObjectNode toJson() {
-            return named("reap", attempt);
-        }
-    }
+    /** Makes the agent forget an attempt that has ended. */
+    record Remove(Attempt attempt) implements AgentCommand {}
 
-    /** The attempts that some orders start. */
-    static List<Attempt> starts(List<AgentCommand> orders) {
-        return orders.stream()
+    /** Returns the attempts that some commands start. */
+    static List<Attempt> startedAttempts(List<AgentCommand> commands) {
+        return commands.stream()
                 .filter(Start.class::isInstance)
-                .map(order -> Attempt.of(((Start) order).booking()))
+                .map(AgentCommand::attempt)
                 .toList();
     }
-
-    private static ObjectNode named(String verb, Attempt attempt) {
-        return Json.object().put("verb", verb).put("shard", attempt.task()).put("try_no", attempt.number());
-    }
 }
--- /dev/null
+++ b/src/main/java/io/quartzgw/agent/AgentCommandCodec.java
@@ -0,0 +1,34 @@
+package io.quartzgw.agent;
+
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.quartzgw.http.Json;
+import java.util.List;
+
+/** Encodes commands to agents with the names that the protocol uses. */
+final class AgentCommandCodec {
+    private AgentCommandCodec() {}
+
+    /** Returns the body of a direct call. */
+    static ObjectNode encode(CommandRequest request) {
+        ObjectNode body = Json.object().put("baton", request.fencingToken()).put("tenure", request.epoch());
+        encode(request.commands(), body.putArray("orders"));
+        return body;
+    }
+
+    /** Adds commands to an array. */
+    static void encode(List<AgentCommand> commands, ArrayNode target) {
+        commands.forEach(command -> target.add(encode(command)));
+    }
+
+    private static ObjectNode encode(AgentCommand command) {
+        if (command instanceof AgentCommand.Stop stop) {
+            return encode("kill", stop.attempt()).put("wind_down_s", stop.graceSeconds());
+        }
+        return encode(command instanceof AgentCommand.Start ? "run" : "reap", command.attempt());
+    }
+
+    private static ObjectNode encode(String verb, Attempt attempt) {
+        return Json.object().put("verb", verb).put("shard", attempt.task()).put("try_no", attempt.number());
+    }
+}
--- a/src/main/java/io/quartzgw/agent/AgentManager.java
+++ b/src/main/java/io/quartzgw/agent/AgentManager.java
@@ -1,10 +1,8 @@
 package io.quartzgw.agent;
 
-import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quartzgw.eventloop.EventLoop;
 import io.quartzgw.fleet.MachineCatalog;
-import io.quartzgw.http.Json;
 import io.quartzgw.leadership.LeaderTerm;
 import io.quartzgw.liveness.AgentLiveness;
 import io.quartzgw.liveness.AgentTiming;
@@ -14,6 +12,7 @@
 import io.quartzgw.scheduling.Job;
 import io.quartzgw.scheduling.Machine;
 import io.quartzgw.scheduling.StopReason;
+import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -82,15 +81,19 @@
 
     // ---- reports
 
-    /** Answers a report and returns the response's body; the lease goes on. */
-    public ObjectNode handleHeartbeat(Heartbeat report) {
-        ObjectNode response = Json.object();
-        ArrayNode orders = response.putArray("orders");
+    /** Encodes the response of {@link #receive}; kept for callers that do not encode it themselves. */
+    public ObjectNode handleHeartbeat(Heartbeat heartbeat) {
+        return HeartbeatResponseCodec.encode(receive(heartbeat));
+    }
+
+    /** Handles a heartbeat and returns the response, which renews the agent's lease. */
+    public HeartbeatResponse receive(Heartbeat report) {
+        List<AgentCommand> orders = new ArrayList<>();
         if (!stateLoaded) {
             // Hard state is still being read: keep the newest word of each machine for then.
             buffered.merge(report.machine(), report, (old, now) -> now.isNewerThan(old) ? now : old);
             stopTerminalJobs(report, orders);
-            return response.put("baton", term.fencingToken());
+            return HeartbeatResponse.renewingLease(orders, term.fencingToken());
         }
         AgentLiveness.Freshness freshness = applyHeartbeat(report, false);
         kernel.increment(FRESHNESS_COUNTERS.get(freshness), 1);
@@ -105,32 +108,32 @@
                     .log("report proves nothing");
         }
         // Without a token in its answer, a worker drops it: see Presence.answered.
-        if (freshness != AgentLiveness.Freshness.STALE) {
-            response.put("baton", term.fencingToken());
-            if (freshness != AgentLiveness.Freshness.CURRENT) {
-                stopTerminalJobs(report, orders);
-            }
-            Machine machine = cluster.machine(report.machine());
-            // Only in the session that is proved: a start offered to a later one would be executed there, while the
-            // proof of that session, already on its way, gives the task to another machine.
-            if (machine != null
-                    && machine.liveness().verified()
-                    && machine.liveness().epoch() == report.epoch()) {
-                addPendingCommands(registry.agentOf(machine), report, orders);
-            }
+        if (freshness == AgentLiveness.Freshness.STALE) {
+            return HeartbeatResponse.ignored();
+        }
+        if (freshness != AgentLiveness.Freshness.CURRENT) {
+            stopTerminalJobs(report, orders);
+        }
+        Machine machine = cluster.machine(report.machine());
+        // Only in the session that is proved: a start offered to a later one would be executed there, while the
+        // proof of that session, already on its way, gives the task to another machine.
+        if (machine != null
+                && machine.liveness().verified()
+                && machine.liveness().epoch() == report.epoch()) {
+            addPendingCommands(registry.agentOf(machine), report, orders);
         }
-        return response;
+        return HeartbeatResponse.renewingLease(orders, term.fencingToken());
     }
 
-    private void addPendingCommands(AgentState worker, Heartbeat report, ArrayNode orders) {
+    private void addPendingCommands(AgentState worker, Heartbeat report, List<AgentCommand> orders) {
         List<AgentCommand> pending = dispatcher.pendingCommands(worker, false);
-        pending.forEach(order -> orders.add(order.toJson()));
-        AgentCommand.starts(pending)
+        orders.addAll(pending);
+        AgentCommand.startedAttempts(pending)
                 .forEach(start -> worker.outstandingStarts.sentInResponse(start, report.sequence()));
         logResponse(report, orders);
     }
 
-    private void logResponse(Heartbeat report, ArrayNode orders) {
+    private void logResponse(Heartbeat report, List<AgentCommand> orders) {
         if (orders.isEmpty()) {
             return;
         }
@@ -151,12 +154,13 @@
     // the report lists of jobs that are known to be over, whether or not the report proves anything. Once
     // the open jobs were read, that is every job that the leader doesn't have: only a leader starts tasks, and only of
     // jobs that it has read.
-    private void stopTerminalJobs(Heartbeat report, ArrayNode orders) {
+    private void stopTerminalJobs(Heartbeat report, List<AgentCommand> orders) {
         for (Heartbeat.TaskStatus task : report.tasks()) {
             Attempt attempt = task.attempt();
             if (task.state() != Heartbeat.TaskState.EXITED
-                    && (isCancelled.test(attempt.job()) || stateLoaded && reconciler.openJob(attempt) == null)) {
-                orders.add(new AgentCommand.Stop(attempt, 0).toJson());
+                    && (isCancelled.test(attempt.job())
+                            || stateLoaded && attempt.openJob(cluster).isEmpty())) {
+                orders.add(AgentCommand.Stop.immediately(attempt));
             }
         }
     }
@@ -232,7 +236,9 @@
             worker.outstandingStarts.heartbeatReceived(report.sequence());
         }
         machine.reclaimAt(
-                report.reclaimInS() == null ? Long.MAX_VALUE : kernel.nowMs() + (long) (report.reclaimInS() * 1000));
+                report.reclaimInSeconds().isPresent()
+                        ? kernel.nowMs() + (long) (report.reclaimInSeconds().getAsDouble() * 1000)
+                        : Long.MAX_VALUE);
         if (worker.replaceTaskList(report.taskList()) || back) {
             List<Heartbeat.TaskStatus> listed = report.tasks();
             kernel.increment("reports.read", 1);
@@ -246,13 +252,13 @@
     }
 
     private Machine adoptUnexpected(Heartbeat report) {
-        MachineType type = catalog.get(report.machineType());
+        MachineType type = catalog.get(report.source().machineType());
         // Without this leader's token it may be a late copy of a machine that is long gone.
         if (type == null || cluster.wasRemoved(report.machine()) || report.fencingToken() < term.fencingToken()) {
             return null;
         }
-        Machine machine =
-                new Machine(report.machine(), type, report.zone(), report.spot(), kernel.nowMs(), kernel.nowMs());
+        Machine machine = new Machine(
+                report.machine(), type, report.source().zone(), report.source().spot(), kernel.nowMs(), kernel.nowMs());
         cluster.add(machine);
         return machine;
     }
--- a/src/main/java/io/quartzgw/agent/Attempt.java
+++ b/src/main/java/io/quartzgw/agent/Attempt.java
@@ -1,15 +1,34 @@
 package io.quartzgw.agent;
 
 import io.quartzgw.scheduling.Allocation;
+import io.quartzgw.scheduling.ClusterState;
+import io.quartzgw.scheduling.Job;
+import java.util.Optional;
 
-/** One try at running a task. The members of a gang share a number, so the task belongs to the name. */
+/**
+ * Identifies one execution of a task. The members of a gang share an attempt number, so the task is part of the
+ * identity.
+ *
+ * @param job the job's ID
+ * @param index the task's index in the job
+ * @param number the attempt number
+ */
 public record Attempt(String job, int index, long number) {
 
-    static Attempt of(Allocation booking) {
-        return new Attempt(booking.job().id(), booking.index(), booking.attempt());
+    /** Returns the attempt that an allocation is for. */
+    static Attempt of(Allocation allocation) {
+        return new Attempt(allocation.job().id(), allocation.index(), allocation.attempt());
     }
 
+    /** Returns the name of the task. */
     public String task() {
         return job + "/" + index;
     }
+
+    /** Returns the open job that the attempt belongs to, or empty if the job has ended or has no such task. */
+    Optional<Job> openJob(ClusterState cluster) {
+        return Optional.ofNullable(cluster.job(job))
+                .filter(candidate -> !candidate.isTerminal())
+                .filter(candidate -> index >= 0 && index < candidate.spec().tasks());
+    }
 }
--- a/src/main/java/io/quartzgw/agent/CommandDispatcher.java
+++ b/src/main/java/io/quartzgw/agent/CommandDispatcher.java
@@ -1,10 +1,7 @@
 package io.quartzgw.agent;
 
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quartzgw.eventloop.EventLoop;
 import io.quartzgw.http.Call;
-import io.quartzgw.http.Json;
 import io.quartzgw.http.Reply;
 import io.quartzgw.leadership.LeaderTerm;
 import io.quartzgw.liveness.AgentLiveness;
@@ -14,6 +11,7 @@
 import io.quartzgw.scheduling.Machine;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.BiPredicate;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -120,7 +118,7 @@
             }
         }
         int removals = orders.size();
-        worker.orphans.forEach(attempt -> orders.add(new AgentCommand.Stop(attempt, 0)));
+        worker.orphans.forEach(attempt -> orders.add(AgentCommand.Stop.immediately(attempt)));
         for (Allocation booking : worker.machine.allocations()) {
             if (booking.stopping()) {
                 addStop(worker, booking, direct, orders);
@@ -137,7 +135,7 @@
         boolean unanswered = worker.outstandingStarts.unanswered(Attempt.of(booking));
         if (unanswered && !booking.observed() && !direct) {
             // Makes the attempt known and ended there, so that the copy that may still come has no effect.
-            orders.add(new AgentCommand.Start(booking));
+            orders.add(new AgentCommand.Start(Attempt.of(booking)));
         }
         if (unanswered || booking.observed()) {
             orders.add(new AgentCommand.Stop(Attempt.of(booking), booking.stopGraceS()));
@@ -161,7 +159,7 @@
                 needsMark = true;
             } else if (startable) {
                 booking.markStartSent();
-                orders.add(new AgentCommand.Start(booking));
+                orders.add(new AgentCommand.Start(Attempt.of(booking)));
             }
         }
         if (needsMark) {
@@ -175,14 +173,12 @@
         // A start names the verified session: one that names a later session would outlive the release of its booking,
         // which a rise of the session brings.
         long epoch = orders.isEmpty() ? presence.latestObservedEpoch() : presence.epoch();
-        ObjectNode body = Json.object().put("baton", term.fencingToken()).put("tenure", epoch);
-        ArrayNode list = body.putArray("orders");
+        CommandRequest request = new CommandRequest(term.fencingToken(), epoch, orders);
         worker.callInFlight = true;
         callsInFlight++;
         worker.epochAtCall = presence.epoch();
         worker.sequenceAtCall = presence.sequence();
-        orders.forEach(order -> list.add(order.toJson()));
-        List<Attempt> starts = AgentCommand.starts(orders);
+        List<Attempt> starts = AgentCommand.startedAttempts(orders);
         worker.outstandingStarts.sentDirectly(starts);
         LOG.atDebug()
                 .addKeyValue("machine", machine.id())
@@ -190,13 +186,13 @@
                 .addKeyValue("term", term.fencingToken())
                 .addKeyValue("confirmed", term.isConfirmed())
                 .addKeyValue("session", epoch)
-                .addKeyValue("orders", list)
+                .addKeyValue("orders", orders)
                 .log("orders are sent");
         kernel.increment("orders.calls", 1);
         kernel.increment("orders.sent", orders.size());
         long timeout = (long) (TIMEOUT_HEARTBEATS * times.heartbeatMs());
         long sentAt = kernel.nowMs();
-        kernel.call(Call.post(machine.address(), "/orders", body, timeout), reply -> {
+        kernel.call(Call.post(machine.address(), "/orders", AgentCommandCodec.encode(request), timeout), reply -> {
             logOutcome(worker, reply, sentAt, starts);
             onReply(worker, reply);
         });
@@ -241,10 +237,11 @@
             }
             return;
         }
-        Heartbeat report = Heartbeat.read(reply.body());
-        if (report == null) {
+        Optional<Heartbeat> answer = HeartbeatCodec.decode(reply.body());
+        if (answer.isEmpty()) {
             return;
         }
+        Heartbeat report = answer.get();
         term.observeToken(report.fencingToken());
         if (!term.isCurrent() || !onReply.test(worker, report)) {
             return;
--- a/src/main/java/io/quartzgw/agent/TaskReconciler.java
+++ b/src/main/java/io/quartzgw/agent/TaskReconciler.java
@@ -112,7 +112,7 @@
             return;
         }
         Attempt attempt = task.attempt();
-        Job job = openJob(attempt);
+        Job job = attempt.openJob(cluster).orElse(null);
         if (job != null && !job.isDone(attempt.index()) && job.allocation(attempt.index()) == null) {
             // The report outranks the bookings: the task is there, and gets its place back.
             cluster.allocate(job, attempt.index(), worker.machine, attempt.number())
@@ -124,24 +124,13 @@
         registry.addPending(worker);
     }
 
-    /** The open job that an attempt is of, or null. */
-    Job openJob(Attempt attempt) {
-        Job job = cluster.job(attempt.job());
-        return job != null
-                        && !job.isTerminal()
-                        && attempt.index() >= 0
-                        && attempt.index() < job.spec().tasks()
-                ? job
-                : null;
-    }
-
     private void reconcileExited(AgentState worker, Heartbeat.TaskStatus task, Allocation booking) {
         Attempt attempt = task.attempt();
         worker.exited.add(attempt);
         agentsReportingExit
                 .computeIfAbsent(attempt.job(), id -> new HashSet<>())
                 .add(worker);
-        Job job = openJob(attempt);
+        Job job = attempt.openJob(cluster).orElse(null);
         if (job != null
                 && task.cause() == Heartbeat.ExitCause.DONE
                 && !job.spec().service()) {
--- a/src/test/java/io/quartzgw/agent/AgentManagerTest.java
+++ b/src/test/java/io/quartzgw/agent/AgentManagerTest.java
@@ -151,7 +151,8 @@
 
     /** Has the worker report, with what it says of the attempt, and returns the orders of the answer. */
     private List<String> report(String phase) {
-        return verbs(workers.handleHeartbeat(Heartbeat.read(Json.write(listing(phase)))));
+        Heartbeat heartbeat = HeartbeatCodec.decode(Json.write(listing(phase))).orElseThrow();
+        return verbs(HeartbeatResponseCodec.encode(workers.receive(heartbeat)));
     }
 
     private ObjectNode listing(String phase) {
