--- a/src/main/java/io/quartzgw/agent/AgentRegistry.java
+++ b/src/main/java/io/quartzgw/agent/AgentRegistry.java
@@ -10,85 +10,89 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What the leader has under way with each worker, and which of them have something to be ordered. */
+/** The state of every agent, and which of the agents have pending commands. */
 final class AgentRegistry {
     private static final Logger LOG = LoggerFactory.getLogger(AgentRegistry.class);
 
     private final ClusterState cluster;
     private final Map<String, AgentState> agents = new HashMap<>();
-    /** Workers with something to be ordered, in the order in which it fell due. */
+    /** Agents with pending commands, in the order in which their first one came up. */
     private final Set<AgentState> withPendingCommands = new LinkedHashSet<>();
 
     AgentRegistry(ClusterState cluster) {
         this.cluster = cluster;
     }
 
-    /** What is under way with a machine's worker; it begins anew when another machine has taken the name. */
+    /** Returns the state of a machine's agent, and creates it if the machine is new or has taken the ID of another. */
     AgentState agentOf(Machine machine) {
-        AgentState worker = agents.get(machine.id());
-        if (worker == null || worker.machine != machine) {
-            worker = new AgentState(machine);
-            agents.put(machine.id(), worker);
+        AgentState agent = agents.get(machine.id());
+        if (agent == null || agent.machine() != machine) {
+            agent = new AgentState(machine);
+            agents.put(machine.id(), agent);
         }
-        return worker;
+        return agent;
     }
 
-    /** Drops what is kept of a machine that is gone, and returns it; null when there was nothing. */
-    AgentState remove(Machine machine) {
-        AgentState worker = agents.remove(machine.id());
-        withPendingCommands.remove(worker);
-        return worker;
+    /** Removes the state of a machine's agent and returns it, if there was any. */
+    Optional<AgentState> remove(Machine machine) {
+        Optional<AgentState> removed = Optional.ofNullable(agents.remove(machine.id()));
+        removed.ifPresent(withPendingCommands::remove);
+        return removed;
     }
 
-    /** Says that a worker has to be ordered something. */
-    void addPending(AgentState worker) {
-        withPendingCommands.add(worker);
+    /** Adds an agent to those with pending commands. */
+    void addPending(AgentState agent) {
+        withPendingCommands.add(agent);
     }
 
-    /** Says that what fell due for a worker is being sent. */
-    void removePending(AgentState worker) {
-        withPendingCommands.remove(worker);
+    /** Removes an agent from those with pending commands. */
+    void removePending(AgentState agent) {
+        withPendingCommands.remove(agent);
     }
 
-    /** The workers that have to be ordered something, as of now. */
+    /** Returns a snapshot of the agents with pending commands. */
     Collection<AgentState> withPendingCommands() {
         return List.copyOf(withPendingCommands);
     }
 
-    /** Has a booking's start sent at the end of this batch. */
-    void requestStart(Allocation booking) {
-        requestStarts(booking.machine());
+    /** Requests that the start of an allocation is sent at the end of this batch. */
+    void requestStart(Allocation allocation) {
+        requestStarts(allocation.machine());
     }
 
-    /** Has the starts sent that wait on a machine. */
+    /** Requests that the unsent starts of a machine's allocations are sent. */
     void requestStarts(Machine machine) {
         withPendingCommands.add(agentOf(machine));
     }
 
-    /** Has the starts sent of a job's tasks that wait for that. */
+    /** Requests that the unsent starts of a job's allocations are sent. */
     void requestStarts(Job job) {
-        job.allocations().stream().filter(booking -> !booking.startSent()).forEach(this::requestStart);
+        job.allocations().stream().filter(allocation -> !allocation.startSent()).forEach(this::requestStart);
     }
 
-    /** Has a task stopped: directly at the end of this batch, and in report responses until it has ended. */
-    void requestStop(Allocation booking, double graceS, StopReason reason) {
+    /**
+     * Requests that an allocation's attempt is stopped: directly at the end of this batch, and in responses to
+     * heartbeats until it has ended. An attempt whose start was never sent is released at once.
+     */
+    void requestStop(Allocation allocation, double graceSeconds, StopReason reason) {
         LOG.atDebug()
-                .addKeyValue("task", booking.task())
-                .addKeyValue("attempt", booking.attempt())
-                .addKeyValue("machine", booking.machine().id())
+                .addKeyValue("task", allocation.task())
+                .addKeyValue("attempt", allocation.attempt())
+                .addKeyValue("machine", allocation.machine().id())
                 .addKeyValue("reason", reason)
-                .addKeyValue("seen", booking.observed())
-                .addKeyValue("offered", booking.startSent())
-                .log("task is stopped");
-        if (!booking.startSent() && !booking.observed()) {
-            cluster.release(booking);
+                .addKeyValue("observed", allocation.observed())
+                .addKeyValue("start_sent", allocation.startSent())
+                .log("task stop requested");
+        if (!allocation.startSent() && !allocation.observed()) {
+            cluster.release(allocation);
             return;
         }
-        booking.requestStop(graceS);
-        withPendingCommands.add(agentOf(booking.machine()));
+        allocation.requestStop(graceSeconds);
+        withPendingCommands.add(agentOf(allocation.machine()));
     }
 }
--- a/src/main/java/io/quartzgw/agent/AgentState.java
+++ b/src/main/java/io/quartzgw/agent/AgentState.java
@@ -1,74 +1,186 @@
 package io.quartzgw.agent;
 
+import io.quartzgw.liveness.AgentLiveness;
 import io.quartzgw.scheduling.Machine;
 import java.util.Arrays;
+import java.util.Collection;
+import java.util.Collections;
 import java.util.HashSet;
+import java.util.List;
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** What the leader has under way with one worker. */
+/**
+ * What the leader knows of one agent beyond its liveness: the attempts that the agent reports, the starts that are
+ * outstanding, and the direct call in flight.
+ */
 final class AgentState {
-    final Machine machine;
-    /** Ended attempts that the worker still reports. */
-    final Set<Attempt> exited = new HashSet<>();
-    /** Of those, the attempts that may be removed: what came of them is in the state service. */
-    final Set<Attempt> removable = new HashSet<>();
-    /** Of the ended ones, the attempts whose task has not completed: it is to be started again. */
-    final Set<Attempt> unfinished = new HashSet<>();
-    /** The starts that the worker may still execute. */
-    final OutstandingStarts outstandingStarts = new OutstandingStarts();
-    /** Attempts to be stopped that the leader has no place for. */
-    final Set<Attempt> orphans = new HashSet<>();
-    /** Whether a direct order is under way; there is one at a time, so that orders keep their order. */
-    boolean callInFlight;
-    /** What the worker had told, of its session and counter, when the direct order under way was sent. */
-    long epochAtCall;
-
-    long sequenceAtCall;
-    /** When the worker was last asked for its report. */
-    long contactedAt = Long.MIN_VALUE / 2;
-
-    private byte[] lastTaskList = new byte[0];
+    private static final byte[] NO_TASK_LIST = new byte[0];
+    /** Long before any time that the event loop's clock shows. */
+    private static final long NEVER_MS = Long.MIN_VALUE / 2;
+
+    private final Machine machine;
+    private final OutstandingStarts outstandingStarts = new OutstandingStarts();
+    /** Attempts that have ended and that the agent still reports. */
+    private final Set<Attempt> exited = new HashSet<>();
+    /** Exited attempts that the agent may forget, since their outcome is in the state service. */
+    private final Set<Attempt> removable = new HashSet<>();
+    /** Exited attempts whose task has not completed and has to be started again. */
+    private final Set<Attempt> unfinished = new HashSet<>();
+    /** Attempts that run without an allocation and have to be stopped. */
+    private final Set<Attempt> orphans = new HashSet<>();
+
+    private byte[] lastTaskList = NO_TASK_LIST;
+    private boolean callInFlight;
+    private long epochAtCall;
+    private long sequenceAtCall;
+    private long contactedAtMs = NEVER_MS;
 
     AgentState(Machine machine) {
         this.machine = machine;
     }
 
-    /** Whether a list of tasks differs from the last one that was applied; from now on this is the last one. */
+    /** Returns the machine that the agent runs on. */
+    Machine machine() {
+        return machine;
+    }
+
+    /** Returns the starts that the agent may still execute. */
+    OutstandingStarts outstandingStarts() {
+        return outstandingStarts;
+    }
+
+    // ---- attempts
+
+    /** Stores a task list and returns whether it differs from the one that was stored before. */
     boolean replaceTaskList(byte[] taskList) {
         boolean changed = !Arrays.equals(lastTaskList, taskList);
         lastTaskList = taskList;
         return changed;
     }
 
-    /** The jobs of tasks that the worker refuses, since it has to know a former attempt for a while yet. */
+    /** Forgets the exited and orphaned attempts, before those of a changed task list are added. */
+    void beginTaskList() {
+        exited.clear();
+        unfinished.clear();
+        orphans.clear();
+    }
+
+    /** Forgets the removable attempts that are not in the task list any more. */
+    void endTaskList() {
+        removable.retainAll(exited);
+    }
+
+    /** Records that the agent reports an attempt that has ended. */
+    void addExited(Attempt attempt) {
+        exited.add(attempt);
+    }
+
+    /** Records that the task of an exited attempt has to be started again. */
+    void addUnfinished(Attempt attempt) {
+        unfinished.add(attempt);
+    }
+
+    /** Records that the agent may forget an exited attempt. */
+    void addRemovable(Attempt attempt) {
+        removable.add(attempt);
+    }
+
+    /** Records that an attempt runs without an allocation. */
+    void addOrphan(Attempt attempt) {
+        orphans.add(attempt);
+    }
+
+    /** Returns the exited attempts of a job. */
+    List<Attempt> exitedAttempts(String job) {
+        return exited.stream().filter(attempt -> attempt.job().equals(job)).toList();
+    }
+
+    /** Returns the attempts that the agent may forget. */
+    Collection<Attempt> removable() {
+        return Collections.unmodifiableCollection(removable);
+    }
+
+    /** Returns the attempts that run without an allocation. */
+    Collection<Attempt> orphans() {
+        return Collections.unmodifiableCollection(orphans);
+    }
+
+    /**
+     * Returns the jobs whose tasks the agent would refuse: it takes no other attempt of a task while it knows one, and
+     * that one can't be removed while its start is outstanding.
+     */
     Set<String> refusedJobs() {
         if (outstandingStarts.isEmpty()) {
             return Set.of();
         }
         return unfinished.stream()
-                .filter(outstandingStarts::mayArrive)
+                .filter(outstandingStarts::isOutstanding)
                 .map(Attempt::job)
                 .collect(Collectors.toUnmodifiableSet());
     }
 
-    /** The worker has begun another session: it has forgotten everything, and refuses what names the old one. */
-    void epochEnded() {
-        forgetTasks();
-        outstandingStarts.epochEnded();
+    /** Handles a new epoch: the agent has forgotten its tasks and rejects commands that name an earlier epoch. */
+    void epochChanged() {
+        forgetAttempts();
+        outstandingStarts.epochChanged();
     }
 
-    /** The machine has a new worker, which knows nothing. */
+    /** Handles a new agent on the same machine, which knows no tasks. */
     void agentReplaced() {
-        forgetTasks();
+        forgetAttempts();
         outstandingStarts.agentReplaced();
     }
 
-    private void forgetTasks() {
-        lastTaskList = new byte[0];
+    private void forgetAttempts() {
+        lastTaskList = NO_TASK_LIST;
         exited.clear();
         unfinished.clear();
         removable.clear();
         orphans.clear();
     }
+
+    // ---- direct calls
+
+    /** Returns whether a direct call is in flight; there is one at a time, so that commands keep their order. */
+    boolean callInFlight() {
+        return callInFlight;
+    }
+
+    /** Records that a direct call with some starts is sent. */
+    void callStarted(List<Attempt> starts) {
+        callInFlight = true;
+        epochAtCall = machine.liveness().epoch();
+        sequenceAtCall = machine.liveness().sequence();
+        outstandingStarts.sentDirectly(starts);
+    }
+
+    /**
+     * Records that the direct call has ended.
+     *
+     * @param answered whether the agent has executed or rejected the commands
+     */
+    void callEnded(boolean answered) {
+        callInFlight = false;
+        if (answered) {
+            outstandingStarts.callAnswered();
+        } else {
+            outstandingStarts.callUnanswered();
+        }
+    }
+
+    /** Returns whether a reply is older than what was known when its call was sent, as only a new agent's can be. */
+    boolean isFromReplacedAgent(Heartbeat reply) {
+        return !AgentLiveness.isNewer(reply.epoch(), reply.sequence(), epochAtCall, sequenceAtCall);
+    }
+
+    /** Returns how long ago the agent was last asked for a heartbeat. */
+    long sinceContactMs(long nowMs) {
+        return nowMs - contactedAtMs;
+    }
+
+    /** Records that the agent is asked for a heartbeat. */
+    void contacted(long nowMs) {
+        contactedAtMs = nowMs;
+    }
 }
--- a/src/main/java/io/quartzgw/agent/CommandDispatcher.java
+++ b/src/main/java/io/quartzgw/agent/CommandDispatcher.java
@@ -6,254 +6,183 @@
 import io.quartzgw.leadership.LeaderTerm;
 import io.quartzgw.liveness.AgentLiveness;
 import io.quartzgw.liveness.AgentTiming;
-import io.quartzgw.scheduling.Allocation;
-import io.quartzgw.scheduling.ClusterState;
 import io.quartzgw.scheduling.Machine;
-import java.util.ArrayList;
 import java.util.List;
-import java.util.Optional;
-import java.util.function.BiPredicate;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Sends orders straight to workers, one call at a time each.
+ * Sends pending commands in direct calls to agents, one call at a time to each.
  *
- * <p>A start that was sent directly and not answered may still be executed minutes later ({@link OutstandingStarts}).
- * Its booking stands: the same attempt is offered again in report responses, and the task goes nowhere else until the
- * machine answers for it, starts a new session, or is surely gone.
+ * <p>A start in a call without an answer may still be executed minutes later ({@link OutstandingStarts}). Its
+ * allocation remains: the same attempt is sent again in responses to heartbeats, and the task is not placed elsewhere
+ * until the agent reports it, begins a new epoch, or its machine is gone.
  */
 final class CommandDispatcher {
     private static final Logger LOG = LoggerFactory.getLogger(CommandDispatcher.class);
-    /** A direct order that takes longer than this part of a report interval is given up. */
+
+    private static final String COMMANDS_PATH = "/orders";
+    /** A direct call times out after this fraction of a heartbeat interval. */
     private static final double TIMEOUT_HEARTBEATS = 0.8;
-    /** The part of the direct calls that may be spent on asking the silent, so that orders always get through. */
+    /** The fraction of the direct calls that may ask for heartbeats, so that commands can always be sent. */
     private static final double MAX_CONTACT_FRACTION = 0.5;
-    /** The status with which a worker says that it has executed the orders. */
-    private static final int EXECUTED = 200;
-    /** The status with which it says that it has executed none: the token is too low, or the session another one. */
-    private static final int REJECTED = 409;
+    /** The agent has executed the commands. */
+    private static final int STATUS_EXECUTED = 200;
+    /** The agent has executed no command: the token is too low, or the epoch is another one. */
+    private static final int STATUS_REJECTED = 409;
 
-    private final EventLoop kernel;
+    private final LeaderContext leader;
+    private final EventLoop eventLoop;
     private final LeaderTerm term;
-    private final ClusterState cluster;
     private final AgentRegistry registry;
-    private final AgentTiming times;
+    private final PendingCommands pendingCommands;
+    private final AgentTiming timing;
     private final int maxCalls;
-    private final AgentManager.Listener listener;
-    private final BiPredicate<AgentState, Heartbeat> onReply;
+    private final ReplyHandler replyHandler;
     private int callsInFlight;
 
-    /**
-     * @param maxCalls how many direct calls may be under way at once
-     * @param listener told what has to be recorded before a start
-     * @param onReply applies the report with which a worker has answered; false when none can be applied yet
-     */
+    /** Takes the heartbeats with which agents reply to direct calls. */
+    interface ReplyHandler {
+        /** Applies a heartbeat and returns true, or returns false if the leader can't apply heartbeats yet. */
+        boolean onReply(AgentState agent, Heartbeat heartbeat);
+    }
+
+    /** @param maxCalls how many direct calls may be in flight at once */
     CommandDispatcher(
-            EventLoop kernel,
-            LeaderTerm term,
-            ClusterState cluster,
-            AgentRegistry tracked,
-            AgentTiming times,
-            int mostCalls,
-            AgentManager.Listener listener,
-            BiPredicate<AgentState, Heartbeat> answered) {
-        this.kernel = kernel;
-        this.term = term;
-        this.cluster = cluster;
-        this.registry = tracked;
-        this.times = times;
-        this.maxCalls = mostCalls;
-        this.listener = listener;
-        this.onReply = answered;
+            LeaderContext leader,
+            AgentRegistry registry,
+            PendingCommands pendingCommands,
+            AgentTiming timing,
+            int maxCalls,
+            ReplyHandler replyHandler) {
+        this.leader = leader;
+        this.eventLoop = leader.eventLoop();
+        this.term = leader.term();
+        this.registry = registry;
+        this.pendingCommands = pendingCommands;
+        this.timing = timing;
+        this.maxCalls = maxCalls;
+        this.replyHandler = replyHandler;
     }
 
-    /** Sends what is due to every worker, one direct order at a time each. */
+    /** Sends the pending commands of the agents that can take a direct call now. */
     void sendPending() {
-        for (AgentState worker : registry.withPendingCommands()) {
+        for (AgentState agent : registry.withPendingCommands()) {
             if (callsInFlight >= maxCalls) {
                 return;
             }
-            if (worker.callInFlight
-                    || !worker.machine.liveness().verified()
-                    || worker.machine.liveness().unreachable()) {
+            if (!canTakeCommands(agent)) {
                 continue;
             }
-            registry.removePending(worker);
-            List<AgentCommand> orders = pendingCommands(worker, true);
-            if (!orders.isEmpty()) {
-                send(worker, orders);
+            registry.removePending(agent);
+            List<AgentCommand> commands = pendingCommands.forDirectCall(agent);
+            if (!commands.isEmpty()) {
+                send(agent, commands);
             }
         }
     }
 
+    private static boolean canTakeCommands(AgentState agent) {
+        AgentLiveness liveness = agent.machine().liveness();
+        return !agent.callInFlight() && liveness.verified() && !liveness.unreachable();
+    }
+
     /**
-     * Asks a machine for its report, which also shows it this leader's token; not more often than it would report by
-     * itself, and a part of the machines at a time.
+     * Asks an agent for a heartbeat, which also shows it this leader's token. An agent is not asked more often than it
+     * sends heartbeats by itself, and only a fraction of the agents at a time.
      */
     void contact(Machine machine) {
-        AgentState worker = registry.agentOf(machine);
-        if (kernel.nowMs() - worker.contactedAt >= times.heartbeatMs()) {
-            contact(worker);
+        AgentState agent = registry.agentOf(machine);
+        if (agent.sinceContactMs(eventLoop.nowMs()) >= timing.heartbeatMs()) {
+            contactNow(agent);
         }
     }
 
-    private void contact(AgentState worker) {
-        if (worker.machine.address() != null
-                && !worker.callInFlight
+    private void contactNow(AgentState agent) {
+        if (agent.machine().address() != null
+                && !agent.callInFlight()
                 && callsInFlight < maxCalls * MAX_CONTACT_FRACTION) {
-            worker.contactedAt = kernel.nowMs();
-            send(worker, List.of());
+            agent.contacted(eventLoop.nowMs());
+            send(agent, List.of());
         }
     }
 
-    List<AgentCommand> pendingCommands(AgentState worker, boolean direct) {
-        List<AgentCommand> orders = new ArrayList<>();
-        for (Attempt attempt : worker.removable) {
-            // After a removal a late copy of the start would run the task again.
-            if (worker.outstandingStarts.mayArrive(attempt)) {
-                kernel.increment("orders.removals_withheld", 1);
-            } else {
-                orders.add(new AgentCommand.Remove(attempt));
-            }
-        }
-        int removals = orders.size();
-        worker.orphans.forEach(attempt -> orders.add(AgentCommand.Stop.immediately(attempt)));
-        for (Allocation booking : worker.machine.allocations()) {
-            if (booking.stopping()) {
-                addStop(worker, booking, direct, orders);
-            }
-        }
-        if (term.isConfirmed()) {
-            addStarts(worker, orders);
-        }
-        // Removals alone are in no hurry: they go with the next report's response.
-        return direct && orders.size() == removals ? List.of() : orders;
+    private void send(AgentState agent, List<AgentCommand> commands) {
+        Machine machine = agent.machine();
+        CommandRequest request = new CommandRequest(term.fencingToken(), epochFor(machine, commands), commands);
+        List<Attempt> starts = AgentCommand.startedAttempts(commands);
+        agent.callStarted(starts);
+        callsInFlight++;
+        CommandLog.sentDirectly(machine.id(), term, request);
+        eventLoop.increment("orders.calls", 1);
+        eventLoop.increment("orders.sent", commands.size());
+        long timeoutMs = (long) (TIMEOUT_HEARTBEATS * timing.heartbeatMs());
+        long sentAtMs = eventLoop.nowMs();
+        Call call = Call.post(machine.address(), COMMANDS_PATH, AgentCommandCodec.encode(request), timeoutMs);
+        eventLoop.call(call, reply -> {
+            logReply(machine, reply, sentAtMs, starts);
+            onReply(agent, reply);
+        });
+    }
+
+    /**
+     * Returns the epoch that a call names. For commands it is the verified one: a start that names a later epoch would
+     * outlive its allocation, which is released when the epoch changes.
+     */
+    private static long epochFor(Machine machine, List<AgentCommand> commands) {
+        AgentLiveness liveness = machine.liveness();
+        return commands.isEmpty() ? liveness.latestObservedEpoch() : liveness.epoch();
     }
 
-    private static void addStop(AgentState worker, Allocation booking, boolean direct, List<AgentCommand> orders) {
-        boolean unanswered = worker.outstandingStarts.unanswered(Attempt.of(booking));
-        if (unanswered && !booking.observed() && !direct) {
-            // Makes the attempt known and ended there, so that the copy that may still come has no effect.
-            orders.add(new AgentCommand.Start(Attempt.of(booking)));
+    private void onReply(AgentState agent, Reply reply) {
+        boolean answered = reply.status() == STATUS_EXECUTED || reply.status() == STATUS_REJECTED;
+        agent.callEnded(answered);
+        callsInFlight--;
+        Machine machine = agent.machine();
+        if (!term.isCurrent() || leader.cluster().machine(machine.id()) != machine) {
+            return;
         }
-        if (unanswered || booking.observed()) {
-            orders.add(new AgentCommand.Stop(Attempt.of(booking), booking.stopGraceS()));
+        if (answered) {
+            boolean rejected = reply.status() == STATUS_REJECTED;
+            HeartbeatCodec.decode(reply.body()).ifPresent(heartbeat -> onAnswer(agent, heartbeat, rejected));
+        } else if (reply.status() == Reply.LOST) {
+            eventLoop.increment("orders.unanswered", 1);
+            machine.liveness().markUnreachable(eventLoop.nowMs());
         }
     }
 
-    private void addStarts(AgentState worker, List<AgentCommand> orders) {
-        boolean needsMark = false;
-        for (Allocation booking : worker.machine.allocations()) {
-            if (booking.observed()
-                    || booking.stopping()
-                    || booking.job().isTerminal()
-                    || worker.outstandingStarts.inFlight(Attempt.of(booking))) {
-                continue;
-            }
-            boolean startable = booking.index() < booking.job().recordedStartLimit();
-            if (!startable) {
-                listener.recordNeeded(booking.job(), booking.index());
-            }
-            if (!worker.machine.hasRunTasks()) {
-                needsMark = true;
-            } else if (startable) {
-                booking.markStartSent();
-                orders.add(new AgentCommand.Start(Attempt.of(booking)));
-            }
+    private void onAnswer(AgentState agent, Heartbeat heartbeat, boolean rejected) {
+        term.observeToken(heartbeat.fencingToken());
+        if (!term.isCurrent() || !replyHandler.onReply(agent, heartbeat)) {
+            return;
         }
-        if (needsMark) {
-            listener.recordNeeded(worker.machine);
+        if (rejected) {
+            // The commands are sent again with the epoch that the heartbeat has shown.
+            registry.addPending(agent);
+            if (!agent.machine().liveness().verified()) {
+                // The call named the wrong epoch; the next one names the right one and shows the agent the new token.
+                contactNow(agent);
+            }
         }
+        leader.cluster().markChanged();
     }
 
-    private void send(AgentState worker, List<AgentCommand> orders) {
-        Machine machine = worker.machine;
-        AgentLiveness presence = machine.liveness();
-        // A start names the verified session: one that names a later session would outlive the release of its booking,
-        // which a rise of the session brings.
-        long epoch = orders.isEmpty() ? presence.latestObservedEpoch() : presence.epoch();
-        CommandRequest request = new CommandRequest(term.fencingToken(), epoch, orders);
-        worker.callInFlight = true;
-        callsInFlight++;
-        worker.epochAtCall = presence.epoch();
-        worker.sequenceAtCall = presence.sequence();
-        List<Attempt> starts = AgentCommand.startedAttempts(orders);
-        worker.outstandingStarts.sentDirectly(starts);
+    private void logReply(Machine machine, Reply reply, long sentAtMs, List<Attempt> starts) {
         LOG.atDebug()
                 .addKeyValue("machine", machine.id())
-                .addKeyValue("channel", "direct")
-                .addKeyValue("term", term.fencingToken())
-                .addKeyValue("confirmed", term.isConfirmed())
-                .addKeyValue("session", epoch)
-                .addKeyValue("orders", orders)
-                .log("orders are sent");
-        kernel.increment("orders.calls", 1);
-        kernel.increment("orders.sent", orders.size());
-        long timeout = (long) (TIMEOUT_HEARTBEATS * times.heartbeatMs());
-        long sentAt = kernel.nowMs();
-        kernel.call(Call.post(machine.address(), "/orders", AgentCommandCodec.encode(request), timeout), reply -> {
-            logOutcome(worker, reply, sentAt, starts);
-            onReply(worker, reply);
-        });
-    }
-
-    private void logOutcome(AgentState worker, Reply reply, long sentAt, List<Attempt> starts) {
-        LOG.atDebug()
-                .addKeyValue("machine", worker.machine.id())
                 .addKeyValue("outcome", outcome(reply.status()))
                 .addKeyValue("status", reply.status())
-                .addKeyValue("took_ms", kernel.nowMs() - sentAt)
+                .addKeyValue("duration_ms", eventLoop.nowMs() - sentAtMs)
                 .addKeyValue("term_current", term.isCurrent())
                 .addKeyValue("starts", starts)
-                .log("direct orders have ended");
+                .log("direct call ended");
     }
 
     private static String outcome(int status) {
         return switch (status) {
-            case EXECUTED -> "executed";
-            case REJECTED -> "refused";
+            case STATUS_EXECUTED -> "executed";
+            case STATUS_REJECTED -> "rejected";
             default -> "unknown";
         };
     }
-
-    private void onReply(AgentState worker, Reply reply) {
-        worker.callInFlight = false;
-        callsInFlight--;
-        boolean settled = reply.status() == EXECUTED || reply.status() == REJECTED;
-        if (settled) {
-            worker.outstandingStarts.callAnswered();
-        } else {
-            worker.outstandingStarts.callUnanswered();
-        }
-        if (!term.isCurrent() || cluster.machine(worker.machine.id()) != worker.machine) {
-            return;
-        }
-        AgentLiveness presence = worker.machine.liveness();
-        if (!settled) {
-            if (reply.status() == Reply.LOST) {
-                kernel.increment("orders.unanswered", 1);
-                presence.markUnreachable(kernel.nowMs());
-            }
-            return;
-        }
-        Optional<Heartbeat> answer = HeartbeatCodec.decode(reply.body());
-        if (answer.isEmpty()) {
-            return;
-        }
-        Heartbeat report = answer.get();
-        term.observeToken(report.fencingToken());
-        if (!term.isCurrent() || !onReply.test(worker, report)) {
-            return;
-        }
-        if (reply.status() == REJECTED) {
-            // Nothing was executed: after the report it is told again, with the right session.
-            registry.addPending(worker);
-            if (!presence.verified()) {
-                // The contact named no session; this one shows the worker the new token.
-                contact(worker);
-            }
-        }
-        cluster.markChanged();
-    }
 }
--- /dev/null
+++ b/src/main/java/io/quartzgw/agent/CommandLog.java
@@ -0,0 +1,37 @@
+package io.quartzgw.agent;
+
+import io.quartzgw.leadership.LeaderTerm;
+import java.util.List;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.slf4j.spi.LoggingEventBuilder;
+
+/** Logs the commands that are sent to agents, with the same fields for every channel. */
+final class CommandLog {
+    private static final Logger LOG = LoggerFactory.getLogger(CommandLog.class);
+
+    private CommandLog() {}
+
+    /** Logs the commands of a direct call. */
+    static void sentDirectly(String machine, LeaderTerm term, CommandRequest request) {
+        sent(machine, "direct", term, request.epoch(), request.commands()).log("commands sent");
+    }
+
+    /** Logs the commands of the response to a heartbeat. */
+    static void sentInResponse(Heartbeat heartbeat, LeaderTerm term, List<AgentCommand> commands) {
+        sent(heartbeat.machine(), "response", term, heartbeat.epoch(), commands)
+                .addKeyValue("sequence", heartbeat.sequence())
+                .log("commands sent");
+    }
+
+    private static LoggingEventBuilder sent(
+            String machine, String channel, LeaderTerm term, long epoch, List<AgentCommand> commands) {
+        return LOG.atDebug()
+                .addKeyValue("machine", machine)
+                .addKeyValue("channel", channel)
+                .addKeyValue("term", term.fencingToken())
+                .addKeyValue("confirmed", term.isConfirmed())
+                .addKeyValue("epoch", epoch)
+                .addKeyValue("commands", commands);
+    }
+}
--- /dev/null
+++ b/src/main/java/io/quartzgw/agent/HeartbeatProcessor.java
@@ -0,0 +1,192 @@
+package io.quartzgw.agent;
+
+import io.quartzgw.eventloop.EventLoop;
+import io.quartzgw.liveness.AgentLiveness;
+import io.quartzgw.liveness.AgentLiveness.Freshness;
+import io.quartzgw.model.MachineType;
+import io.quartzgw.scheduling.Allocation;
+import io.quartzgw.scheduling.ClusterState;
+import io.quartzgw.scheduling.Machine;
+import java.util.List;
+import java.util.Optional;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Classifies heartbeats by freshness and applies the current ones to the cluster state. */
+final class HeartbeatProcessor {
+    private static final Logger LOG = LoggerFactory.getLogger(HeartbeatProcessor.class);
+    private static final int MS_PER_SECOND = 1000;
+
+    private final LeaderContext leader;
+    private final EventLoop eventLoop;
+    private final ClusterState cluster;
+    private final AgentRegistry registry;
+    private final TaskReconciler reconciler;
+
+    /** How a heartbeat has reached the leader. */
+    private enum Origin {
+        /** The agent sent it; it may be a duplicate that was delayed. */
+        AGENT,
+        /** It is the reply to a direct call, so it is not a duplicate. */
+        DIRECT_CALL
+    }
+
+    /**
+     * The result of processing a heartbeat.
+     *
+     * @param contact the machine whose agent has to be asked for a heartbeat in a direct call, if any
+     */
+    record Result(Freshness freshness, Optional<Machine> contact) {}
+
+    HeartbeatProcessor(LeaderContext leader, AgentRegistry registry, TaskReconciler reconciler) {
+        this.leader = leader;
+        this.eventLoop = leader.eventLoop();
+        this.cluster = leader.cluster();
+        this.registry = registry;
+        this.reconciler = reconciler;
+    }
+
+    /** Processes a heartbeat that an agent has sent. */
+    Result process(Heartbeat heartbeat) {
+        return process(heartbeat, Origin.AGENT);
+    }
+
+    /** Processes the heartbeat with which an agent has replied to a direct call. */
+    Result processReply(AgentState agent, Heartbeat heartbeat) {
+        AgentLiveness liveness = agent.machine().liveness();
+        liveness.markReachable();
+        if (liveness.verified() && agent.isFromReplacedAgent(heartbeat)) {
+            onAgentReplaced(agent, heartbeat);
+        }
+        liveness.observeEpoch(heartbeat.epoch());
+        return process(heartbeat, Origin.DIRECT_CALL);
+    }
+
+    private Result process(Heartbeat heartbeat, Origin origin) {
+        Optional<Machine> source = findOrAdoptMachine(heartbeat);
+        if (source.isEmpty()) {
+            return new Result(Freshness.UNVERIFIED, Optional.empty());
+        }
+        Machine machine = source.get();
+        AgentLiveness liveness = machine.liveness();
+        Freshness freshness = liveness.classify(
+                heartbeat.epoch(), heartbeat.sequence(), showsToken(heartbeat), origin == Origin.DIRECT_CALL);
+        boolean contactNeeded = false;
+        if (freshness == Freshness.CURRENT) {
+            applyCurrent(machine, heartbeat, origin);
+        } else {
+            machine.address(heartbeat.address());
+            // The agent is new, or the machine came back, or the heartbeat is a duplicate: a reply tells which. Agents
+            // that a former leader used are contacted by the failover recovery.
+            contactNeeded = !machine.hasRunTasks() || liveness.verified();
+        }
+        if (origin == Origin.AGENT) {
+            if (freshness != Freshness.STALE) {
+                liveness.lastResponseAt(eventLoop.nowMs());
+            }
+            contactNeeded |= liveness.unreachable();
+        }
+        return new Result(freshness, contactNeeded ? Optional.of(machine) : Optional.empty());
+    }
+
+    private boolean showsToken(Heartbeat heartbeat) {
+        return heartbeat.fencingToken() >= leader.term().fencingToken();
+    }
+
+    private Optional<Machine> findOrAdoptMachine(Heartbeat heartbeat) {
+        Machine known = cluster.machine(heartbeat.machine());
+        return known != null ? Optional.of(known) : adoptMachine(heartbeat);
+    }
+
+    private Optional<Machine> adoptMachine(Heartbeat heartbeat) {
+        Heartbeat.Source source = heartbeat.source();
+        MachineType type = leader.catalog().get(source.machineType());
+        // Without this leader's token it may be a duplicate from a machine that is long gone.
+        if (type == null || cluster.wasRemoved(source.machine()) || !showsToken(heartbeat)) {
+            return Optional.empty();
+        }
+        long nowMs = eventLoop.nowMs();
+        Machine machine = new Machine(source.machine(), type, source.zone(), source.spot(), nowMs, nowMs);
+        cluster.add(machine);
+        return Optional.of(machine);
+    }
+
+    private void applyCurrent(Machine machine, Heartbeat heartbeat, Origin origin) {
+        AgentLiveness liveness = machine.liveness();
+        AgentState agent = registry.agentOf(machine);
+        boolean firstVerified = !liveness.verified();
+        boolean epochChanged = !firstVerified && heartbeat.epoch() > liveness.epoch();
+        boolean reservationExpired = machine.removeAllocation();
+        machine.address(heartbeat.address());
+        liveness.recordHeartbeat(heartbeat.epoch(), heartbeat.sequence(), eventLoop.nowMs());
+        machine.markUp();
+        if (epochChanged) {
+            onEpochChanged(agent, heartbeat);
+        }
+        if (origin == Origin.AGENT) {
+            agent.outstandingStarts().heartbeatReceived(heartbeat.sequence());
+        }
+        machine.reclaimAt(reclaimAtMs(heartbeat));
+        applyTaskList(agent, heartbeat, reservationExpired);
+        if (firstVerified || epochChanged || reservationExpired) {
+            cluster.markChanged();
+        }
+    }
+
+    private long reclaimAtMs(Heartbeat heartbeat) {
+        return heartbeat.reclaimInSeconds().isPresent()
+                ? eventLoop.nowMs() + (long) (heartbeat.reclaimInSeconds().getAsDouble() * MS_PER_SECOND)
+                : Long.MAX_VALUE;
+    }
+
+    private void applyTaskList(AgentState agent, Heartbeat heartbeat, boolean reservationExpired) {
+        if (agent.replaceTaskList(heartbeat.taskList()) || reservationExpired) {
+            List<Heartbeat.TaskStatus> tasks = heartbeat.tasks();
+            eventLoop.increment("reports.read", 1);
+            LOG.atDebug()
+                    .addKeyValue("machine", heartbeat.machine())
+                    .addKeyValue("epoch", heartbeat.epoch())
+                    .addKeyValue("tasks", tasks)
+                    .log("task list changed");
+            reconciler.apply(agent, tasks);
+        }
+        reconciler.updateRefusedJobs(agent);
+    }
+
+    /**
+     * Handles a new epoch: the lease has ended, and the agent has killed and forgotten its tasks. Responses may not
+     * reach the agent, so it counts as unreachable until it replies to a direct call.
+     */
+    private void onEpochChanged(AgentState agent, Heartbeat heartbeat) {
+        Machine machine = agent.machine();
+        LOG.atInfo()
+                .addKeyValue("machine", machine.id())
+                .addKeyValue("epoch", heartbeat.epoch())
+                .log("agent epoch changed");
+        agent.epochChanged();
+        reconciler.updateUnexplained(machine);
+        machine.allocationsSnapshot().forEach(cluster::release);
+        machine.liveness().markUnreachable(eventLoop.nowMs());
+    }
+
+    /** Handles a new agent: the tasks of the former one are gone, but outstanding starts may reach the new one. */
+    private void onAgentReplaced(AgentState agent, Heartbeat heartbeat) {
+        Machine machine = agent.machine();
+        LOG.atInfo()
+                .addKeyValue("machine", machine.id())
+                .addKeyValue("epoch", heartbeat.epoch())
+                .log("agent replaced");
+        agent.agentReplaced();
+        reconciler.updateUnexplained(machine);
+        machine.liveness().agentReplaced(heartbeat.epoch(), heartbeat.sequence());
+        for (Allocation allocation : machine.allocationsSnapshot()) {
+            if (agent.outstandingStarts().isOutstandingDirectly(Attempt.of(allocation))) {
+                // Even if the former agent had reported the attempt, its absence from the new one's list proves
+                // nothing.
+                allocation.agentReplaced();
+            } else {
+                cluster.release(allocation);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/io/quartzgw/agent/HeartbeatResponder.java
@@ -0,0 +1,92 @@
+package io.quartzgw.agent;
+
+import io.quartzgw.liveness.AgentLiveness.Freshness;
+import io.quartzgw.scheduling.Machine;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Predicate;
+
+/**
+ * Builds the responses to heartbeats.
+ *
+ * <p>Every response that renews a lease also stops the attempts of jobs that are known to have ended, whether or not
+ * the heartbeat is verified. Otherwise each of several leaders in quick succession could renew the lease of a cancelled
+ * task with its first response without stopping it.
+ */
+final class HeartbeatResponder {
+    private final LeaderContext leader;
+    private final AgentRegistry registry;
+    private final PendingCommands pendingCommands;
+    private final Predicate<String> isCancelled;
+
+    /** @param isCancelled whether a job is known to be cancelled, also before the open jobs have been read */
+    HeartbeatResponder(
+            LeaderContext leader,
+            AgentRegistry registry,
+            PendingCommands pendingCommands,
+            Predicate<String> isCancelled) {
+        this.leader = leader;
+        this.registry = registry;
+        this.pendingCommands = pendingCommands;
+        this.isCancelled = isCancelled;
+    }
+
+    /** Returns the response while the open jobs are not known yet. */
+    HeartbeatResponse respondBeforeStateLoaded(Heartbeat heartbeat) {
+        List<AgentCommand> stops = terminalStops(heartbeat, attempt -> isCancelled.test(attempt.job()));
+        return HeartbeatResponse.renewingLease(stops, leader.term().fencingToken());
+    }
+
+    /** Returns the response to a heartbeat that has been processed. */
+    HeartbeatResponse respond(Heartbeat heartbeat, Freshness freshness) {
+        if (freshness == Freshness.STALE) {
+            return HeartbeatResponse.ignored();
+        }
+        List<AgentCommand> commands = new ArrayList<>();
+        if (freshness != Freshness.CURRENT) {
+            commands.addAll(terminalStops(heartbeat, this::isTerminal));
+        }
+        Machine machine = leader.cluster().machine(heartbeat.machine());
+        if (machine != null && isFromVerifiedEpoch(heartbeat, machine)) {
+            addPendingCommands(heartbeat, machine, commands);
+        }
+        return HeartbeatResponse.renewingLease(commands, leader.term().fencingToken());
+    }
+
+    /**
+     * Returns whether a heartbeat is of the verified epoch. An agent of a later epoch would execute a start, while the
+     * heartbeat that verifies the later epoch releases the allocation and lets the task be placed elsewhere.
+     */
+    private static boolean isFromVerifiedEpoch(Heartbeat heartbeat, Machine machine) {
+        return machine.liveness().verified() && machine.liveness().epoch() == heartbeat.epoch();
+    }
+
+    /** A task is only started by a leader that has read its job, so a job that this leader does not have has ended. */
+    private boolean isTerminal(Attempt attempt) {
+        return isCancelled.test(attempt.job())
+                || attempt.openJob(leader.cluster()).isEmpty();
+    }
+
+    private static List<AgentCommand> terminalStops(Heartbeat heartbeat, Predicate<Attempt> terminal) {
+        List<AgentCommand> stops = new ArrayList<>();
+        for (Heartbeat.TaskStatus task : heartbeat.tasks()) {
+            if (task.state() != Heartbeat.TaskState.EXITED && terminal.test(task.attempt())) {
+                stops.add(AgentCommand.Stop.immediately(task.attempt()));
+            }
+        }
+        return stops;
+    }
+
+    private void addPendingCommands(Heartbeat heartbeat, Machine machine, List<AgentCommand> commands) {
+        AgentState agent = registry.agentOf(machine);
+        List<AgentCommand> pending = pendingCommands.forHeartbeatResponse(agent);
+        for (Attempt start : AgentCommand.startedAttempts(pending)) {
+            agent.outstandingStarts().sentInResponse(start, heartbeat.sequence());
+        }
+        commands.addAll(pending);
+        if (!commands.isEmpty()) {
+            leader.eventLoop().increment("orders.in_responses", commands.size());
+            CommandLog.sentInResponse(heartbeat, leader.term(), commands);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/io/quartzgw/agent/LeaderContext.java
@@ -0,0 +1,16 @@
+package io.quartzgw.agent;
+
+import io.quartzgw.eventloop.EventLoop;
+import io.quartzgw.fleet.MachineCatalog;
+import io.quartzgw.leadership.LeaderTerm;
+import io.quartzgw.scheduling.ClusterState;
+
+/**
+ * What every part of one leader shares.
+ *
+ * @param eventLoop clock, timers, outbound calls and counters
+ * @param term the term in which this node leads
+ * @param cluster the leader's view of jobs, machines and allocations
+ * @param catalog the machine types that the cloud offers
+ */
+public record LeaderContext(EventLoop eventLoop, LeaderTerm term, ClusterState cluster, MachineCatalog catalog) {}
--- a/src/main/java/io/quartzgw/agent/OutstandingStarts.java
+++ b/src/main/java/io/quartzgw/agent/OutstandingStarts.java
@@ -7,82 +7,82 @@
 import java.util.Set;
 
 /**
- * The copies of starts that one worker may still execute, by attempt.
+ * The starts that one agent may still execute, by attempt.
  *
- * <p>The same start may leave several times: in a direct order, and in responses to reports until one of them shows the
- * attempt. A direct order may be executed minutes late; a response is executed before the worker's next report, or
- * never. Until none of its copies is outstanding, an attempt that has ended must stay known to the worker, since a copy
- * that arrives after its removal runs it again; and its task must not go elsewhere on the ground that the machine is
- * silent.
+ * <p>The same start may be sent several times: in a direct call, and in responses to heartbeats until one of them shows
+ * the attempt. A direct call may be executed minutes late; a response is executed before the agent's next heartbeat, or
+ * never. While a start is outstanding, an attempt that has ended must stay known to the agent, since a start that
+ * arrives after the removal runs it again; and its task must not be placed elsewhere merely because the machine is
+ * unreachable.
  */
 final class OutstandingStarts {
-    /** In the direct order under way: how that ends is not known yet. */
-    private final Set<Attempt> inCall = new HashSet<>();
-    /** In a direct order that was not answered: it may be executed as long as the worker's session lasts. */
+    /** Starts in the direct call in flight. */
+    private final Set<Attempt> inFlight = new HashSet<>();
+    /** Starts in direct calls without an answer, which may be executed for as long as the agent's epoch lasts. */
     private final Set<Attempt> unanswered = new HashSet<>();
-    /** In responses, with the counter of the last report that was answered so. */
-    private final Map<Attempt, Long> inResponses = new HashMap<>();
+    /** Starts in responses, with the sequence of the last heartbeat that was answered so. */
+    private final Map<Attempt, Long> sentInResponses = new HashMap<>();
 
-    /** A direct order leaves; there is one at a time. */
+    /** Records that a direct call is sent; there is one at a time. */
     void sentDirectly(Collection<Attempt> starts) {
-        inCall.addAll(starts);
+        inFlight.addAll(starts);
     }
 
-    /** The direct order was executed or refused: none of its starts comes later. */
+    /** Handles the answer to a direct call: none of its starts is executed later. */
     void callAnswered() {
-        inCall.clear();
+        inFlight.clear();
     }
 
-    /** Nobody knows whether the direct order was executed, or will be. */
+    /** Handles a direct call without an answer: its starts may have been executed, or may be later. */
     void callUnanswered() {
-        unanswered.addAll(inCall);
-        inCall.clear();
+        unanswered.addAll(inFlight);
+        inFlight.clear();
     }
 
-    /** A start leaves in the response to a report. */
-    void sentInResponse(Attempt start, long counter) {
-        inResponses.put(start, counter);
+    /** Records that a start is sent in the response to a heartbeat. */
+    void sentInResponse(Attempt start, long sequence) {
+        sentInResponses.put(start, sequence);
     }
 
-    /** The worker has made a report: it has one under way at a time, so it waits for no response to an earlier one. */
-    void heartbeatReceived(long counter) {
-        inResponses.values().removeIf(answered -> answered < counter);
+    /** Handles a heartbeat: an agent sends one at a time, so it has executed or lost the responses to earlier ones. */
+    void heartbeatReceived(long sequence) {
+        sentInResponses.values().removeIf(answered -> answered < sequence);
     }
 
-    /** The worker has begun another session: it drops what names an earlier one. */
-    void epochEnded() {
-        inCall.clear();
+    /** Handles a new epoch: the agent rejects starts that name an earlier one. */
+    void epochChanged() {
+        inFlight.clear();
         unanswered.clear();
-        inResponses.clear();
+        sentInResponses.clear();
     }
 
-    /** The machine has a new worker, which counts its sessions anew: direct orders to the former one may reach it. */
+    /** Handles a new agent, which counts epochs anew: direct calls to the former agent may still reach it. */
     void agentReplaced() {
-        inResponses.clear();
+        sentInResponses.clear();
     }
 
-    /** Whether a start is in the direct order under way. */
-    boolean inFlight(Attempt start) {
-        return inCall.contains(start);
+    /** Returns whether the start is in the direct call in flight. */
+    boolean isInFlight(Attempt start) {
+        return inFlight.contains(start);
     }
 
-    /** Whether a direct order with the start was not answered. */
-    boolean unanswered(Attempt start) {
+    /** Returns whether a direct call with the start had no answer. */
+    boolean isUnanswered(Attempt start) {
         return unanswered.contains(start);
     }
 
-    /** Whether a direct order may still start the attempt, however late. */
-    boolean mayArriveLate(Attempt start) {
-        return inCall.contains(start) || unanswered.contains(start);
+    /** Returns whether a direct call may still start the attempt, however late. */
+    boolean isOutstandingDirectly(Attempt start) {
+        return inFlight.contains(start) || unanswered.contains(start);
     }
 
-    /** Whether any copy of the start may still be executed. */
-    boolean mayArrive(Attempt start) {
-        return mayArriveLate(start) || inResponses.containsKey(start);
+    /** Returns whether the start may still be executed, from a direct call or a response. */
+    boolean isOutstanding(Attempt start) {
+        return isOutstandingDirectly(start) || sentInResponses.containsKey(start);
     }
 
-    /** Whether no copy of any start is outstanding. */
+    /** Returns whether no start is outstanding. */
     boolean isEmpty() {
-        return inCall.isEmpty() && unanswered.isEmpty() && inResponses.isEmpty();
+        return inFlight.isEmpty() && unanswered.isEmpty() && sentInResponses.isEmpty();
     }
 }
--- a/src/main/java/io/quartzgw/agent/TaskReconciler.java
+++ b/src/main/java/io/quartzgw/agent/TaskReconciler.java
@@ -11,183 +11,196 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.BiConsumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Reconciles the tasks that a worker reports with the bookings on its machine. */
+/** Reconciles the allocations of a machine with the task list of its agent, which takes precedence. */
 final class TaskReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(TaskReconciler.class);
-    private static final double ERROR_PAUSE_HEARTBEATS = 0.4;
-    private static final double REJECTED_PAUSE_HEARTBEATS = 0.2;
+    /** How long a task is not started again after an error. */
+    private static final double ERROR_DELAY_HEARTBEATS = 0.4;
+    /** How long a job is not started again after an agent has refused one of its tasks. */
+    private static final double REFUSAL_DELAY_HEARTBEATS = 0.2;
 
-    private final EventLoop kernel;
+    private final EventLoop eventLoop;
     private final ClusterState cluster;
     private final AgentRegistry registry;
-    private final AgentTiming times;
-    private final BiConsumer<Job, Integer> finished;
-    /** By job, the sessions that still report an ended attempt of it. */
+    private final BiConsumer<Job, Integer> onTaskFinished;
+    private final long errorDelayMs;
+    private final long refusalDelayMs;
+    /** By job ID, the agents that still report an exited attempt of the job. */
     private final Map<String, Set<AgentState>> agentsReportingExit = new HashMap<>();
 
-    /** @param finished told of the index of each task that has completed */
+    /** @param onTaskFinished told of the index of each task that has completed */
     TaskReconciler(
-            EventLoop kernel,
-            ClusterState cluster,
-            AgentRegistry tracked,
-            AgentTiming times,
-            BiConsumer<Job, Integer> finished) {
-        this.kernel = kernel;
-        this.cluster = cluster;
-        this.registry = tracked;
-        this.times = times;
-        this.finished = finished;
+            LeaderContext leader, AgentRegistry registry, AgentTiming timing, BiConsumer<Job, Integer> onTaskFinished) {
+        this.eventLoop = leader.eventLoop();
+        this.cluster = leader.cluster();
+        this.registry = registry;
+        this.onTaskFinished = onTaskFinished;
+        this.errorDelayMs = (long) (ERROR_DELAY_HEARTBEATS * timing.heartbeatMs());
+        this.refusalDelayMs = (long) (REFUSAL_DELAY_HEARTBEATS * timing.heartbeatMs());
     }
 
-    /** Drops what is kept of the worker of a machine that is gone. */
-    void forget(AgentState worker) {
-        agentsReportingExit.values().removeIf(on -> on.remove(worker) && on.isEmpty());
+    /** Forgets the agent of a machine that has been removed. */
+    void forget(AgentState agent) {
+        agentsReportingExit.values().removeIf(agents -> agents.remove(agent) && agents.isEmpty());
     }
 
-    /** Applies the list of tasks of a current report. */
-    void apply(AgentState worker, List<Heartbeat.TaskStatus> tasks) {
-        Machine machine = worker.machine;
+    /** Applies the task list of a current heartbeat. */
+    void apply(AgentState agent, List<Heartbeat.TaskStatus> tasks) {
+        Machine machine = agent.machine();
         Set<Attempt> reported = new HashSet<>();
-        worker.exited.clear();
-        worker.unfinished.clear();
-        worker.orphans.clear();
+        agent.beginTaskList();
         for (Heartbeat.TaskStatus task : tasks) {
-            Allocation booking = machine.allocation(task.attempt().task());
-            if (booking != null && booking.attempt() != task.attempt().number()) {
-                booking = null;
-            }
             reported.add(task.attempt());
+            Optional<Allocation> allocation = allocationOf(machine, task.attempt());
             if (task.state() == Heartbeat.TaskState.EXITED) {
-                reconcileExited(worker, task, booking);
+                reconcileExited(agent, task, allocation);
             } else {
-                reconcileRunning(worker, task, booking);
+                reconcileRunning(agent, task, allocation);
             }
         }
         updateUnexplained(machine);
-        worker.removable.retainAll(worker.exited);
-        for (Allocation booking : machine.allocationsSnapshot()) {
-            // An attempt that was seen and is gone ended and was removed on a former leader's word.
-            if (booking.observed() && !reported.contains(Attempt.of(booking))) {
-                cluster.release(booking);
+        agent.endTaskList();
+        releaseUnreported(machine, reported);
+    }
+
+    private static Optional<Allocation> allocationOf(Machine machine, Attempt attempt) {
+        return Optional.ofNullable(machine.allocation(attempt.task()))
+                .filter(allocation -> allocation.attempt() == attempt.number());
+    }
+
+    /** Releases the attempts that were observed and are gone: they ended, and a former leader had them removed. */
+    private void releaseUnreported(Machine machine, Set<Attempt> reported) {
+        for (Allocation allocation : machine.allocationsSnapshot()) {
+            if (allocation.observed() && !reported.contains(Attempt.of(allocation))) {
+                cluster.release(allocation);
             }
         }
     }
 
-    // Guards a task against being started for ever where it is refused: a worker that knows an attempt, ended or not,
-    // takes no other one of the same task, and the former one is not removed while a copy of its start may arrive.
-    void updateRefusedJobs(AgentState worker) {
-        Set<String> refused = worker.refusedJobs();
-        if (!refused.equals(worker.machine.refusedJobs())) {
-            worker.machine.refuseJobs(refused);
+    /** Updates the jobs that are not placed on the agent's machine, since the agent would refuse their tasks. */
+    void updateRefusedJobs(AgentState agent) {
+        Set<String> refused = agent.refusedJobs();
+        if (!refused.equals(agent.machine().refusedJobs())) {
+            agent.machine().refuseJobs(refused);
             cluster.markChanged();
         }
     }
 
-    /** Says whether the open jobs explain all that a machine runs: what is being stopped there still takes room. */
+    /** Updates whether a machine runs orphaned attempts, which take capacity until they have stopped. */
     void updateUnexplained(Machine machine) {
         cluster.unexplainedMachines(
                 machine,
                 cluster.machine(machine.id()) == machine
-                        && !registry.agentOf(machine).orphans.isEmpty());
+                        && !registry.agentOf(machine).orphans().isEmpty());
     }
 
-    /** @param booking the attempt's place on the machine, or null when there is none */
-    private void reconcileRunning(AgentState worker, Heartbeat.TaskStatus task, Allocation booking) {
-        Allocation.Phase phase =
-                switch (task.state()) {
-                    case FETCHING -> Allocation.Phase.FETCHING;
-                    case CHECKPOINTING -> Allocation.Phase.CHECKPOINTING;
-                    default -> Allocation.Phase.RUNNING;
-                };
-        if (booking != null) {
-            booking.observed(phase, kernel.nowMs());
-            if (booking.stopping()) {
-                registry.addPending(worker);
+    private void reconcileRunning(AgentState agent, Heartbeat.TaskStatus task, Optional<Allocation> allocation) {
+        Allocation.Phase phase = phaseOf(task.state());
+        if (allocation.isPresent()) {
+            allocation.get().observed(phase, eventLoop.nowMs());
+            if (allocation.get().stopping()) {
+                registry.addPending(agent);
             }
             return;
         }
         Attempt attempt = task.attempt();
-        Job job = attempt.openJob(cluster).orElse(null);
-        if (job != null && !job.isDone(attempt.index()) && job.allocation(attempt.index()) == null) {
-            // The report outranks the bookings: the task is there, and gets its place back.
-            cluster.allocate(job, attempt.index(), worker.machine, attempt.number())
-                    .observed(phase, kernel.nowMs());
+        Optional<Job> job = attempt.openJob(cluster).filter(open -> needsAllocation(open, attempt));
+        if (job.isPresent()) {
+            cluster.allocate(job.get(), attempt.index(), agent.machine(), attempt.number())
+                    .observed(phase, eventLoop.nowMs());
             return;
         }
-        LOG.info("{} on {} has no place there: stopping it", attempt.task(), worker.machine.id());
-        worker.orphans.add(attempt);
-        registry.addPending(worker);
+        LOG.atInfo()
+                .addKeyValue("task", attempt.task())
+                .addKeyValue("attempt", attempt.number())
+                .addKeyValue("machine", agent.machine().id())
+                .log("orphaned attempt found");
+        agent.addOrphan(attempt);
+        registry.addPending(agent);
+    }
+
+    private static boolean needsAllocation(Job job, Attempt attempt) {
+        return !job.isDone(attempt.index()) && job.allocation(attempt.index()) == null;
     }
 
-    private void reconcileExited(AgentState worker, Heartbeat.TaskStatus task, Allocation booking) {
+    private static Allocation.Phase phaseOf(Heartbeat.TaskState state) {
+        return switch (state) {
+            case FETCHING -> Allocation.Phase.FETCHING;
+            case CHECKPOINTING -> Allocation.Phase.CHECKPOINTING;
+            default -> Allocation.Phase.RUNNING;
+        };
+    }
+
+    private void reconcileExited(AgentState agent, Heartbeat.TaskStatus task, Optional<Allocation> allocation) {
         Attempt attempt = task.attempt();
-        worker.exited.add(attempt);
+        agent.addExited(attempt);
         agentsReportingExit
                 .computeIfAbsent(attempt.job(), id -> new HashSet<>())
-                .add(worker);
-        Job job = attempt.openJob(cluster).orElse(null);
-        if (job != null
-                && task.cause() == Heartbeat.ExitCause.DONE
-                && !job.spec().service()) {
-            worker.machine.jobSucceeded();
-            worker.machine.cacheImage(job.spec().image(), job.spec().imageGb());
-            if (!job.isDone(attempt.index())) {
-                cluster.markDone(job, attempt.index());
-                Allocation other = job.allocation(attempt.index());
-                if (other != null && other != booking) {
-                    registry.requestStop(other, 0, StopReason.COMPLETED_ELSEWHERE);
-                }
-                finished.accept(job, attempt.index());
-            }
-            if (job.recordedDone(attempt.index())) {
-                worker.removable.add(attempt);
-            }
+                .add(agent);
+        Optional<Job> openJob = attempt.openJob(cluster);
+        if (openJob.isEmpty()) {
+            agent.addRemovable(attempt);
+        } else if (task.cause() == Heartbeat.ExitCause.DONE
+                && !openJob.get().spec().service()) {
+            reconcileCompleted(agent, attempt, openJob.get(), allocation);
         } else {
-            if (job != null) {
-                worker.unfinished.add(attempt);
+            agent.addUnfinished(attempt);
+            if (allocation.isPresent()) {
+                recordFailure(agent.machine(), openJob.get(), task.cause());
             }
-            if (job != null && booking != null) {
-                recordFailure(worker.machine, job, task.cause());
+            agent.addRemovable(attempt);
+        }
+        allocation.ifPresent(cluster::release);
+    }
+
+    private void reconcileCompleted(AgentState agent, Attempt attempt, Job job, Optional<Allocation> allocation) {
+        Machine machine = agent.machine();
+        machine.jobSucceeded();
+        machine.cacheImage(job.spec().image(), job.spec().imageGb());
+        if (!job.isDone(attempt.index())) {
+            cluster.markDone(job, attempt.index());
+            Allocation other = job.allocation(attempt.index());
+            if (other != null && other != allocation.orElse(null)) {
+                registry.requestStop(other, 0, StopReason.COMPLETED_ELSEWHERE);
             }
-            worker.removable.add(attempt);
+            onTaskFinished.accept(job, attempt.index());
         }
-        if (booking != null) {
-            cluster.release(booking);
+        if (job.recordedDone(attempt.index())) {
+            agent.addRemovable(attempt);
         }
     }
 
     private void recordFailure(Machine machine, Job job, Heartbeat.ExitCause cause) {
         if (cause == Heartbeat.ExitCause.ERROR) {
-            // A job's later failures tell of the job: two that fail everywhere must not spoil all machines.
+            // A job's later failures count against the job: one that fails everywhere must not discredit every machine.
             if (job.failures() == 0) {
                 machine.jobFailed(job.id());
             }
-            job.recordFailure(machine.id(), kernel.nowMs(), (long) (ERROR_PAUSE_HEARTBEATS * times.heartbeatMs()));
+            job.recordFailure(machine.id(), eventLoop.nowMs(), errorDelayMs);
         } else if (cause == Heartbeat.ExitCause.REFUSED || cause == Heartbeat.ExitCause.GANG_FAILED) {
-            job.delayRetry(kernel.nowMs() + (long) (REJECTED_PAUSE_HEARTBEATS * times.heartbeatMs()));
+            job.delayRetry(eventLoop.nowMs() + refusalDelayMs);
         }
     }
 
-    /** The finishes of a job's tasks are in the state service: workers may forget them. */
+    /** Handles that finishes of a job's tasks have been recorded: the agents may forget those attempts. */
     void finishesRecorded(Job job) {
-        Set<AgentState> on = agentsReportingExit.get(job.id());
-        if (on == null) {
+        Set<AgentState> agents = agentsReportingExit.get(job.id());
+        if (agents == null) {
             return;
         }
-        on.removeIf(worker ->
-                worker.exited.stream().noneMatch(attempt -> attempt.job().equals(job.id())));
-        for (AgentState worker : on) {
-            worker.exited.stream()
-                    .filter(attempt ->
-                            attempt.job().equals(job.id()) && (job.isTerminal() || job.recordedDone(attempt.index())))
-                    .forEach(worker.removable::add);
+        agents.removeIf(agent -> agent.exitedAttempts(job.id()).isEmpty());
+        for (AgentState agent : agents) {
+            agent.exitedAttempts(job.id()).stream()
+                    .filter(attempt -> job.isTerminal() || job.recordedDone(attempt.index()))
+                    .forEach(agent::addRemovable);
         }
-        if (on.isEmpty() || job.isTerminal()) {
+        if (agents.isEmpty() || job.isTerminal()) {
             agentsReportingExit.remove(job.id());
         }
     }
