--- a/src/test/java/io/quartzgw/agent/AgentManagerTest.java
+++ b/src/test/java/io/quartzgw/agent/AgentManagerTest.java
@@ -40,53 +40,54 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A start that was ordered directly: while the call is under way, when its answer is lost, and when the attempt ends
- * meanwhile. Copies of the start may reach the worker in the direct order and in responses to its reports.
+ * Tests the handling of a start that is sent in a direct call: while the call is in flight, when its reply is lost, and
+ * when the attempt exits meanwhile. The start may also be sent in responses to heartbeats.
  */
 class AgentManagerTest {
     private static final Endpoint STATE = new Endpoint("10.2.0.1", 1);
     private static final MachineType TYPE =
             new MachineType("t", new Resources(8, 0, 32), 40, 1, 1, 0.3, 10, List.of("a"));
 
-    private final EventLoop kernel = new EventLoop(1);
-    private final SimulatedStore service = new SimulatedStore();
-    private final StoreClient store = new StoreClient(kernel, STATE, new StoreLimits(100_000, 100_000, 8192, 16));
-    private final Leadership leadership = Elections.candidate(kernel, store);
+    private final EventLoop eventLoop = new EventLoop(1);
+    private final SimulatedStore stateService = new SimulatedStore();
+    private final StoreClient store = new StoreClient(eventLoop, STATE, new StoreLimits(100_000, 100_000, 8192, 16));
+    private final Leadership leadership = Elections.candidate(eventLoop, store);
     private long now;
-    private long counter;
+    private long sequence;
     private ClusterState cluster;
-    private AgentManager workers;
+    private AgentManager agents;
     private Machine machine;
-    private Allocation booking;
-    private final List<Effect.Send> callsUnderWay = new ArrayList<>();
+    private Allocation allocation;
+    private final List<Effect.Send> callsInFlight = new ArrayList<>();
 
     @BeforeEach
-    void startOneTaskWhoseOrderIsUnderWay() {
-        Elections.elect(leadership, this::pass);
-        cluster = new ClusterState(kernel, 1);
-        CloudClient cloud = new CloudClient(kernel, STATE, new CloudLimits(4, 5_000));
-        workers = new AgentManager(
-                kernel,
-                new LeaderTerm(leadership),
-                cluster,
-                new MachineCatalog(kernel, store, cloud, () -> true),
+    void sendOneStartThatStaysInFlight() {
+        Elections.elect(leadership, this::advance);
+        cluster = new ClusterState(eventLoop, 1);
+        CloudClient cloud = new CloudClient(eventLoop, STATE, new CloudLimits(4, 5_000));
+        agents = new AgentManager(
+                new LeaderContext(
+                        eventLoop,
+                        new LeaderTerm(leadership),
+                        cluster,
+                        new MachineCatalog(eventLoop, store, cloud, () -> true)),
                 new AgentTiming(2_500, 16_000, 36_000),
                 10,
                 id -> false,
-                new NoRecords());
-        workers.beginReconciling();
+                new IgnoringListener());
+        agents.beginReconciling();
         machine = new Machine("i-1", TYPE, "a", false, now, now);
         machine.markHasRunTasks();
         cluster.add(machine);
-        report("");
-        booking = book("j-000001");
-        workers.requestStart(booking);
-        workers.sendPendingCommands();
-        pass(0);
-        assertEquals(1, callsUnderWay.size());
+        heartbeat("");
+        allocation = allocate("j-000001");
+        agents.requestStart(allocation);
+        agents.sendPendingCommands();
+        advance(0);
+        assertEquals(1, callsInFlight.size());
     }
 
-    private Allocation book(String id) {
+    private Allocation allocate(String id) {
         Job job = cluster.add(new OpenJob(
                 JobSpecs.named(id)
                         .team("team")
@@ -99,7 +100,7 @@
         return cluster.allocate(job, 0, machine, cluster.nextAttempt());
     }
 
-    private static final class NoRecords implements AgentManager.Listener {
+    private static final class IgnoringListener implements AgentManager.Listener {
         @Override
         public void taskFinished(Job job, int index) {}
 
@@ -110,178 +111,177 @@
         public void recordNeeded(Job job, int index) {}
     }
 
-    /** Lets time pass; the state service answers, direct orders stay under way. */
-    private void pass(long ms) {
+    /** Advances the clock; the state service replies, and direct calls to the agent stay in flight. */
+    private void advance(long ms) {
         now += ms;
-        carry(kernel.processBatch(List.of(), new ClockReading(now, now)));
+        deliver(eventLoop.processBatch(List.of(), new ClockReading(now, now)));
     }
 
-    private void carry(List<Effect> first) {
-        List<Effect> effects = first;
+    private void deliver(List<Effect> initial) {
+        List<Effect> effects = initial;
         while (!effects.isEmpty()) {
-            List<Command> ends = new ArrayList<>();
+            List<Command> replies = new ArrayList<>();
             for (Effect effect : effects) {
                 Effect.Send send = (Effect.Send) effect;
                 if (send.request().path().equals("/orders")) {
-                    callsUnderWay.add(send);
+                    callsInFlight.add(send);
                 } else {
-                    service.handle(send.request(), now, reply -> ends.add(new Command.CallEnded(send.call(), reply)));
+                    stateService.handle(
+                            send.request(), now, reply -> replies.add(new Command.CallEnded(send.call(), reply)));
                 }
             }
-            effects = ends.isEmpty() ? List.of() : kernel.processBatch(ends, new ClockReading(++now, now));
+            effects = replies.isEmpty() ? List.of() : eventLoop.processBatch(replies, new ClockReading(++now, now));
         }
     }
 
-    /** Ends the direct call under way. */
+    /** Ends the direct call in flight. */
     private void endCall(Reply reply) {
-        Command ended = new Command.CallEnded(callsUnderWay.remove(0).call(), reply);
-        carry(kernel.processBatch(List.of(ended), new ClockReading(++now, now)));
+        Command ended = new Command.CallEnded(callsInFlight.remove(0).call(), reply);
+        deliver(eventLoop.processBatch(List.of(ended), new ClockReading(++now, now)));
     }
 
-    /** The orders of the direct call under way. */
-    private List<String> directOrders() {
-        return verbs(Json.readOrNull(callsUnderWay.get(0).request().body()));
+    /** Returns the verbs of the commands in the direct call in flight. */
+    private List<String> directCommands() {
+        return verbs(Json.readOrNull(callsInFlight.get(0).request().body()));
     }
 
     private static List<String> verbs(JsonNode message) {
         List<String> verbs = new ArrayList<>();
-        message.path("orders").forEach(order -> verbs.add(order.path("verb").asText()));
+        message.path("orders").forEach(command -> verbs.add(command.path("verb").asText()));
         return verbs;
     }
 
-    /** Has the worker report, with what it says of the attempt, and returns the orders of the answer. */
-    private List<String> report(String phase) {
-        Heartbeat heartbeat = HeartbeatCodec.decode(Json.write(listing(phase))).orElseThrow();
-        return verbs(HeartbeatResponseCodec.encode(workers.receive(heartbeat)));
+    /** Sends a heartbeat that lists the attempt in a phase, or no attempt, and returns the verbs of the response. */
+    private List<String> heartbeat(String phase) {
+        Heartbeat heartbeat =
+                HeartbeatCodec.decode(Json.write(heartbeatBody(phase))).orElseThrow();
+        return verbs(HeartbeatResponseCodec.encode(agents.receive(heartbeat)));
     }
 
-    private ObjectNode listing(String phase) {
-        ObjectNode report = Json.object()
+    private ObjectNode heartbeatBody(String phase) {
+        ObjectNode body = Json.object()
                 .put("host", "i-1")
                 .put("address", "10.1.0.2:9000")
                 .put("host_type", "t")
                 .put("yard", "a")
                 .put("loaner", false)
                 .put("tenure", 1)
-                .put("counter", ++counter)
+                .put("counter", ++sequence)
                 .put("baton", leadership.term());
-        var tasks = report.putArray("shards");
+        var tasks = body.putArray("shards");
         if (!phase.isEmpty()) {
             tasks.addObject()
                     .put("shard", "j-000001/0")
-                    .put("try_no", booking.attempt())
+                    .put("try_no", allocation.attempt())
                     .put("phase", phase)
                     .put("exit_cause", "stopped");
         }
-        return report;
+        return body;
     }
 
-    private Reply refused() {
-        return new Reply(409, Json.write(listing("")));
+    private Reply rejected() {
+        return new Reply(409, Json.write(heartbeatBody("")));
     }
 
     private Reply executed(String phase) {
-        return new Reply(200, Json.write(listing(phase)));
+        return new Reply(200, Json.write(heartbeatBody(phase)));
     }
 
     @Test
-    void theSameAttemptIsOfferedAgainWithTheNextReport() {
+    void unansweredStartIsSentAgainInTheNextHeartbeatResponse() {
         endCall(Reply.lost());
-        assertEquals(List.of("run"), report(""));
+        assertEquals(List.of("run"), heartbeat(""));
     }
 
-    // Guards the task that is placed elsewhere next: after a removal the copy of the start that is still under way
-    // would run the attempt again.
+    // The task is placed elsewhere next: a start that arrives after the removal would run the attempt again.
     @Test
-    void anEndedAttemptIsNotRemovedWhileACopyOfItsStartMayStillArrive() {
+    void exitedAttemptIsNotRemovedWhileItsUnansweredStartIsOutstanding() {
         endCall(Reply.lost());
-        report("running");
-        workers.requestStop(booking, 0, StopReason.PREEMPTED);
-        assertEquals(List.of("kill"), report("running"));
-        assertFalse(report("ended").contains("reap"));
-        assertTrue(machine.empty(), "its place is free all the same");
+        heartbeat("running");
+        agents.requestStop(allocation, 0, StopReason.PREEMPTED);
+        assertEquals(List.of("kill"), heartbeat("running"));
+        assertFalse(heartbeat("ended").contains("reap"));
+        assertTrue(machine.empty(), "its capacity is free all the same");
     }
 
-    // Guards the same where the call is still under way when the end is reported: a copy in a response had started the
-    // attempt, and how the call ends is known only later.
+    // A start in a response has started the attempt before the outcome of the direct call is known.
     @Test
-    void anEndedAttemptIsNotRemovedWhileTheDirectStartIsUnderWay() {
-        report("running");
-        workers.requestStop(booking, 0, StopReason.MACHINE_RECLAIMED);
-        assertEquals(List.of("kill"), report("running"));
-        assertFalse(report("ended").contains("reap"), "the call is under way");
+    void exitedAttemptIsNotRemovedWhileItsStartIsInFlight() {
+        heartbeat("running");
+        agents.requestStop(allocation, 0, StopReason.MACHINE_RECLAIMED);
+        assertEquals(List.of("kill"), heartbeat("running"));
+        assertFalse(heartbeat("ended").contains("reap"), "the call is in flight");
         endCall(Reply.lost());
-        assertFalse(report("ended").contains("reap"), "the call was not answered");
+        assertFalse(heartbeat("ended").contains("reap"), "the call had no reply");
     }
 
     @Test
-    void anEndedAttemptIsRemovedOnceTheDirectStartIsAnswered() {
-        report("running");
-        workers.requestStop(booking, 0, StopReason.MACHINE_RECLAIMED);
-        report("running");
-        assertFalse(report("ended").contains("reap"), "the call is under way");
+    void exitedAttemptIsRemovedOnceItsStartIsAnswered() {
+        heartbeat("running");
+        agents.requestStop(allocation, 0, StopReason.MACHINE_RECLAIMED);
+        heartbeat("running");
+        assertFalse(heartbeat("ended").contains("reap"), "the call is in flight");
         endCall(executed("ended"));
-        assertEquals(List.of("reap"), report("ended"));
+        assertEquals(List.of("reap"), heartbeat("ended"));
     }
 
-    // Guards against a response that is on its way while a direct order overtakes it: the removal would come first.
+    // A direct call may overtake a response, so that the removal would be executed before the start.
     @Test
-    void aDirectOrderRemovesNothingThatAResponseOnItsWayMayStart() {
-        endCall(refused());
-        assertEquals(List.of("run"), report(""));
-        workers.contact(machine);
-        pass(0);
+    void directCallRemovesNoAttemptWhoseStartIsOutstandingInAResponse() {
+        endCall(rejected());
+        assertEquals(List.of("run"), heartbeat(""));
+        agents.contact(machine);
+        advance(0);
         endCall(executed("ended"));
-        workers.requestStart(book("j-000002"));
-        workers.sendPendingCommands();
-        pass(0);
-        assertFalse(directOrders().contains("reap"), "the response may still be executed");
-        assertEquals(List.of("reap"), report("ended"), "the response was executed, or dropped");
+        agents.requestStart(allocate("j-000002"));
+        agents.sendPendingCommands();
+        advance(0);
+        assertFalse(directCommands().contains("reap"), "the response may still be executed");
+        assertEquals(List.of("reap"), heartbeat("ended"), "the response was executed or lost");
     }
 
-    // Guards the hold of a silent machine: its tasks go elsewhere when it is over, but for those that an order may
-    // start.
+    // When the reservation of an unreachable machine expires, its tasks are placed elsewhere unless a start is
+    // outstanding.
     @Test
-    void aStartMayArriveLateUntilItsCallIsAnswered() {
-        assertTrue(workers.startMayArriveLate(booking), "under way");
-        endCall(refused());
-        assertFalse(workers.startMayArriveLate(booking), "refused");
-        workers.requestStart(booking);
-        workers.sendPendingCommands();
-        pass(0);
+    void startIsOutstandingUntilItsCallIsAnswered() {
+        assertTrue(agents.startMayArriveLate(allocation), "in flight");
+        endCall(rejected());
+        assertFalse(agents.startMayArriveLate(allocation), "rejected");
+        agents.requestStart(allocation);
+        agents.sendPendingCommands();
+        advance(0);
         endCall(Reply.lost());
-        assertTrue(workers.startMayArriveLate(booking), "not answered");
+        assertTrue(agents.startMayArriveLate(allocation), "unanswered");
     }
 
-    // Guards a task that was seen running before its machine was started again: the order that was not answered
-    // may reach the new worker, so the task goes nowhere else.
+    // The unanswered call may reach the agent of the restarted machine, so the task must not be placed elsewhere.
     @Test
-    void aSeenAttemptKeepsItsPlaceWhenItsWorkerIsReplacedWhileAnOrderMayArrive() {
+    void observedAttemptKeepsItsAllocationWhenItsAgentIsReplacedWhileItsStartIsOutstanding() {
         endCall(Reply.lost());
-        report("running");
-        workers.contact(machine);
-        pass(0);
-        counter = 0;
+        heartbeat("running");
+        agents.contact(machine);
+        advance(0);
+        sequence = 0;
         endCall(executed(""));
-        assertSame(booking, machine.allocation(booking.task()));
-        assertEquals(List.of("run"), report(""), "the new worker is offered the same attempt");
+        assertSame(allocation, machine.allocation(allocation.task()));
+        assertEquals(List.of("run"), heartbeat(""), "the new agent is sent the same attempt");
     }
 
-    // Guards against a place that is never freed: the only copy of the start was in a response that the worker dropped.
+    // The start was sent only in a response, which was lost: the allocation must not be kept for ever.
     @Test
     void aStoppedAttemptWhoseStartCameToNothingFreesItsPlace() {
-        endCall(refused());
-        assertEquals(List.of("run"), report(""));
-        workers.requestStop(booking, 0, StopReason.PREEMPTED);
-        report("");
+        endCall(rejected());
+        assertEquals(List.of("run"), heartbeat(""));
+        agents.requestStop(allocation, 0, StopReason.PREEMPTED);
+        heartbeat("");
         assertTrue(machine.empty(), "nothing can start the attempt any more");
     }
 
-    // Guards a stop that overtakes the start: the attempt is made known and ended, so that the copy has no effect.
+    // The stop may overtake the start: the agent then knows the attempt as ended, so that the start has no effect.
     @Test
-    void anAttemptThatWasNeverSeenIsStartedAndStoppedInOneAnswer() {
+    void unobservedAttemptIsStartedAndStoppedInOneResponse() {
         endCall(Reply.lost());
-        workers.requestStop(booking, 0, StopReason.PREEMPTED);
-        assertEquals(List.of("run", "kill"), report(""));
+        agents.requestStop(allocation, 0, StopReason.PREEMPTED);
+        assertEquals(List.of("run", "kill"), heartbeat(""));
     }
 }
--- a/src/test/java/io/quartzgw/agent/package-info.java
+++ b/src/test/java/io/quartzgw/agent/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the orders that workers get. */
+/** Tests of the commands that agents are sent. */
 package io.quartzgw.agent;
