--- a/src/main/java/io/quartzgw/recovery/FailoverRecovery.java
+++ b/src/main/java/io/quartzgw/recovery/FailoverRecovery.java
@@ -1,14 +1,13 @@
 package io.quartzgw.recovery;
 
 import io.quartzgw.agent.AgentManager;
+import io.quartzgw.agent.LeaderContext;
 import io.quartzgw.eventloop.EventLoop;
 import io.quartzgw.fleet.MachineCatalog;
 import io.quartzgw.fleet.MachineRecords;
 import io.quartzgw.leadership.LeaderTerm;
 import io.quartzgw.leadership.PeerExchange;
-import io.quartzgw.progress.ProgressBitmaps;
 import io.quartzgw.progress.ProgressRecorder;
-import io.quartzgw.scheduling.Allocation;
 import io.quartzgw.scheduling.ClusterState;
 import io.quartzgw.scheduling.Job;
 import io.quartzgw.scheduling.Machine;
@@ -16,267 +15,216 @@
 import io.quartzgw.store.StoreClient;
 import io.quartzgw.submission.JobKeys;
 import io.quartzgw.submission.OpenJob;
-import java.util.ArrayList;
-import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Set;
 import java.util.function.Predicate;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A takeover: reads hard state, gathers reports for a window, then lets the leader place. */
+/**
+ * Rebuilds the cluster state of a new leader: reads the stored state, gathers heartbeats for a limited time, and then
+ * releases the reservations of machines that remain silent.
+ */
 public final class FailoverRecovery {
     private static final Logger LOG = LoggerFactory.getLogger(FailoverRecovery.class);
 
-    /** How far the takeover is. */
+    /** How far the recovery has come. */
     private enum Phase {
-        READING,
-        GATHERING,
-        PLACING
+        LOADING_STATE,
+        GATHERING_HEARTBEATS,
+        RECOVERED
     }
 
-    private final EventLoop kernel;
-    private final StoreClient store;
-    private final PeerExchange peers;
-    private final MachineCatalog catalog;
+    private final LeaderContext leader;
+    private final EventLoop eventLoop;
     private final ClusterState cluster;
-    private final AgentManager agents;
-    private final ProgressRecorder progress;
-    private final MachineRecords machineRecords;
-    private final RecoveryTiming times;
-    private final LeaderTerm term;
-    private final Predicate<String> knownTerminal;
-    private final StoreClient.Watcher openJobs;
-    private final long electedAt;
-    private long previousLeaderActiveUntil;
-    private boolean previousLeadersStopped;
-    private Phase phase = Phase.READING;
-    /** Machines that may run something and have not shown this leader's token yet. */
-    private final Set<Machine> silentMachines = new LinkedHashSet<>();
+    private final Collaborators collaborators;
+    private final RecoveryTiming timing;
+    private final Predicate<String> isKnownTerminal;
+    private final StoreClient.Watcher openJobWatcher;
+    private final UnverifiedMachines unverifiedMachines;
+    private final ReservationExpiry reservationExpiry;
+    private final long electedAtMs;
+    private Phase phase = Phase.LOADING_STATE;
 
     /**
-     * @param previousLeaderActiveUntil when a former leader can last answer a report, its grace included
-     * @param knownTerminal whether a job is known to have ended, whatever was read of it
-     * @param openJobs follows the open jobs from the revision that they were read at
+     * The parts of the leader that take part in the recovery.
+     *
+     * @param store the state service
+     * @param peers tells whether the other controllers have seen this term
+     * @param agents takes heartbeats and contacts agents
+     * @param progress loads which tasks have finished or may have been started
+     * @param machineRecords loads the rented machines
      */
+    public record Collaborators(
+            StoreClient store,
+            PeerExchange peers,
+            AgentManager agents,
+            ProgressRecorder progress,
+            MachineRecords machineRecords) {}
+
+    /**
+     * Creates the recovery of the current term.
+     *
+     * @param previousLeaderActiveUntilMs when a former leader can last respond to a heartbeat, its grace included
+     * @param isKnownTerminal whether a job is known to have ended, whatever is read of it
+     * @param openJobWatcher follows the open jobs from the revision at which they were read
+     */
+    public FailoverRecovery(
+            LeaderContext leader,
+            Collaborators collaborators,
+            RecoveryTiming timing,
+            long previousLeaderActiveUntilMs,
+            Predicate<String> isKnownTerminal,
+            StoreClient.Watcher openJobWatcher) {
+        this.leader = leader;
+        this.eventLoop = leader.eventLoop();
+        this.cluster = leader.cluster();
+        this.collaborators = collaborators;
+        this.timing = timing;
+        this.isKnownTerminal = isKnownTerminal;
+        this.openJobWatcher = openJobWatcher;
+        this.unverifiedMachines = new UnverifiedMachines(leader, collaborators.peers(), previousLeaderActiveUntilMs);
+        this.reservationExpiry = new ReservationExpiry(leader, collaborators.agents(), timing.reservationMs());
+        this.electedAtMs = eventLoop.nowMs();
+    }
+
+    /** Creates the recovery; kept for callers that have no {@link LeaderContext}. */
     public FailoverRecovery(
-            EventLoop kernel,
+            EventLoop eventLoop,
             StoreClient store,
             LeaderTerm term,
             PeerExchange peers,
-            MachineCatalog types,
+            MachineCatalog catalog,
             ClusterState cluster,
-            AgentManager workers,
+            AgentManager agents,
             ProgressRecorder progress,
-            MachineRecords records,
-            RecoveryTiming times,
-            long formerAnswersUntil,
-            Predicate<String> knownOver,
-            StoreClient.Watcher openJobs) {
-        this.kernel = kernel;
-        this.store = store;
-        this.peers = peers;
-        this.catalog = types;
-        this.cluster = cluster;
-        this.agents = workers;
-        this.progress = progress;
-        this.machineRecords = records;
-        this.times = times;
-        this.term = term;
-        this.previousLeaderActiveUntil = formerAnswersUntil;
-        this.knownTerminal = knownOver;
-        this.openJobs = openJobs;
-        this.electedAt = kernel.nowMs();
-    }
-
+            MachineRecords machineRecords,
+            RecoveryTiming timing,
+            long previousLeaderActiveUntilMs,
+            Predicate<String> isKnownTerminal,
+            StoreClient.Watcher openJobWatcher) {
+        this(
+                new LeaderContext(eventLoop, term, cluster, catalog),
+                new Collaborators(store, peers, agents, progress, machineRecords),
+                timing,
+                previousLeaderActiveUntilMs,
+                isKnownTerminal,
+                openJobWatcher);
+    }
+
+    /** Begins to read the stored state. */
     public void start() {
-        readState();
+        new StateLoader(leader, collaborators.store(), timing.retryMs(), this::onStateLoaded).load();
     }
 
-    /** Whether hard state was read: what no silent machine can have may be placed on those that answered. */
+    /** Returns whether the stored state has been read, so that verified machines may be given tasks. */
     public boolean isStateLoaded() {
-        return phase != Phase.READING;
+        return phase != Phase.LOADING_STATE;
     }
 
-    /** Whether the window is over. */
+    /** Returns whether the time for gathering heartbeats is over. */
     public boolean isWindowClosed() {
-        return phase == Phase.PLACING;
+        return phase == Phase.RECOVERED;
     }
 
-    // ---- hard state
+    // ---- stored state
 
-    private void readState() {
-        if (!term.isCurrent()) {
-            return;
-        }
-        if (!catalog.isKnown()) {
-            kernel.after(times.retryMs(), this::readState);
-            return;
-        }
-        listAll(
-                List.of(JobKeys.OPEN, ProgressBitmaps.PREFIX, MachineRecords.PREFIX, MachineRecords.MARK_PREFIX),
-                new ArrayList<>());
-    }
-
-    private void listAll(List<String> prefixes, List<StoreClient.Listing> listings) {
-        if (listings.size() == prefixes.size()) {
-            applyState(
-                    listings.get(0),
-                    listings.get(1).entries(),
-                    listings.get(2).entries(),
-                    listings.get(3).entries());
-            return;
-        }
-        store.list(prefixes.get(listings.size()), listing -> {
-            if (!term.isCurrent()) {
-                return;
-            }
-            if (listing == null) {
-                kernel.after(times.retryMs(), this::readState);
-                return;
-            }
-            listings.add(listing);
-            listAll(prefixes, listings);
-        });
-    }
-
-    private void applyState(
-            StoreClient.Listing jobs, List<KeyValue> done, List<KeyValue> described, List<KeyValue> marked) {
-        for (KeyValue entry : jobs.entries()) {
-            OpenJob open = OpenJob.fromRecord(entry.value(), entry.revision());
-            // Guards what was cancelled while it was being read.
-            if (!knownTerminal.test(open.spec().id())) {
-                cluster.add(open);
-            }
-        }
-        progress.load(done, cluster);
-        machineRecords.load(described, marked, catalog, kernel.nowMs(), machine -> {
-            if (cluster.machine(machine.id()) == null) {
-                machine.liveness().boundPreviousLeader(previousLeaderActiveUntil);
-                cluster.add(machine);
-                silentMachines.add(machine);
-            }
-        });
-        phase = Phase.GATHERING;
+    private void onStateLoaded(StoredState state) {
+        loadIntoCluster(state);
+        phase = Phase.GATHERING_HEARTBEATS;
         LOG.atInfo()
-                .addKeyValue("term", term.fencingToken())
-                .addKeyValue("revision", jobs.revision())
-                .addKeyValue("read_after_ms", jobs.readAt() - electedAt)
-                .addKeyValue("jobs", jobs.entries().size())
+                .addKeyValue("term", leader.term().fencingToken())
+                .addKeyValue("revision", state.openJobs().revision())
+                .addKeyValue("read_after_ms", state.openJobs().readAt() - electedAtMs)
+                .addKeyValue("jobs", state.openJobs().entries().size())
                 .addKeyValue("machines", cluster.machines().size())
-                .log("hard state is read, gathering reports");
-        silentMachines.removeIf(machine -> !isSilent(machine));
-        silentMachines.forEach(machine -> cluster.unexplainedMachines(machine, true));
-        // Until a task is explained it may be on any machine that has not answered yet.
-        List.copyOf(cluster.pendingJobs()).stream()
-                .filter(this::mayRunOnSilentMachine)
-                .forEach(cluster::markUnaccounted);
-        agents.beginReconciling();
-        store.watch(JobKeys.OPEN, jobs.revision(), jobs.readAt(), openJobs);
-        List.copyOf(cluster.jobs()).stream().filter(Job::complete).forEach(progress::completeJob);
-        kernel.after(times.contactMs(), this::contactSilent);
+                .log("stored state loaded");
+        unverifiedMachines.markUnaccounted();
+        collaborators.agents().beginReconciling();
+        collaborators
+                .store()
+                .watch(
+                        JobKeys.OPEN,
+                        state.openJobs().revision(),
+                        state.openJobs().readAt(),
+                        openJobWatcher);
+        List.copyOf(cluster.jobs()).stream().filter(Job::complete).forEach(collaborators.progress()::completeJob);
+        eventLoop.after(timing.contactMs(), this::contactUnverified);
         checkProgress();
     }
 
-    // ---- gathering
-
-    private boolean isSilent(Machine machine) {
-        return machine.hasRunTasks()
-                && !machine.liveness().verified()
-                && !machine.removeAllocation()
-                && cluster.machine(machine.id()) == machine;
+    private void loadIntoCluster(StoredState state) {
+        for (KeyValue entry : state.openJobs().entries()) {
+            OpenJob job = OpenJob.fromRecord(entry.value(), entry.revision());
+            // The job may have been cancelled while the open jobs were being read.
+            if (!isKnownTerminal.test(job.spec().id())) {
+                cluster.add(job);
+            }
+        }
+        collaborators.progress().load(state.progress(), cluster);
+        collaborators
+                .machineRecords()
+                .load(
+                        state.machines(),
+                        state.usedMachines(),
+                        leader.catalog(),
+                        eventLoop.nowMs(),
+                        unverifiedMachines::add);
     }
 
-    private void contactSilent() {
-        if (!term.isCurrent() || phase != Phase.GATHERING) {
+    // ---- heartbeats
+
+    private void contactUnverified() {
+        if (!leader.term().isCurrent() || phase != Phase.GATHERING_HEARTBEATS) {
             return;
         }
-        silentMachines.stream().filter(this::isSilent).forEach(agents::contact);
-        kernel.after(times.contactMs(), this::contactSilent);
+        unverifiedMachines.forEachUnverified(collaborators.agents()::contact);
+        eventLoop.after(timing.contactMs(), this::contactUnverified);
     }
 
-    /** Looks who has answered meanwhile, and whether the window can close; called after every batch. */
+    /** Accounts for the machines that have been verified meanwhile; called after every batch. */
     public void checkProgress() {
-        if (phase == Phase.READING || !term.isCurrent()) {
+        if (phase == Phase.LOADING_STATE || !leader.term().isCurrent()) {
             return;
         }
-        checkPreviousLeadersStopped();
-        List<Machine> heard =
-                silentMachines.stream().filter(machine -> !isSilent(machine)).toList();
-        if (!heard.isEmpty()) {
-            heard.forEach(silentMachines::remove);
-            heard.forEach(agents::updateUnexplained);
-            resolveUnaccounted();
+        unverifiedMachines.checkPreviousLeadersStopped();
+        List<Machine> verified = unverifiedMachines.removeVerified();
+        if (!verified.isEmpty()) {
+            verified.forEach(collaborators.agents()::updateUnexplained);
+            unverifiedMachines.resolveUnaccounted();
         }
-        if (phase == Phase.GATHERING
-                && (silentMachines.isEmpty() || kernel.nowMs() - electedAt >= times.gatherWindowMs())) {
-            phase = Phase.PLACING;
-            kernel.increment("takeover.count", 1);
-            kernel.increment("takeover.ms", kernel.nowMs() - electedAt);
-            kernel.increment("takeover.silent", silentMachines.size());
-            cluster.markChanged();
-            LOG.atInfo()
-                    .addKeyValue("term", term.fencingToken())
-                    .addKeyValue("after_ms", kernel.nowMs() - electedAt)
-                    .addKeyValue("silent_machines", silentMachines.size())
-                    .addKeyValue(
-                            "jobs_with_unaccounted",
-                            cluster.jobsWithUnaccountedTasks().size())
-                    .log("the window is closed");
+        if (phase == Phase.GATHERING_HEARTBEATS && (unverifiedMachines.isEmpty() || isWindowElapsed())) {
+            closeWindow();
         }
     }
 
-    // Every other controller has seen this term, so none of them answers workers any more: the holds
-    // of machines that are silent since the takeover count from now at the latest.
-    private void checkPreviousLeadersStopped() {
-        if (!previousLeadersStopped && peers.allAcknowledgedTerm(term.fencingToken())) {
-            previousLeadersStopped = true;
-            previousLeaderActiveUntil = Math.min(previousLeaderActiveUntil, kernel.nowMs());
-            cluster.machines().forEach(machine -> machine.liveness().boundPreviousLeader(previousLeaderActiveUntil));
-        }
-    }
-
-    // A job accepted after the term was raised was never started by a former leader.
-    private boolean mayRunOn(Job job, Machine machine) {
-        return job.open().revision() < term.termRevision()
-                && job.spec().allows(machine.type().name(), machine.zone(), machine.spot())
-                && job.spec().demand().fitsIn(machine.type().size());
-    }
-
-    private boolean mayRunOnSilentMachine(Job job) {
-        return silentMachines.stream().anyMatch(machine -> mayRunOn(job, machine));
+    private boolean isWindowElapsed() {
+        return eventLoop.nowMs() - electedAtMs >= timing.gatherWindowMs();
     }
 
-    private void resolveUnaccounted() {
-        List.copyOf(cluster.jobsWithUnaccountedTasks()).stream()
-                .filter(job -> !mayRunOnSilentMachine(job))
-                .forEach(cluster::resolveUnaccounted);
+    private void closeWindow() {
+        phase = Phase.RECOVERED;
+        long elapsedMs = eventLoop.nowMs() - electedAtMs;
+        eventLoop.increment("takeover.count", 1);
+        eventLoop.increment("takeover.ms", elapsedMs);
+        eventLoop.increment("takeover.silent", unverifiedMachines.size());
+        cluster.markChanged();
+        LOG.atInfo()
+                .addKeyValue("term", leader.term().fencingToken())
+                .addKeyValue("elapsed_ms", elapsedMs)
+                .addKeyValue("unverified_machines", unverifiedMachines.size())
+                .addKeyValue(
+                        "jobs_with_unaccounted_tasks",
+                        cluster.jobsWithUnaccountedTasks().size())
+                .log("recovery window closed");
     }
 
-    // ---- silence
+    // ---- reservations
 
-    /** Gives up what is on machines that were silent for their hold; called now and then. */
+    /** Releases the reservations of machines that have been silent for too long; called periodically. */
     public void releaseExpiredReservations() {
-        if (phase == Phase.READING || !term.isCurrent()) {
-            return;
-        }
-        for (Machine machine : List.copyOf(cluster.machines())) {
-            boolean reserved = !machine.removeAllocation() && (!machine.empty() || isSilent(machine));
-            if (reserved && kernel.nowMs() - machine.liveness().lastResponseAt() > times.reservationMs()) {
-                List<Allocation> lost = machine.allocationsSnapshot().stream()
-                        .filter(booking -> !agents.startMayArriveLate(booking))
-                        .toList();
-                LOG.info("{} was silent for its hold, giving up {} tasks", machine.id(), lost.size());
-                kernel.increment("machines.given_up", 1);
-                lost.forEach(cluster::release);
-                machine.expireReservation();
-                if (!machine.empty()) {
-                    // A start on its way names the first session, and a machine that is back begins with that
-                    // again: those tasks go elsewhere only when the machine is gone for good.
-                    machine.drain();
-                }
-                cluster.markChanged();
-            }
+        if (phase != Phase.LOADING_STATE && leader.term().isCurrent()) {
+            reservationExpiry.releaseExpired();
         }
     }
 }
--- a/src/main/java/io/quartzgw/recovery/RecoveryTiming.java
+++ b/src/main/java/io/quartzgw/recovery/RecoveryTiming.java
@@ -3,29 +3,29 @@
 import io.quartzgw.liveness.AgentTiming;
 
 /**
- * The times of recovery, as ratios to the workers' figures.
+ * The durations of the recovery, which are ratios to the agents' timing.
  *
- * @param gatherWindowMs how long a new leader gathers reports at the most before it places
- * @param reservationMs how long the room of a silent machine is reserved, from the last report that was answered
- * @param retryMs pause before hard state is read again
- * @param contactMs pause between two rounds in which silent machines are asked
+ * @param gatherWindowMs how long a new leader gathers heartbeats at most
+ * @param reservationMs how long the capacity of a silent machine stays reserved after the last response to a heartbeat
+ * @param retryMs the pause before the stored state is read again
+ * @param contactMs the pause between two rounds of contacting unverified machines
  */
 public record RecoveryTiming(long gatherWindowMs, long reservationMs, long retryMs, long contactMs) {
     private static final int WINDOW_HEARTBEATS = 6;
-    /** How much longer than the lease: a worker may be slow to notice that its lease has run out. */
+    /** The margin over the lease, since an agent may be slow to notice that its lease has ended. */
     private static final double LEASE_MARGIN = 0.06;
 
     private static final double RETRY_HEARTBEATS = 0.1;
     private static final double CONTACT_HEARTBEATS = 0.04;
 
-    /** Derives the times from the report interval and the worker lease. */
-    public static RecoveryTiming of(AgentTiming times) {
-        // Never below the lease: before it has run out on the worker's clock, the tasks may be running.
-        long silentMs = times.longestLeaseMs() + (long) (LEASE_MARGIN * times.leaseMs());
+    /** Derives the durations from the heartbeat interval and the lease of agents. */
+    public static RecoveryTiming of(AgentTiming timing) {
+        // Tasks may run until the lease has ended by the agent's clock, so a reservation must not be shorter.
+        long reservationMs = timing.longestLeaseMs() + (long) (LEASE_MARGIN * timing.leaseMs());
         return new RecoveryTiming(
-                WINDOW_HEARTBEATS * times.heartbeatMs(),
-                silentMs,
-                (long) (RETRY_HEARTBEATS * times.heartbeatMs()),
-                (long) (CONTACT_HEARTBEATS * times.heartbeatMs()));
+                WINDOW_HEARTBEATS * timing.heartbeatMs(),
+                reservationMs,
+                (long) (RETRY_HEARTBEATS * timing.heartbeatMs()),
+                (long) (CONTACT_HEARTBEATS * timing.heartbeatMs()));
     }
 }
--- /dev/null
+++ b/src/main/java/io/quartzgw/recovery/ReservationExpiry.java
@@ -0,0 +1,59 @@
+package io.quartzgw.recovery;
+
+import io.quartzgw.agent.AgentManager;
+import io.quartzgw.agent.LeaderContext;
+import io.quartzgw.scheduling.Allocation;
+import io.quartzgw.scheduling.ClusterState;
+import io.quartzgw.scheduling.Machine;
+import java.util.List;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Releases the capacity that is reserved on machines whose agents have sent no heartbeat for longer than a lease. */
+final class ReservationExpiry {
+    private static final Logger LOG = LoggerFactory.getLogger(ReservationExpiry.class);
+
+    private final LeaderContext leader;
+    private final AgentManager agents;
+    private final long reservationMs;
+
+    /** @param reservationMs how long a reservation lasts from the last response to a heartbeat */
+    ReservationExpiry(LeaderContext leader, AgentManager agents, long reservationMs) {
+        this.leader = leader;
+        this.agents = agents;
+        this.reservationMs = reservationMs;
+    }
+
+    /** Releases the reservations that have expired. */
+    void releaseExpired() {
+        List.copyOf(leader.cluster().machines()).stream()
+                .filter(this::isExpired)
+                .forEach(this::release);
+    }
+
+    private boolean isExpired(Machine machine) {
+        ClusterState cluster = leader.cluster();
+        boolean reserved =
+                !machine.removeAllocation() && (!machine.empty() || UnverifiedMachines.isUnverified(machine, cluster));
+        return reserved && leader.eventLoop().nowMs() - machine.liveness().lastResponseAt() > reservationMs;
+    }
+
+    private void release(Machine machine) {
+        List<Allocation> released = machine.allocationsSnapshot().stream()
+                .filter(allocation -> !agents.startMayArriveLate(allocation))
+                .toList();
+        LOG.atInfo()
+                .addKeyValue("machine", machine.id())
+                .addKeyValue("released_tasks", released.size())
+                .log("reservation expired");
+        leader.eventLoop().increment("machines.given_up", 1);
+        released.forEach(leader.cluster()::release);
+        machine.expireReservation();
+        if (!machine.empty()) {
+            // An outstanding start names the first epoch, and the agent of a machine that comes back begins with that
+            // one again: the remaining tasks are placed elsewhere only when the machine has been deleted.
+            machine.drain();
+        }
+        leader.cluster().markChanged();
+    }
+}
--- /dev/null
+++ b/src/main/java/io/quartzgw/recovery/StateLoader.java
@@ -0,0 +1,74 @@
+package io.quartzgw.recovery;
+
+import io.quartzgw.agent.LeaderContext;
+import io.quartzgw.fleet.MachineRecords;
+import io.quartzgw.progress.ProgressBitmaps;
+import io.quartzgw.store.StoreClient;
+import io.quartzgw.submission.JobKeys;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.function.Consumer;
+
+/** Reads the stored state, one listing after the other, and begins anew when one of them fails. */
+final class StateLoader {
+    private static final List<String> PREFIXES =
+            List.of(JobKeys.OPEN, ProgressBitmaps.PREFIX, MachineRecords.PREFIX, MachineRecords.MARK_PREFIX);
+
+    private final LeaderContext leader;
+    private final StoreClient store;
+    private final long retryMs;
+    private final Consumer<StoredState> onLoaded;
+
+    /**
+     * @param retryMs the pause before another try
+     * @param onLoaded takes the state once, while this leader's term is current
+     */
+    StateLoader(LeaderContext leader, StoreClient store, long retryMs, Consumer<StoredState> onLoaded) {
+        this.leader = leader;
+        this.store = store;
+        this.retryMs = retryMs;
+        this.onLoaded = onLoaded;
+    }
+
+    /** Begins to read, as soon as the machine types are known. */
+    void load() {
+        if (!leader.term().isCurrent()) {
+            return;
+        }
+        if (!leader.catalog().isKnown()) {
+            retry();
+            return;
+        }
+        listNext(new ArrayList<>());
+    }
+
+    private void listNext(List<StoreClient.Listing> listings) {
+        if (listings.size() == PREFIXES.size()) {
+            onLoaded.accept(new StoredState(
+                    listings.get(0),
+                    listings.get(1).entries(),
+                    listings.get(2).entries(),
+                    listings.get(3).entries()));
+            return;
+        }
+        store.list(PREFIXES.get(listings.size()), listing -> onListed(Optional.ofNullable(listing), listings));
+    }
+
+    /** @param listing empty if the state service could not be read */
+    private void onListed(Optional<StoreClient.Listing> listing, List<StoreClient.Listing> listings) {
+        if (!leader.term().isCurrent()) {
+            return;
+        }
+        if (listing.isEmpty()) {
+            retry();
+            return;
+        }
+        listings.add(listing.get());
+        listNext(listings);
+    }
+
+    private void retry() {
+        leader.eventLoop().after(retryMs, this::load);
+    }
+}
--- /dev/null
+++ b/src/main/java/io/quartzgw/recovery/StoredState.java
@@ -0,0 +1,16 @@
+package io.quartzgw.recovery;
+
+import io.quartzgw.store.KeyValue;
+import io.quartzgw.store.StoreClient;
+import java.util.List;
+
+/**
+ * What the state service holds when a leader takes over.
+ *
+ * @param openJobs the open jobs, with the revision at which they were read
+ * @param progress the finished tasks of open jobs, and how many tasks may have been started
+ * @param machines the descriptions of the rented machines
+ * @param usedMachines the machines that may run tasks
+ */
+record StoredState(
+        StoreClient.Listing openJobs, List<KeyValue> progress, List<KeyValue> machines, List<KeyValue> usedMachines) {}
