--- a/src/test/java/io/quartzgw/progress/ProgressRecorderTest.java
+++ b/src/test/java/io/quartzgw/progress/ProgressRecorderTest.java
@@ -20,20 +20,21 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/** Tests the recording of progress while requests to the state service are lost or late. */
 class ProgressRecorderTest {
     private static final int TASKS = 200;
-    private static final long REPORT_MS = 2_500;
+    private static final long HEARTBEAT_MS = 2_500;
 
-    private final EventLoop kernel = new EventLoop(1);
+    private final EventLoop eventLoop = new EventLoop(1);
     private final SplittableRandom random = new SplittableRandom(9);
-    private final LossyLink link = new LossyLink(kernel, new SimulatedStore(), random);
+    private final LossyLink link = new LossyLink(eventLoop, new SimulatedStore(), random);
     private final StoreClient store =
-            new StoreClient(kernel, new Endpoint("10.2.0.1", 1), new StoreLimits(100_000, 100_000, 8192, 16));
-    private final Leadership leadership = Elections.candidate(kernel, store);
+            new StoreClient(eventLoop, new Endpoint("10.2.0.1", 1), new StoreLimits(100_000, 100_000, 8192, 16));
+    private final Leadership leadership = Elections.candidate(eventLoop, store);
 
-    private ProgressRecorder progress() {
+    private ProgressRecorder newRecorder() {
         return new ProgressRecorder(
-                kernel, store, new LeaderTerm(leadership), REPORT_MS, new ProgressRecorder.Listener() {
+                eventLoop, store, new LeaderTerm(leadership), HEARTBEAT_MS, new ProgressRecorder.Listener() {
                     @Override
                     public void startsRecorded(Job job) {}
 
@@ -48,19 +49,19 @@
                 });
     }
 
-    private static OpenJob job(int number) {
+    private static OpenJob openJob(int number) {
         return new OpenJob(JobSpecs.named("j-" + number).tasks(TASKS).spot(true).spec(), number, 0);
     }
 
-    // Guards against a record that falls behind what was started: after a takeover those tasks would be placed
-    // again while they run. It fell behind when more starts became due while the first were being recorded.
+    // After a failover, tasks at or above the recorded start limit are placed again, even if they run. The limit once
+    // fell behind when more starts were requested while the first ones were being written.
     @Test
-    void whatMayBeStartedAndWhatIsDoneIsAlwaysInTheStateService() {
+    void successorReadsAtLeastTheRecordedStartsAndFinishesWhenWritesAreLostOrLate() {
         Elections.elect(leadership, ms -> link.pass(ms, false));
-        ClusterState cluster = new ClusterState(kernel, 1);
-        ProgressRecorder progress = progress();
+        ClusterState cluster = new ClusterState(eventLoop, 1);
+        ProgressRecorder progress = newRecorder();
         for (int i = 0; i < 3; i++) {
-            cluster.add(job(i));
+            cluster.add(openJob(i));
         }
         for (int round = 0; round < 300; round++) {
             for (Job job : cluster.jobs()) {
@@ -79,10 +80,10 @@
             if (random.nextInt(4) == 0) {
                 link.applyOneLate();
             }
-            ClusterState successor = new ClusterState(kernel, 2);
+            ClusterState successor = new ClusterState(eventLoop, 2);
             cluster.jobs().forEach(job -> successor.add(job.open()));
-            ProgressRecorder read = progress();
-            store.list(ProgressBitmaps.PREFIX, listing -> read.load(listing.entries(), successor));
+            ProgressRecorder successorProgress = newRecorder();
+            store.list(ProgressBitmaps.PREFIX, listing -> successorProgress.load(listing.entries(), successor));
             link.pass(1, false);
             for (Job job : cluster.jobs()) {
                 Job found = successor.job(job.id());
@@ -91,10 +92,12 @@
                         "round " + round + ": " + found.recordedStartLimit() + " recorded of "
                                 + job.recordedStartLimit());
                 found.done().and(job.recordedDone());
-                assertEquals(job.recordedDone(), found.done(), "what workers may forget is recorded");
+                assertEquals(job.recordedDone(), found.done(), "what agents may forget is recorded");
             }
         }
-        assertTrue(cluster.jobs().stream().allMatch(job -> job.recordedStartLimit() > TASKS / 2), "starts went on");
+        assertTrue(
+                cluster.jobs().stream().allMatch(job -> job.recordedStartLimit() > TASKS / 2),
+                "start limits were raised");
         assertTrue(
                 cluster.jobs().stream().allMatch(job -> job.recordedDone().cardinality() > 10),
                 "finishes were recorded");
