--- a/src/main/java/io/quartzgw/progress/ProgressBitmaps.java
+++ b/src/main/java/io/quartzgw/progress/ProgressBitmaps.java
@@ -6,56 +6,67 @@
 import java.io.UncheckedIOException;
 import java.util.BitSet;
 
-/** Packs a job's finished tasks into bitmaps, split so that several fit into a value of the state service. */
+/** Encodes a job's finished tasks as bitmaps, in chunks of which several fit into a value of the state service. */
 public final class ProgressBitmaps {
+    /** The prefix of the state service's keys that hold progress. */
     public static final String PREFIX = "prog/";
-    /** The part of a value that one bitmap may fill as text. */
+    /** The fraction of a value that one encoded bitmap may fill. */
     private static final double MAX_VALUE_FRACTION = 0.25;
 
+    private static final int MIN_TASKS_PER_CHUNK = 64;
     private static final int BITS_PER_CHARACTER = 6;
     /** Quotes, and padding to whole bytes and groups of four characters. */
     private static final int ENCODING_MARGIN = 12;
 
     private final int tasksPerChunk;
 
+    /** @param valueBytes the maximum size of a value of the state service */
     public ProgressBitmaps(int valueBytes) {
-        this.tasksPerChunk = Math.max(64, (int) (valueBytes * MAX_VALUE_FRACTION) * BITS_PER_CHARACTER);
+        this.tasksPerChunk =
+                Math.max(MIN_TASKS_PER_CHUNK, (int) (valueBytes * MAX_VALUE_FRACTION) * BITS_PER_CHARACTER);
     }
 
+    /** Returns the chunk that a task belongs to. */
     public int chunkOf(int task) {
         return task / tasksPerChunk;
     }
 
-    /** Names a record of a job. */
+    /** Returns the key of a chunk's record. */
     public static String key(String job, int chunk) {
         return job + "/" + chunk;
     }
 
-    /** The job that a record belongs to. */
+    /** Returns the ID of the job that a record belongs to. */
     public static String jobOf(String key) {
         return key.substring(0, key.lastIndexOf('/'));
     }
 
-    /** How long a record of a job with so many tasks can grow. */
+    /** Returns the chunk that the key of a record names. */
+    static int chunkIn(String key) {
+        return Integer.parseInt(key.substring(key.lastIndexOf('/') + 1));
+    }
+
+    /** Returns the maximum length of an encoded record of a job with so many tasks. */
     public int maxRecordLength(int tasks) {
         return Math.min(tasks, tasksPerChunk) / BITS_PER_CHARACTER + ENCODING_MARGIN;
     }
 
+    /** Encodes the finished tasks of a chunk. */
     public JsonNode pack(BitSet done, int chunk) {
         int from = chunk * tasksPerChunk;
         return BinaryNode.valueOf(done.get(from, from + tasksPerChunk).toByteArray());
     }
 
-    /** Adds the tasks of a record to a set. */
-    public void unpack(String key, JsonNode record, BitSet into) {
-        int from = Integer.parseInt(key.substring(key.lastIndexOf('/') + 1)) * tasksPerChunk;
+    /** Decodes a chunk's record and adds its tasks to a set. */
+    public void unpack(String key, JsonNode record, BitSet target) {
+        int from = chunkIn(key) * tasksPerChunk;
         try {
             byte[] bits = record.binaryValue();
             if (bits != null) {
-                BitSet.valueOf(bits).stream().forEach(bit -> into.set(from + bit));
+                BitSet.valueOf(bits).stream().forEach(bit -> target.set(from + bit));
             }
         } catch (IOException e) {
-            throw new UncheckedIOException("unreadable progress " + key, e);
+            throw new UncheckedIOException("unreadable progress record " + key, e);
         }
     }
 }
--- a/src/main/java/io/quartzgw/progress/ProgressRecorder.java
+++ b/src/main/java/io/quartzgw/progress/ProgressRecorder.java
@@ -1,5 +1,6 @@
 package io.quartzgw.progress;
 
+import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.IntNode;
 import io.quartzgw.eventloop.CoalescedTask;
 import io.quartzgw.eventloop.EventLoop;
@@ -12,8 +13,6 @@
 import io.quartzgw.store.RequestUrgency;
 import io.quartzgw.store.StoreClient;
 import io.quartzgw.store.Transaction;
-import io.quartzgw.store.TransactionOutcome;
-import io.quartzgw.submission.JobKeys;
 import io.quartzgw.submission.TerminalState;
 import java.util.BitSet;
 import java.util.HashMap;
@@ -25,238 +24,266 @@
 import java.util.Set;
 
 /**
- * Writes finishes in batches, the end of a job with its last finish, and ahead of the first starts how many of a job's
- * tasks may have been started: after a takeover the others are surely nowhere.
+ * Records the progress of jobs in the state service: finished tasks in batches, and for each job a start limit, the
+ * index below which tasks may have been started. The limit is written before the starts that it covers are sent, so
+ * that after a failover the tasks from the limit on are known not to run anywhere.
  */
 public final class ProgressRecorder {
     private static final double BATCH_HEARTBEATS = 0.2;
     private static final double RETRY_HEARTBEATS = 0.1;
     /**
-     * The part of this node's changes that finishes may take. They can wait, since workers go on reporting them; the
-     * more wait, the more go into one write.
+     * The fraction of this node's write budget that finished tasks may take. They can wait, since agents report them
+     * until they are recorded; the more tasks wait, the more are written at once.
      */
     private static final double FINISHES_WRITE_FRACTION = 0.25;
+    /** The fraction of a job by which its start limit is raised ahead, so that a job takes few writes. */
+    private static final double STARTS_AHEAD_FRACTION = 0.5;
 
-    /** The starts of so large a part of a job are recorded ahead, so that a job takes a few writes. */
-    private static final double RECORDED_AHEAD_FRACTION = 0.5;
+    private static final int START_LIMIT_RECORD_BYTES = 6;
+    private static final String START_LIMIT_KEY = "started";
 
-    private static final int START_RECORD_BYTES = 6;
-    private static final String STARTED_SUFFIX = "started";
-
-    private final EventLoop kernel;
+    private final EventLoop eventLoop;
     private final StoreClient store;
     private final LeaderTerm term;
-    private final ProgressBitmaps packing;
     private final Listener listener;
+    private final ProgressBitmaps bitmaps;
+    private final PackedRecords records;
+    private final JobCompletionWriter completionWriter;
+    private final CoalescedTask writeTask;
     private final long batchMs;
     private final long retryMs;
-    private final PackedRecords records;
-    private final CoalescedTask write;
     private final Map<Job, Set<Integer>> unwrittenChunks = new LinkedHashMap<>();
-    private final Map<Job, Integer> startsToRecord = new LinkedHashMap<>();
+    private final Map<Job, Integer> unwrittenStartLimits = new LinkedHashMap<>();
+    /** By job ID, the chunks that have a record. */
     private final Map<String, Set<Integer>> chunksByJob = new HashMap<>();
-    private final Set<Job> completing = new HashSet<>();
+
     private boolean writeInFlight;
-    private boolean paused;
-    /** When finishes may be written again if no start has to be. */
-    private long finishesWritableAt;
+    private boolean pausedAfterFailure;
+    /** When finished tasks may be written again, unless a start limit is written before. */
+    private long finishesWritableAtMs;
 
-    /** What the rest of the leader wants to know of. */
+    /** Takes the events that other parts of the leader have to act on. */
     public interface Listener {
-        /** More of the job's tasks may be started now. */
+        /** A job's start limit has been raised, so that more of its tasks may be started. */
         void startsRecorded(Job job);
 
-        /** Finishes of the job were written. */
+        /** Finished tasks of a job have been recorded. */
         void finishesRecorded(Job job);
 
-        /** The job is over in the state service. */
+        /** The completion of a job has been recorded. */
         void jobCompleted(Job job, TerminalState phase);
 
-        /** The job's end could not be written: it has ended some other way. */
+        /**
+         * A job is no longer open in the state service: it was cancelled, or an earlier write of its completion has
+         * succeeded although its outcome was unknown.
+         */
         void jobTerminatedElsewhere(Job job);
     }
 
-    /** @param term guards every write: those of a later leader make them fail */
-    public ProgressRecorder(EventLoop kernel, StoreClient store, LeaderTerm term, long reportMs, Listener listener) {
-        this.kernel = kernel;
-        this.write = new CoalescedTask(kernel, this::write);
+    /** The records of one write. */
+    private record Batch(Map<Job, BitSet> finished, Map<Job, Integer> startLimits) {
+        boolean isEmpty() {
+            return finished.isEmpty() && startLimits.isEmpty();
+        }
+    }
+
+    /**
+     * Creates the recorder for one term.
+     *
+     * @param term guards every write, so that it fails if another leader has been elected
+     * @param heartbeatMs the heartbeat interval of agents
+     */
+    public ProgressRecorder(
+            EventLoop eventLoop, StoreClient store, LeaderTerm term, long heartbeatMs, Listener listener) {
+        this.eventLoop = eventLoop;
         this.store = store;
         this.term = term;
-        this.packing = new ProgressBitmaps(store.maxValueBytes());
-        this.records = new PackedRecords(store, ProgressBitmaps.PREFIX, () -> new Transaction()
-                .require(Leadership.TERM_KEY, term.termRevision()));
         this.listener = listener;
-        this.batchMs = (long) (BATCH_HEARTBEATS * reportMs);
-        this.retryMs = (long) (RETRY_HEARTBEATS * reportMs);
+        this.bitmaps = new ProgressBitmaps(store.maxValueBytes());
+        this.records = new PackedRecords(store, ProgressBitmaps.PREFIX, this::guardedTransaction);
+        this.batchMs = (long) (BATCH_HEARTBEATS * heartbeatMs);
+        this.retryMs = (long) (RETRY_HEARTBEATS * heartbeatMs);
+        this.completionWriter = new JobCompletionWriter(eventLoop, store, term, retryMs, listener);
+        this.writeTask = new CoalescedTask(eventLoop, this::write);
     }
 
-    /** Takes what a former leader has written. */
+    private Transaction guardedTransaction() {
+        return new Transaction().require(Leadership.TERM_KEY, term.termRevision());
+    }
+
+    // ---- stored records
+
+    /** Loads the progress that former leaders have recorded into the cluster state. */
     public void load(List<KeyValue> entries, ClusterState cluster) {
-        records.load(entries, (key, record) -> {
-            Job job = cluster.job(ProgressBitmaps.jobOf(key));
-            if (job == null) {
-                records.removeLazily(key);
-                return;
-            }
-            if (key.endsWith(STARTED_SUFFIX)) {
-                job.recordedStartLimit(record.asInt());
-                return;
-            }
-            packing.unpack(key, record, job.recordedDone());
+        records.load(entries, (key, record) -> loadRecord(key, record, cluster));
+    }
+
+    private void loadRecord(String key, JsonNode record, ClusterState cluster) {
+        Job job = cluster.job(ProgressBitmaps.jobOf(key));
+        if (job == null) {
+            records.removeLazily(key);
+        } else if (key.endsWith(START_LIMIT_KEY)) {
+            job.recordedStartLimit(record.asInt());
+        } else {
+            bitmaps.unpack(key, record, job.recordedDone());
             job.recordedDone().stream().forEach(index -> cluster.markDone(job, index));
-            chunksByJob
-                    .computeIfAbsent(job.id(), id -> new HashSet<>())
-                    .add(Integer.parseInt(key.substring(key.lastIndexOf('/') + 1)));
-        });
+            chunksWithRecord(job.id()).add(ProgressBitmaps.chunkIn(key));
+        }
     }
 
-    /** A task is to be started: that has to be recorded before. */
+    private Set<Integer> chunksWithRecord(String job) {
+        return chunksByJob.computeIfAbsent(job, id -> new HashSet<>());
+    }
+
+    /** Removes the progress of a job that has ended, with the next write. */
+    public void forgetJob(String job) {
+        records.removeLazily(startLimitKey(job));
+        Set<Integer> chunks = chunksByJob.remove(job);
+        if (chunks != null) {
+            chunks.forEach(chunk -> records.removeLazily(ProgressBitmaps.key(job, chunk)));
+        }
+    }
+
+    private static String startLimitKey(String job) {
+        return job + "/" + START_LIMIT_KEY;
+    }
+
+    // ---- progress to be recorded
+
+    /** Requests that a job's start limit is raised above a task's index. */
     public void recordStart(Job job, int index) {
         int tasks = job.spec().tasks();
-        startsToRecord.merge(
-                job, Math.min(tasks, index + 1 + (int) Math.ceil(RECORDED_AHEAD_FRACTION * tasks)), Math::max);
+        int limit = index + 1 + (int) Math.ceil(STARTS_AHEAD_FRACTION * tasks);
+        unwrittenStartLimits.merge(job, Math.min(tasks, limit), Math::max);
     }
 
-    /** Writes starts that are due; finishes go along. */
+    /** Writes the requested start limits, and the finished tasks with them; called at the end of every batch. */
     public void flush() {
-        if (!startsToRecord.isEmpty() && !paused) {
+        if (!unwrittenStartLimits.isEmpty() && !pausedAfterFailure) {
             write();
         }
     }
 
-    /** A task has completed. */
+    /** Requests that a finished task is recorded, or the completion of its job if it is the last one. */
     public void recordFinish(Job job, int index) {
         if (job.complete()) {
-            // Its user expects the job to be done at once; the job's end says all of its progress.
+            // The user expects the job to end at once, and its completion covers all of its progress.
             unwrittenChunks.remove(job);
             completeJob(job);
             return;
         }
-        unwrittenChunks.computeIfAbsent(job, key -> new LinkedHashSet<>()).add(packing.chunkOf(index));
-        write.schedule(Math.max(batchMs, finishesWritableAt - kernel.nowMs()));
+        addUnwrittenChunk(job, bitmaps.chunkOf(index));
+        scheduleWrite();
     }
 
-    /** Drops the progress of a job that is over. */
-    public void forgetJob(String job) {
-        records.removeLazily(startedKey(job));
-        Set<Integer> written = chunksByJob.remove(job);
-        if (written != null) {
-            written.forEach(chunk -> records.removeLazily(ProgressBitmaps.key(job, chunk)));
-        }
+    /** Requests that the completion of a job is recorded. */
+    public void completeJob(Job job) {
+        completionWriter.complete(job);
+    }
+
+    private void addUnwrittenChunk(Job job, int chunk) {
+        unwrittenChunks.computeIfAbsent(job, key -> new LinkedHashSet<>()).add(chunk);
     }
 
-    // ---- batches
+    private void scheduleWrite() {
+        writeTask.schedule(Math.max(batchMs, finishesWritableAtMs - eventLoop.nowMs()));
+    }
+
+    // ---- writes
 
     private void write() {
-        if (!term.isCurrent() || writeInFlight || unwrittenChunks.isEmpty() && startsToRecord.isEmpty()) {
+        if (!term.isCurrent() || writeInFlight || unwrittenChunks.isEmpty() && unwrittenStartLimits.isEmpty()) {
             return;
         }
         if (!term.isConfirmed()) {
-            write.schedule(retryMs);
+            writeTask.schedule(retryMs);
+            return;
+        }
+        Batch batch = new Batch(takeFinished(), takeStartLimits());
+        if (batch.isEmpty()) {
             return;
         }
-        Map<Job, BitSet> batch = new LinkedHashMap<>();
-        unwrittenChunks.forEach((job, changed) -> {
+        writeInFlight = true;
+        finishesWritableAtMs =
+                eventLoop.nowMs() + store.pauseMsAfter(records.dirtyPageCount(), FINISHES_WRITE_FRACTION);
+        RequestUrgency urgency = batch.startLimits().isEmpty() ? RequestUrgency.BACKGROUND : RequestUrgency.HIGH;
+        records.write(urgency, written -> onWritten(batch, written));
+    }
+
+    private Map<Job, BitSet> takeFinished() {
+        Map<Job, BitSet> finished = new LinkedHashMap<>();
+        unwrittenChunks.forEach((job, chunks) -> {
             if (!job.isTerminal()) {
-                BitSet snapshot = (BitSet) job.done().clone();
-                changed.forEach(chunk -> records.put(
-                        ProgressBitmaps.key(job.id(), chunk),
-                        packing.pack(snapshot, chunk),
-                        packing.maxRecordLength(job.spec().tasks())));
-                chunksByJob.computeIfAbsent(job.id(), id -> new HashSet<>()).addAll(changed);
-                batch.put(job, snapshot);
+                finished.put(job, putFinished(job, chunks));
             }
         });
         unwrittenChunks.clear();
-        startsToRecord.keySet().removeIf(Job::isTerminal);
-        Map<Job, Integer> starts = new LinkedHashMap<>();
-        // A start that fell due while more was being recorded must not take that back.
-        startsToRecord.forEach((job, below) -> starts.put(job, Math.max(below, job.recordedStartLimit())));
-        startsToRecord.clear();
-        starts.forEach((job, below) -> records.put(startedKey(job.id()), IntNode.valueOf(below), START_RECORD_BYTES));
-        if (batch.isEmpty() && starts.isEmpty()) {
-            return;
+        return finished;
+    }
+
+    private BitSet putFinished(Job job, Set<Integer> chunks) {
+        BitSet snapshot = (BitSet) job.done().clone();
+        int maxLength = bitmaps.maxRecordLength(job.spec().tasks());
+        for (int chunk : chunks) {
+            records.put(ProgressBitmaps.key(job.id(), chunk), bitmaps.pack(snapshot, chunk), maxLength);
         }
-        writeInFlight = true;
-        finishesWritableAt = kernel.nowMs() + store.pauseMsAfter(records.dirtyPageCount(), FINISHES_WRITE_FRACTION);
-        records.write(
-                starts.isEmpty() ? RequestUrgency.BACKGROUND : RequestUrgency.HIGH,
-                written -> onWritten(batch, starts, written));
+        chunksWithRecord(job.id()).addAll(chunks);
+        return snapshot;
     }
 
-    private static String startedKey(String job) {
-        return job + "/" + STARTED_SUFFIX;
+    private Map<Job, Integer> takeStartLimits() {
+        Map<Job, Integer> limits = new LinkedHashMap<>();
+        unwrittenStartLimits.forEach((job, limit) -> {
+            if (!job.isTerminal()) {
+                // A higher limit may have been recorded since this one was requested.
+                limits.put(job, Math.max(limit, job.recordedStartLimit()));
+            }
+        });
+        unwrittenStartLimits.clear();
+        limits.forEach(
+                (job, limit) -> records.put(startLimitKey(job.id()), IntNode.valueOf(limit), START_LIMIT_RECORD_BYTES));
+        return limits;
     }
 
-    private void onWritten(Map<Job, BitSet> batch, Map<Job, Integer> starts, boolean written) {
+    private void onWritten(Batch batch, boolean written) {
         writeInFlight = false;
         if (!term.isCurrent()) {
             return;
         }
         if (written) {
-            starts.forEach((job, below) -> {
-                job.recordedStartLimit(below);
-                listener.startsRecorded(job);
-            });
+            onWriteSucceeded(batch);
         } else {
-            starts.forEach((job, below) -> startsToRecord.merge(job, below, Math::max));
-            paused = true;
-            kernel.after(retryMs, () -> paused = false);
-        }
-        batch.forEach((job, snapshot) -> {
-            if (written) {
-                job.recordedDone().or(snapshot);
-                listener.finishesRecorded(job);
-            } else if (!job.isTerminal() && !job.complete()) {
-                snapshot.andNot(job.recordedDone());
-                Set<Integer> again = unwrittenChunks.computeIfAbsent(job, key -> new LinkedHashSet<>());
-                snapshot.stream().forEach(index -> again.add(packing.chunkOf(index)));
-            }
-        });
-        if (!unwrittenChunks.isEmpty()) {
-            write.schedule(written ? Math.max(batchMs, finishesWritableAt - kernel.nowMs()) : retryMs);
+            onWriteFailed(batch);
         }
     }
 
-    // ---- ends
-
-    /** Writes that a complete job is done. */
-    public void completeJob(Job job) {
-        if (job.isTerminal() || !completing.add(job)) {
-            return;
+    private void onWriteSucceeded(Batch batch) {
+        batch.startLimits().forEach((job, limit) -> {
+            job.recordedStartLimit(limit);
+            listener.startsRecorded(job);
+        });
+        batch.finished().forEach((job, snapshot) -> {
+            job.recordedDone().or(snapshot);
+            listener.finishesRecorded(job);
+        });
+        if (!unwrittenChunks.isEmpty()) {
+            scheduleWrite();
         }
-        writeCompletion(job);
     }
 
-    private void writeCompletion(Job job) {
-        if (!term.isCurrent() || job.isTerminal()) {
-            completing.remove(job);
-            return;
-        }
-        if (!term.isConfirmed()) {
-            kernel.after(retryMs, () -> writeCompletion(job));
-            return;
-        }
-        TerminalState phase = new TerminalState(false, job.spec().tasks());
-        Transaction txn = new Transaction()
-                .require(Leadership.TERM_KEY, term.termRevision())
-                .require(JobKeys.open(job.id()), job.open().revision())
-                .delete(JobKeys.open(job.id()))
-                .put(JobKeys.terminal(job.id()), phase.toJson());
-        store.commit(txn, RequestUrgency.HIGH, outcome -> {
-            if (!term.isCurrent()) {
-                return;
-            }
-            if (outcome instanceof TransactionOutcome.Committed) {
-                completing.remove(job);
-                listener.jobCompleted(job, phase);
-            } else if (outcome instanceof TransactionOutcome.Conflict conflict
-                    && conflict.failedKeys().contains(JobKeys.open(job.id()))) {
-                completing.remove(job);
-                listener.jobTerminatedElsewhere(job);
-            } else {
-                kernel.after(retryMs, () -> writeCompletion(job));
+    private void onWriteFailed(Batch batch) {
+        batch.startLimits().forEach((job, limit) -> unwrittenStartLimits.merge(job, limit, Math::max));
+        pausedAfterFailure = true;
+        eventLoop.after(retryMs, () -> pausedAfterFailure = false);
+        batch.finished().forEach((job, snapshot) -> {
+            if (!job.isTerminal() && !job.complete()) {
+                snapshot.andNot(job.recordedDone());
+                unwrittenChunks.computeIfAbsent(job, key -> new LinkedHashSet<>());
+                snapshot.stream().forEach(index -> addUnwrittenChunk(job, bitmaps.chunkOf(index)));
             }
         });
+        if (!unwrittenChunks.isEmpty()) {
+            writeTask.schedule(retryMs);
+        }
     }
 }
--- a/src/main/java/io/quartzgw/progress/package-info.java
+++ b/src/main/java/io/quartzgw/progress/package-info.java
@@ -1,5 +1,11 @@
 /**
- * Which tasks of open jobs are done, in the state service: packed as bitmaps, written in batches. A worker goes on
- * reporting a finish until the batch that holds it is written.
+ * The recorded progress of open jobs.
+ *
+ * <p>Duty: {@link io.quartzgw.progress.ProgressRecorder} writes finished tasks as bitmaps in batches, start limits
+ * before the starts that they cover, and the completion of jobs. An agent reports a finished task until it is recorded.
+ *
+ * <p>State: the progress that is not written yet, and which records of a job exist. All of it belongs to one term.
+ *
+ * <p>Callers: the leader and its failover recovery, on the event loop's thread only.
  */
 package io.quartzgw.progress;
