--- a/src/main/java/io/quartzgw/agent/HeartbeatProcessor.java
+++ b/src/main/java/io/quartzgw/agent/HeartbeatProcessor.java
@@ -82,7 +82,7 @@
         }
         if (origin == Origin.AGENT) {
             if (freshness != Freshness.STALE) {
-                liveness.lastResponseAt(eventLoop.nowMs());
+                liveness.recordResponse(eventLoop.nowMs());
             }
             contactNeeded |= liveness.unreachable();
         }
--- a/src/main/java/io/quartzgw/liveness/AgentLiveness.java
+++ b/src/main/java/io/quartzgw/liveness/AgentLiveness.java
@@ -1,133 +1,164 @@
 package io.quartzgw.liveness;
 
 /**
- * What this leader has heard from a machine's worker, and what that proves.
+ * What this leader knows of the liveness of a machine's agent, and how fresh a heartbeat of it is.
  *
- * <p>Copies of reports may come late, by far more than a lease, and to a leader that knows no newer one. So a report is
- * current only when it shows this leader's token (it was made after this leader had reached the worker) and is newer
- * than all that was heard before. Anything else is only a sign that there may be a worker: it is answered, since it may
- * be genuine, but changes nothing in the cluster state.
+ * <p>Duplicates of heartbeats may be delayed by far more than a lease, and may reach a leader that has received no
+ * newer heartbeat. So a heartbeat is current only if it shows this leader's token, which means that it was made after
+ * this leader had reached the agent, and is newer than all heartbeats that were current before. Any other heartbeat
+ * only suggests that there is an agent: it gets a response, since it may be genuine, but does not change the cluster
+ * state.
  */
 public final class AgentLiveness {
 
-    /** What a message proves. */
+    /** How fresh a heartbeat is. */
     public enum Freshness {
-        /** It is the newest word of a worker that this leader has reached. */
+        /** It is the newest heartbeat of an agent that this leader has reached. */
         CURRENT,
-        /** It may be genuine, or a copy from before this leader's term. */
+        /** It may be genuine, or a duplicate from before this leader's term. */
         UNVERIFIED,
-        /** Something newer was heard: a copy, or a report that arrived late. */
+        /** A newer heartbeat is known: this one is a duplicate or was delayed. */
         STALE
     }
 
+    /** The epoch with which agents begin; most of them never lose their lease, and stay in it. */
+    private static final long FIRST_EPOCH = 1;
+
+    private static final long NO_SEQUENCE = -1;
+
     private long epoch;
-    private long sequence = -1;
+    private long sequence = NO_SEQUENCE;
     private long lastHeartbeatAt;
     private boolean verified;
-    /** Sessions are counted from 1, and most workers never lose their first. */
-    private long latestObservedEpoch = 1;
-
+    private long latestObservedEpoch = FIRST_EPOCH;
     private boolean agentReplaced;
     private boolean unreachable;
     private long unreachableSince;
     private long lastResponseAt = Long.MIN_VALUE;
     private long previousLeaderActiveUntil;
 
+    /** @param now the current time in milliseconds of the steady clock, as all times of this class */
     public AgentLiveness(long now) {
         this.previousLeaderActiveUntil = now;
     }
 
-    /** The worker's session, as far as it was proved. */
+    // ---- heartbeats
+
+    /** Returns the agent's epoch, as its current heartbeats have shown it. */
     public long epoch() {
         return epoch;
     }
 
-    /** The newest session that any message has named; an order has to name it. */
+    /** Returns the newest epoch that a current heartbeat or a reply to a direct call has shown. */
     public long latestObservedEpoch() {
         return Math.max(epoch, latestObservedEpoch);
     }
 
-    /** The counter of the newest current report; negative when there was none. */
+    /** Returns the sequence of the newest current heartbeat; negative if there was none. */
     public long sequence() {
         return sequence;
     }
 
     /**
-     * Whether the worker has shown this leader's token: what it reports is so, and no former leader's order runs there.
+     * Returns whether the agent has sent a current heartbeat to this leader. Then its task list is reliable, and the
+     * agent rejects the commands of former leaders.
      */
     public boolean verified() {
         return verified;
     }
 
-    /** Whether a current report came no longer ago than this. */
-    public boolean heartbeatWithin(long ms, long now) {
-        return verified && now - lastHeartbeatAt < ms;
+    /** Returns whether a current heartbeat was received within the last so many milliseconds. */
+    public boolean heartbeatWithin(long durationMs, long now) {
+        return verified && now - lastHeartbeatAt < durationMs;
     }
 
-    /** Weighs a message; the direct answer to an order is never a copy. */
+    /**
+     * Classifies a heartbeat.
+     *
+     * @param showsToken whether the heartbeat shows the token of this leader
+     * @param direct whether it is the reply to a direct call, which is never a duplicate
+     */
     public Freshness classify(long heartbeatEpoch, long heartbeatSequence, boolean showsToken, boolean direct) {
         if (!isNewer(heartbeatEpoch, heartbeatSequence, epoch, sequence)) {
             return Freshness.STALE;
         }
-        // Copies from the former worker of a machine that came back count higher than its new one.
+        // Duplicates from the former agent of a restarted machine may have higher sequences than the new agent.
         return showsToken && (direct || !agentReplaced) ? Freshness.CURRENT : Freshness.UNVERIFIED;
     }
 
-    /** Whether one message of a worker was made after another one. */
+    /** Returns whether a heartbeat was made after another one of the same agent. */
     public static boolean isNewer(long epoch, long sequence, long otherEpoch, long otherSequence) {
         return epoch > otherEpoch || epoch == otherEpoch && sequence > otherSequence;
     }
 
-    /** Notes a current report. */
+    /** Records a current heartbeat. */
     public void recordHeartbeat(long heartbeatEpoch, long heartbeatSequence, long now) {
         epoch = heartbeatEpoch;
         sequence = heartbeatSequence;
         lastHeartbeatAt = now;
         if (!verified) {
-            // A former leader may have answered it until just now, but none can any more.
+            // A former leader may have responded to the agent until now, but the agent rejects its token from now on.
             verified = true;
-            lastResponseAt = Math.max(lastResponseAt, now);
+            recordResponse(now);
         }
     }
 
+    /** Records that a reply to a direct call has shown an epoch. */
+    public void observeEpoch(long observedEpoch) {
+        latestObservedEpoch = observedEpoch;
+    }
+
     /**
-     * Notes that a report is answered with this leader's token. A stale one must not be: where it is genuine it would
-     * renew a lease that this leader doesn't count. One that proves nothing has to be, or its worker would never show
-     * the token; where it is a copy, room is held a little longer than it need be.
+     * Records that a reply to a direct call has shown a new agent on the same machine: it is older than the heartbeats
+     * that were known when the call was sent. The tasks of the former agent are gone.
      */
-    public void lastResponseAt(long now) {
+    public void agentReplaced(long newEpoch, long newSequence) {
+        agentReplaced = true;
+        epoch = newEpoch;
+        latestObservedEpoch = newEpoch;
+        sequence = newSequence - 1;
+    }
+
+    // ---- responses
+
+    /**
+     * Records that a heartbeat gets a response with this leader's token, which renews the agent's lease. Stale
+     * heartbeats must not get one: a lease would be renewed that this leader does not count on. Unverified ones must,
+     * or their agents would never show the token; if such a heartbeat is a duplicate, capacity is reserved for somewhat
+     * longer than necessary.
+     */
+    public void recordResponse(long now) {
         lastResponseAt = Math.max(lastResponseAt, now);
     }
 
-    /** When a report that was answered, by this leader or a former one, can last have been sent. */
+    /** Does the same as {@link #recordResponse}; kept for callers of the former name. */
+    public void lastResponseAt(long now) {
+        recordResponse(now);
+    }
+
+    /** Returns the latest time at which this leader or a former one can have renewed the agent's lease. */
     public long lastResponseAt() {
         return verified ? lastResponseAt : Math.max(lastResponseAt, previousLeaderActiveUntil);
     }
 
-    /**
-     * Bounds the moment when a former leader can last have answered; it holds until the worker shows this one's token.
-     */
+    /** Sets the latest time at which a former leader can have responded, which counts until the agent is verified. */
     public void boundPreviousLeader(long until) {
         previousLeaderActiveUntil = until;
     }
 
-    /** A direct answer has named another session than it was sent to. */
-    public void observeEpoch(long observedEpoch) {
-        latestObservedEpoch = observedEpoch;
-    }
-
-    // ---- orders
+    // ---- reachability
 
-    /** Whether an order was left unanswered, or a lease ran out, and no order was answered since. */
+    /** Returns whether a direct call had no reply, or the epoch has changed, and no call had a reply since. */
     public boolean unreachable() {
         return unreachable;
     }
 
+    /** Returns when the agent became unreachable; meaningful only while it is. */
     public long unreachableSince() {
         return unreachableSince;
     }
 
-    /** Notes that the machine may not receive what is sent to it. */
+    /** Records that the agent may not receive what is sent to it. */
     public void markUnreachable(long now) {
         if (!unreachable) {
             unreachable = true;
@@ -135,18 +166,8 @@
         }
     }
 
+    /** Records that the agent has replied to a direct call. */
     public void markReachable() {
         unreachable = false;
     }
-
-    /**
-     * The worker has answered an order with an older message than what was known when the order was sent: it is another
-     * worker, and what the former one ran is gone.
-     */
-    public void agentReplaced(long newEpoch, long newSequence) {
-        agentReplaced = true;
-        epoch = newEpoch;
-        latestObservedEpoch = newEpoch;
-        sequence = newSequence - 1;
-    }
 }
