--- a/src/main/java/io/quartzgw/agent/AgentManager.java
+++ b/src/main/java/io/quartzgw/agent/AgentManager.java
@@ -149,9 +149,12 @@
         registry.remove(machine).ifPresent(reconciler::forget);
     }
 
-    /** Updates whether a machine runs orphaned attempts, which take capacity until they have stopped. */
-    public void updateUnexplained(Machine machine) {
-        reconciler.updateUnexplained(machine);
+    /**
+     * Updates whether a machine runs orphaned attempts, whose capacity no open job accounts for until they have
+     * stopped.
+     */
+    public void updateUnaccountedCapacity(Machine machine) {
+        reconciler.updateUnaccountedCapacity(machine);
     }
 
     /** Handles that finishes of a job's tasks have been recorded: the agents may forget those attempts. */
@@ -160,7 +163,7 @@
     }
 
     /** Returns whether a direct call may still start an allocation's attempt, even if its machine is unreachable. */
-    public boolean startMayArriveLate(Allocation allocation) {
+    public boolean isStartOutstanding(Allocation allocation) {
         return registry.agentOf(allocation.machine()).outstandingStarts().isOutstandingDirectly(Attempt.of(allocation));
     }
 
--- a/src/main/java/io/quartzgw/agent/HeartbeatProcessor.java
+++ b/src/main/java/io/quartzgw/agent/HeartbeatProcessor.java
@@ -164,7 +164,7 @@
                 .addKeyValue("epoch", heartbeat.epoch())
                 .log("agent epoch changed");
         agent.epochChanged();
-        reconciler.updateUnexplained(machine);
+        reconciler.updateUnaccountedCapacity(machine);
         machine.allocationsSnapshot().forEach(cluster::release);
         machine.liveness().markUnreachable(eventLoop.nowMs());
     }
@@ -177,7 +177,7 @@
                 .addKeyValue("epoch", heartbeat.epoch())
                 .log("agent replaced");
         agent.agentReplaced();
-        reconciler.updateUnexplained(machine);
+        reconciler.updateUnaccountedCapacity(machine);
         machine.liveness().agentReplaced(heartbeat.epoch(), heartbeat.sequence());
         for (Allocation allocation : machine.allocationsSnapshot()) {
             if (agent.outstandingStarts().isOutstandingDirectly(Attempt.of(allocation))) {
--- a/src/main/java/io/quartzgw/agent/PendingCommands.java
+++ b/src/main/java/io/quartzgw/agent/PendingCommands.java
@@ -15,7 +15,7 @@
         HEARTBEAT_RESPONSE
     }
 
-    /** @param listener told what has to be recorded before a start */
+    /** @param listener notified of what has to be recorded before a start */
     PendingCommands(LeaderContext leader, AgentManager.Listener listener) {
         this.leader = leader;
         this.listener = listener;
--- a/src/main/java/io/quartzgw/agent/TaskReconciler.java
+++ b/src/main/java/io/quartzgw/agent/TaskReconciler.java
@@ -34,7 +34,7 @@
     /** By job ID, the agents that still report an exited attempt of the job. */
     private final Map<String, Set<AgentState>> agentsReportingExit = new HashMap<>();
 
-    /** @param onTaskFinished told of the index of each task that has completed */
+    /** @param onTaskFinished notified of the index of each task that has completed */
     TaskReconciler(
             LeaderContext leader, AgentRegistry registry, AgentTiming timing, BiConsumer<Job, Integer> onTaskFinished) {
         this.eventLoop = leader.eventLoop();
@@ -64,7 +64,7 @@
                 reconcileRunning(agent, task, allocation);
             }
         }
-        updateUnexplained(machine);
+        updateUnaccountedCapacity(machine);
         agent.endTaskList();
         releaseUnreported(machine, reported);
     }
@@ -92,8 +92,11 @@
         }
     }
 
-    /** Updates whether a machine runs orphaned attempts, which take capacity until they have stopped. */
-    void updateUnexplained(Machine machine) {
+    /**
+     * Updates whether a machine runs orphaned attempts, whose capacity no open job accounts for until they have
+     * stopped.
+     */
+    void updateUnaccountedCapacity(Machine machine) {
         cluster.unexplainedMachines(
                 machine,
                 cluster.machine(machine.id()) == machine
--- a/src/main/java/io/quartzgw/recovery/FailoverRecovery.java
+++ b/src/main/java/io/quartzgw/recovery/FailoverRecovery.java
@@ -190,7 +190,7 @@
         unverifiedMachines.checkPreviousLeadersStopped();
         List<Machine> verified = unverifiedMachines.removeVerified();
         if (!verified.isEmpty()) {
-            verified.forEach(collaborators.agents()::updateUnexplained);
+            verified.forEach(collaborators.agents()::updateUnaccountedCapacity);
             unverifiedMachines.resolveUnaccounted();
         }
         if (phase == Phase.GATHERING_HEARTBEATS && (unverifiedMachines.isEmpty() || isWindowElapsed())) {
--- a/src/main/java/io/quartzgw/recovery/ReservationExpiry.java
+++ b/src/main/java/io/quartzgw/recovery/ReservationExpiry.java
@@ -40,7 +40,7 @@
 
     private void release(Machine machine) {
         List<Allocation> released = machine.allocationsSnapshot().stream()
-                .filter(allocation -> !agents.startMayArriveLate(allocation))
+                .filter(allocation -> !agents.isStartOutstanding(allocation))
                 .toList();
         LOG.atInfo()
                 .addKeyValue("machine", machine.id())
--- a/src/test/java/io/quartzgw/agent/AgentManagerTest.java
+++ b/src/test/java/io/quartzgw/agent/AgentManagerTest.java
@@ -244,14 +244,14 @@
     // outstanding.
     @Test
     void startIsOutstandingUntilItsCallIsAnswered() {
-        assertTrue(agents.startMayArriveLate(allocation), "in flight");
+        assertTrue(agents.isStartOutstanding(allocation), "in flight");
         endCall(rejected());
-        assertFalse(agents.startMayArriveLate(allocation), "rejected");
+        assertFalse(agents.isStartOutstanding(allocation), "rejected");
         agents.requestStart(allocation);
         agents.sendPendingCommands();
         advance(0);
         endCall(Reply.lost());
-        assertTrue(agents.startMayArriveLate(allocation), "unanswered");
+        assertTrue(agents.isStartOutstanding(allocation), "unanswered");
     }
 
     // The unanswered call may reach the agent of the restarted machine, so the task must not be placed elsewhere.
