--- a/src/main/java/io/quartzgw/agent/AgentCommandCodec.java
+++ b/src/main/java/io/quartzgw/agent/AgentCommandCodec.java
@@ -7,6 +7,9 @@
 
 /** Encodes commands to agents with the names that the protocol uses. */
 final class AgentCommandCodec {
+    /** The path of direct calls to agents. */
+    static final String PATH = "/orders";
+
     private AgentCommandCodec() {}
 
     /** Returns the body of a direct call. */
--- a/src/main/java/io/quartzgw/agent/AgentManager.java
+++ b/src/main/java/io/quartzgw/agent/AgentManager.java
@@ -99,7 +99,8 @@
     /** Processes a heartbeat and returns the response; unless the heartbeat is stale, it renews the agent's lease. */
     public HeartbeatResponse receive(Heartbeat heartbeat) {
         if (!stateLoaded) {
-            buffered.merge(heartbeat.machine(), heartbeat, (old, latest) -> latest.isNewerThan(old) ? latest : old);
+            buffered.merge(
+                    heartbeat.machine(), heartbeat, (old, latest) -> latest.id().isNewerThan(old.id()) ? latest : old);
             return responder.respondBeforeStateLoaded(heartbeat);
         }
         Freshness freshness = process(heartbeat);
--- a/src/main/java/io/quartzgw/agent/AgentState.java
+++ b/src/main/java/io/quartzgw/agent/AgentState.java
@@ -1,6 +1,6 @@
 package io.quartzgw.agent;
 
-import io.quartzgw.liveness.AgentLiveness;
+import io.quartzgw.liveness.HeartbeatId;
 import io.quartzgw.scheduling.Machine;
 import java.util.Arrays;
 import java.util.Collection;
@@ -32,12 +32,14 @@
 
     private byte[] lastTaskList = NO_TASK_LIST;
     private boolean callInFlight;
-    private long epochAtCall;
-    private long sequenceAtCall;
+    /** The newest current heartbeat when the last direct call was sent. */
+    private HeartbeatId latestHeartbeatAtCall;
+
     private long contactedAtMs = NEVER_MS;
 
     AgentState(Machine machine) {
         this.machine = machine;
+        this.latestHeartbeatAtCall = machine.liveness().latestHeartbeat();
     }
 
     /** Returns the machine that the agent runs on. */
@@ -150,8 +152,7 @@
     /** Records that a direct call with some starts is sent. */
     void callStarted(List<Attempt> starts) {
         callInFlight = true;
-        epochAtCall = machine.liveness().epoch();
-        sequenceAtCall = machine.liveness().sequence();
+        latestHeartbeatAtCall = machine.liveness().latestHeartbeat();
         outstandingStarts.sentDirectly(starts);
     }
 
@@ -171,7 +172,7 @@
 
     /** Returns whether a reply is older than what was known when its call was sent, as only a new agent's can be. */
     boolean isFromReplacedAgent(Heartbeat reply) {
-        return !AgentLiveness.isNewer(reply.epoch(), reply.sequence(), epochAtCall, sequenceAtCall);
+        return !reply.id().isNewerThan(latestHeartbeatAtCall);
     }
 
     /** Returns how long ago the agent was last asked for a heartbeat. */
--- a/src/main/java/io/quartzgw/agent/CommandDispatcher.java
+++ b/src/main/java/io/quartzgw/agent/CommandDispatcher.java
@@ -21,7 +21,6 @@
 final class CommandDispatcher {
     private static final Logger LOG = LoggerFactory.getLogger(CommandDispatcher.class);
 
-    private static final String COMMANDS_PATH = "/orders";
     /** A direct call times out after this fraction of a heartbeat interval. */
     private static final double TIMEOUT_HEARTBEATS = 0.8;
     /** The fraction of the direct calls that may ask for heartbeats, so that commands can always be sent. */
@@ -118,7 +117,7 @@
         eventLoop.increment("orders.sent", commands.size());
         long timeoutMs = (long) (TIMEOUT_HEARTBEATS * timing.heartbeatMs());
         long sentAtMs = eventLoop.nowMs();
-        Call call = Call.post(machine.address(), COMMANDS_PATH, AgentCommandCodec.encode(request), timeoutMs);
+        Call call = Call.post(machine.address(), AgentCommandCodec.PATH, AgentCommandCodec.encode(request), timeoutMs);
         eventLoop.call(call, reply -> {
             logReply(machine, reply, sentAtMs, starts);
             onReply(agent, reply);
--- a/src/main/java/io/quartzgw/agent/Heartbeat.java
+++ b/src/main/java/io/quartzgw/agent/Heartbeat.java
@@ -1,7 +1,7 @@
 package io.quartzgw.agent;
 
 import io.quartzgw.http.Endpoint;
-import io.quartzgw.liveness.AgentLiveness;
+import io.quartzgw.liveness.HeartbeatId;
 import java.util.List;
 import java.util.OptionalDouble;
 
@@ -10,14 +10,13 @@
  * agent's previous one, since most heartbeats of hundreds of machines carry nothing new.
  *
  * @param source the machine that the agent runs on
- * @param epoch the agent's epoch, which rises when its lease has ended
- * @param sequence the number of the heartbeat within the epoch
+ * @param id the agent's epoch and the sequence of the heartbeat
  * @param fencingToken the highest token that the agent has seen
  * @param reclaimInSeconds when the cloud takes the machine back, if the agent was notified
  * @param taskList the encoded task list, empty if the heartbeat had none
  */
 public record Heartbeat(
-        Source source, long epoch, long sequence, long fencingToken, OptionalDouble reclaimInSeconds, byte[] taskList) {
+        Source source, HeartbeatId id, long fencingToken, OptionalDouble reclaimInSeconds, byte[] taskList) {
 
     /** The machine that a heartbeat comes from, as the agent describes it. */
     public record Source(String machine, Endpoint address, String machineType, String zone, boolean spot) {}
@@ -61,9 +60,14 @@
         return source.address();
     }
 
-    /** Returns whether this heartbeat was made after another one of the same machine. */
-    boolean isNewerThan(Heartbeat other) {
-        return AgentLiveness.isNewer(epoch, sequence, other.epoch, other.sequence);
+    /** Returns the agent's epoch. */
+    public long epoch() {
+        return id.epoch();
+    }
+
+    /** Returns the number of the heartbeat within the epoch. */
+    public long sequence() {
+        return id.sequence();
     }
 
     /** Decodes the task list, without the items that are not valid. */
--- a/src/main/java/io/quartzgw/agent/HeartbeatCodec.java
+++ b/src/main/java/io/quartzgw/agent/HeartbeatCodec.java
@@ -4,6 +4,7 @@
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import io.quartzgw.http.Endpoint;
+import io.quartzgw.liveness.HeartbeatId;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -88,7 +89,8 @@
                 return Optional.empty();
             }
             Heartbeat.Source source = new Heartbeat.Source(machine, Endpoint.parse(address), machineType, zone, spot);
-            return Optional.of(new Heartbeat(source, epoch, sequence, fencingToken, reclaimInSeconds, taskList));
+            return Optional.of(
+                    new Heartbeat(source, new HeartbeatId(epoch, sequence), fencingToken, reclaimInSeconds, taskList));
         }
     }
 
--- a/src/main/java/io/quartzgw/agent/HeartbeatProcessor.java
+++ b/src/main/java/io/quartzgw/agent/HeartbeatProcessor.java
@@ -3,6 +3,7 @@
 import io.quartzgw.eventloop.EventLoop;
 import io.quartzgw.liveness.AgentLiveness;
 import io.quartzgw.liveness.AgentLiveness.Freshness;
+import io.quartzgw.liveness.AgentLiveness.Origin;
 import io.quartzgw.model.MachineType;
 import io.quartzgw.scheduling.Allocation;
 import io.quartzgw.scheduling.ClusterState;
@@ -23,14 +24,6 @@
     private final AgentRegistry registry;
     private final TaskReconciler reconciler;
 
-    /** How a heartbeat has reached the leader. */
-    private enum Origin {
-        /** The agent sent it; it may be a duplicate that was delayed. */
-        AGENT,
-        /** It is the reply to a direct call, so it is not a duplicate. */
-        DIRECT_CALL
-    }
-
     /**
      * The result of processing a heartbeat.
      *
@@ -69,8 +62,7 @@
         }
         Machine machine = source.get();
         AgentLiveness liveness = machine.liveness();
-        Freshness freshness = liveness.classify(
-                heartbeat.epoch(), heartbeat.sequence(), showsToken(heartbeat), origin == Origin.DIRECT_CALL);
+        Freshness freshness = liveness.classify(heartbeat.id(), showsToken(heartbeat), origin);
         boolean contactNeeded = false;
         if (freshness == Freshness.CURRENT) {
             applyCurrent(machine, heartbeat, origin);
@@ -118,7 +110,7 @@
         boolean epochChanged = !firstVerified && heartbeat.epoch() > liveness.epoch();
         boolean reservationExpired = machine.removeAllocation();
         machine.address(heartbeat.address());
-        liveness.recordHeartbeat(heartbeat.epoch(), heartbeat.sequence(), eventLoop.nowMs());
+        liveness.recordHeartbeat(heartbeat.id(), eventLoop.nowMs());
         machine.markUp();
         if (epochChanged) {
             onEpochChanged(agent, heartbeat);
@@ -178,7 +170,7 @@
                 .log("agent replaced");
         agent.agentReplaced();
         reconciler.updateUnaccountedCapacity(machine);
-        machine.liveness().agentReplaced(heartbeat.epoch(), heartbeat.sequence());
+        machine.liveness().agentReplaced(heartbeat.id());
         for (Allocation allocation : machine.allocationsSnapshot()) {
             if (agent.outstandingStarts().isOutstandingDirectly(Attempt.of(allocation))) {
                 // Even if the former agent had reported the attempt, its absence from the new one's list proves
--- a/src/main/java/io/quartzgw/liveness/AgentLiveness.java
+++ b/src/main/java/io/quartzgw/liveness/AgentLiveness.java
@@ -21,13 +21,21 @@
         STALE
     }
 
+    /** How a heartbeat has reached the leader. */
+    public enum Origin {
+        /** The agent sent it; it may be a duplicate that was delayed. */
+        AGENT,
+        /** It is the reply to a direct call, so it is not a duplicate. */
+        DIRECT_CALL
+    }
+
     /** The epoch with which agents begin; most of them never lose their lease, and stay in it. */
     private static final long FIRST_EPOCH = 1;
 
-    private static final long NO_SEQUENCE = -1;
+    /** Older than every heartbeat. */
+    private static final HeartbeatId NO_HEARTBEAT = new HeartbeatId(0, -1);
 
-    private long epoch;
-    private long sequence = NO_SEQUENCE;
+    private HeartbeatId latestHeartbeat = NO_HEARTBEAT;
     private long lastHeartbeatAt;
     private boolean verified;
     private long latestObservedEpoch = FIRST_EPOCH;
@@ -46,17 +54,17 @@
 
     /** Returns the agent's epoch, as its current heartbeats have shown it. */
     public long epoch() {
-        return epoch;
+        return latestHeartbeat.epoch();
     }
 
     /** Returns the newest epoch that a current heartbeat or a reply to a direct call has shown. */
     public long latestObservedEpoch() {
-        return Math.max(epoch, latestObservedEpoch);
+        return Math.max(epoch(), latestObservedEpoch);
     }
 
-    /** Returns the sequence of the newest current heartbeat; negative if there was none. */
-    public long sequence() {
-        return sequence;
+    /** Returns the newest current heartbeat, or one that is older than all others if there was none. */
+    public HeartbeatId latestHeartbeat() {
+        return latestHeartbeat;
     }
 
     /**
@@ -76,25 +84,24 @@
      * Classifies a heartbeat.
      *
      * @param showsToken whether the heartbeat shows the token of this leader
-     * @param direct whether it is the reply to a direct call, which is never a duplicate
      */
-    public Freshness classify(long heartbeatEpoch, long heartbeatSequence, boolean showsToken, boolean direct) {
-        if (!isNewer(heartbeatEpoch, heartbeatSequence, epoch, sequence)) {
+    public Freshness classify(HeartbeatId heartbeat, boolean showsToken, Origin origin) {
+        if (!heartbeat.isNewerThan(latestHeartbeat)) {
             return Freshness.STALE;
         }
         // Duplicates from the former agent of a restarted machine may have higher sequences than the new agent.
-        return showsToken && (direct || !agentReplaced) ? Freshness.CURRENT : Freshness.UNVERIFIED;
+        boolean mayBeDuplicate = agentReplaced && origin == Origin.AGENT;
+        return showsToken && !mayBeDuplicate ? Freshness.CURRENT : Freshness.UNVERIFIED;
     }
 
-    /** Returns whether a heartbeat was made after another one of the same agent. */
-    public static boolean isNewer(long epoch, long sequence, long otherEpoch, long otherSequence) {
-        return epoch > otherEpoch || epoch == otherEpoch && sequence > otherSequence;
+    /** Records a current heartbeat; kept for callers that have no {@link HeartbeatId}. */
+    public void recordHeartbeat(long epoch, long sequence, long now) {
+        recordHeartbeat(new HeartbeatId(epoch, sequence), now);
     }
 
     /** Records a current heartbeat. */
-    public void recordHeartbeat(long heartbeatEpoch, long heartbeatSequence, long now) {
-        epoch = heartbeatEpoch;
-        sequence = heartbeatSequence;
+    public void recordHeartbeat(HeartbeatId heartbeat, long now) {
+        latestHeartbeat = heartbeat;
         lastHeartbeatAt = now;
         if (!verified) {
             // A former leader may have responded to the agent until now, but the agent rejects its token from now on.
@@ -112,11 +119,11 @@
      * Records that a reply to a direct call has shown a new agent on the same machine: it is older than the heartbeats
      * that were known when the call was sent. The tasks of the former agent are gone.
      */
-    public void agentReplaced(long newEpoch, long newSequence) {
+    public void agentReplaced(HeartbeatId reply) {
         agentReplaced = true;
-        epoch = newEpoch;
-        latestObservedEpoch = newEpoch;
-        sequence = newSequence - 1;
+        latestObservedEpoch = reply.epoch();
+        // Just older than the reply, which is then classified as current.
+        latestHeartbeat = new HeartbeatId(reply.epoch(), reply.sequence() - 1);
     }
 
     // ---- responses
--- a/src/test/java/io/quartzgw/liveness/AgentLivenessTest.java
+++ b/src/test/java/io/quartzgw/liveness/AgentLivenessTest.java
@@ -4,6 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.quartzgw.liveness.AgentLiveness.Freshness;
+import io.quartzgw.liveness.AgentLiveness.Origin;
 import org.junit.jupiter.api.Test;
 
 /** Tests the freshness of heartbeats and the reachability of agents. */
@@ -14,42 +16,43 @@
     @Test
     void heartbeatWithoutThisLeadersTokenIsUnverified() {
         liveness.boundPreviousLeader(30_000);
-        assertEquals(AgentLiveness.Freshness.UNVERIFIED, liveness.classify(1, 70, false, false));
+        assertEquals(Freshness.UNVERIFIED, liveness.classify(new HeartbeatId(1, 70), false, Origin.AGENT));
         liveness.recordResponse(1_000);
         assertFalse(liveness.verified());
         assertEquals(30_000, liveness.lastResponseAt(), "a former leader may respond until its grace ends");
-        assertEquals(AgentLiveness.Freshness.CURRENT, liveness.classify(1, 71, true, false));
-        liveness.recordHeartbeat(1, 71, 2_000);
+        assertEquals(Freshness.CURRENT, liveness.classify(new HeartbeatId(1, 71), true, Origin.AGENT));
+        liveness.recordHeartbeat(new HeartbeatId(1, 71), 2_000);
         assertEquals(2_000, liveness.lastResponseAt(), "the agent rejects former leaders");
     }
 
     // A stale heartbeat must neither renew a lease nor extend a reservation.
     @Test
     void heartbeatNotNewerThanTheLastIsStale() {
-        liveness.recordHeartbeat(2, 5, 1_000);
+        liveness.recordHeartbeat(new HeartbeatId(2, 5), 1_000);
         liveness.recordResponse(1_000);
-        assertEquals(AgentLiveness.Freshness.STALE, liveness.classify(2, 5, true, false));
-        assertEquals(AgentLiveness.Freshness.STALE, liveness.classify(1, 900, true, false));
-        assertEquals(AgentLiveness.Freshness.CURRENT, liveness.classify(3, 1, true, false));
+        assertEquals(Freshness.STALE, liveness.classify(new HeartbeatId(2, 5), true, Origin.AGENT));
+        assertEquals(Freshness.STALE, liveness.classify(new HeartbeatId(1, 900), true, Origin.AGENT));
+        assertEquals(Freshness.CURRENT, liveness.classify(new HeartbeatId(3, 1), true, Origin.AGENT));
     }
 
     // Duplicates of the former agent's heartbeats may have higher sequences than the new agent's.
     @Test
     void onlyRepliesToDirectCallsAreCurrentAfterTheAgentIsReplaced() {
-        liveness.recordHeartbeat(1, 80, 1_000);
-        liveness.agentReplaced(1, 2);
-        assertEquals(AgentLiveness.Freshness.CURRENT, liveness.classify(1, 2, true, true));
-        liveness.recordHeartbeat(1, 2, 1_500);
-        assertEquals(AgentLiveness.Freshness.UNVERIFIED, liveness.classify(1, 81, true, false), "a duplicate");
-        assertEquals(AgentLiveness.Freshness.UNVERIFIED, liveness.classify(1, 3, true, false), "or genuine");
-        assertEquals(AgentLiveness.Freshness.CURRENT, liveness.classify(1, 4, true, true));
+        liveness.recordHeartbeat(new HeartbeatId(1, 80), 1_000);
+        liveness.agentReplaced(new HeartbeatId(1, 2));
+        assertEquals(Freshness.CURRENT, liveness.classify(new HeartbeatId(1, 2), true, Origin.DIRECT_CALL));
+        liveness.recordHeartbeat(new HeartbeatId(1, 2), 1_500);
+        assertEquals(
+                Freshness.UNVERIFIED, liveness.classify(new HeartbeatId(1, 81), true, Origin.AGENT), "a duplicate");
+        assertEquals(Freshness.UNVERIFIED, liveness.classify(new HeartbeatId(1, 3), true, Origin.AGENT), "or genuine");
+        assertEquals(Freshness.CURRENT, liveness.classify(new HeartbeatId(1, 4), true, Origin.DIRECT_CALL));
     }
 
     @Test
     void heartbeatDoesNotMakeAnUnreachableAgentReachable() {
-        liveness.recordHeartbeat(1, 1, 0);
+        liveness.recordHeartbeat(new HeartbeatId(1, 1), 0);
         liveness.markUnreachable(500);
-        liveness.recordHeartbeat(1, 2, 1_000);
+        liveness.recordHeartbeat(new HeartbeatId(1, 2), 1_000);
         liveness.markUnreachable(1_500);
         assertTrue(liveness.unreachable());
         assertEquals(500, liveness.unreachableSince());
