--- a/src/main/java/io/quartzgw/fleet/FleetManager.java
+++ b/src/main/java/io/quartzgw/fleet/FleetManager.java
@@ -2,6 +2,7 @@
 
 import io.quartzgw.eventloop.EventLoop;
 import io.quartzgw.leadership.LeaderTerm;
+import io.quartzgw.model.MachineTypes;
 import io.quartzgw.scheduling.ClusterState;
 import io.quartzgw.scheduling.Consolidation;
 import io.quartzgw.scheduling.Machine;
@@ -57,7 +58,7 @@
             CloudClient cloud,
             LeaderTerm term,
             ClusterState cluster,
-            MachineCatalog types,
+            MachineTypes types,
             MachineRecords records,
             Consolidation consolidation,
             Policy policy,
--- a/src/main/java/io/quartzgw/fleet/InventoryReconciler.java
+++ b/src/main/java/io/quartzgw/fleet/InventoryReconciler.java
@@ -4,12 +4,14 @@
 import io.quartzgw.http.Endpoint;
 import io.quartzgw.leadership.LeaderTerm;
 import io.quartzgw.model.MachineType;
+import io.quartzgw.model.MachineTypes;
 import io.quartzgw.scheduling.ClusterState;
 import io.quartzgw.scheduling.Machine;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
@@ -28,7 +30,7 @@
     private final CloudClient cloud;
     private final LeaderTerm term;
     private final ClusterState cluster;
-    private final MachineCatalog types;
+    private final MachineTypes types;
     private final FleetManager.Policy policy;
     private final Consumer<Machine> removed;
     private final Map<String, Long> lastListedAt = new HashMap<>();
@@ -40,7 +42,7 @@
             CloudClient cloud,
             LeaderTerm term,
             ClusterState cluster,
-            MachineCatalog types,
+            MachineTypes types,
             FleetManager.Policy policy,
             Consumer<Machine> removed) {
         this.kernel = kernel;
@@ -93,10 +95,11 @@
         lastListedAt.put(entry.id(), asked);
         Machine machine = cluster.machine(entry.id());
         if (machine == null) {
-            machine = adoptUnknown(entry);
-        }
-        if (machine == null) {
-            return;
+            Optional<Machine> adopted = adoptUnknown(entry);
+            if (adopted.isEmpty()) {
+                return;
+            }
+            machine = adopted.get();
         }
         if (machine.address() == null) {
             machine.address(Endpoint.parse(entry.address()));
@@ -111,15 +114,15 @@
     }
 
     // Not rented by this leader, as far as it knows: it is used, or returned when idle.
-    private Machine adoptUnknown(CloudClient.ListedMachine entry) {
-        MachineType type = types.get(entry.type());
-        if (type == null) {
-            return null;
-        }
+    private Optional<Machine> adoptUnknown(CloudClient.ListedMachine entry) {
+        Optional<Machine> adopted = types.find(entry.type()).map(type -> newMachine(entry, type));
+        adopted.ifPresent(cluster::add);
+        return adopted;
+    }
+
+    private Machine newMachine(CloudClient.ListedMachine entry, MachineType type) {
         long rentedAt = kernel.nowMs() - (long) (entry.ageS() * 1000);
-        Machine machine = new Machine(entry.id(), type, entry.zone(), entry.spot(), rentedAt, kernel.nowMs());
-        cluster.add(machine);
-        return machine;
+        return new Machine(entry.id(), type, entry.zone(), entry.spot(), rentedAt, kernel.nowMs());
     }
 
     // Once listed, a machine stays listed until it is gone; but a list may be older than the one
--- a/src/main/java/io/quartzgw/fleet/MachineCatalog.java
+++ b/src/main/java/io/quartzgw/fleet/MachineCatalog.java
@@ -1,24 +1,22 @@
 package io.quartzgw.fleet;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quartzgw.eventloop.EventLoop;
-import io.quartzgw.http.Json;
 import io.quartzgw.model.MachineType;
+import io.quartzgw.model.MachineTypes;
 import io.quartzgw.store.RequestUrgency;
 import io.quartzgw.store.StoreClient;
 import io.quartzgw.store.Transaction;
 import java.util.Collection;
-import java.util.LinkedHashMap;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.BooleanSupplier;
 
 /**
  * The table of machine types, on every node. The last table is kept in the state service, so that a node that starts
  * during an outage of the cloud can decide on submissions.
  */
-public final class MachineCatalog {
+public final class MachineCatalog implements MachineTypes {
     private static final String KEY = "types";
     private static final int RETRY_MS = 500;
     private static final int REFRESH_MS = 60_000;
@@ -49,15 +47,22 @@
         });
     }
 
+    @Override
     public boolean isKnown() {
         return !types.isEmpty();
     }
 
+    @Override
     public Collection<MachineType> all() {
         return types.values();
     }
 
-    /** The type, or null when the table doesn't have it. */
+    @Override
+    public Optional<MachineType> find(String name) {
+        return Optional.ofNullable(types.get(name));
+    }
+
+    /** The type, or null when the table doesn't have it; prefer {@link #find}. */
     public MachineType get(String name) {
         return types.get(name);
     }
@@ -74,9 +79,12 @@
 
     private void fetchFromCloud() {
         cloud.machineTypes(table -> {
-            if (table != null && table.path("host_types").size() > 0) {
+            if (table != null && MachineTypeCodec.hasMachineTypes(table)) {
                 update(table);
-                store.commit(new Transaction().put(KEY, table()), RequestUrgency.NORMAL, outcome -> {});
+                store.commit(
+                        new Transaction().put(KEY, MachineTypeCodec.encodeTable(types.values())),
+                        RequestUrgency.NORMAL,
+                        outcome -> {});
             } else if (!isKnown()) {
                 kernel.after(RETRY_MS, this::readStored);
             }
@@ -84,20 +92,9 @@
     }
 
     private void update(JsonNode table) {
-        Map<String, MachineType> read = new LinkedHashMap<>();
-        table.path("host_types").forEach(node -> {
-            MachineType type = MachineType.fromJson(node);
-            read.put(type.name(), type);
-        });
-        if (!read.isEmpty()) {
-            types = read;
+        Map<String, MachineType> decoded = MachineTypeCodec.decodeTable(table);
+        if (!decoded.isEmpty()) {
+            types = decoded;
         }
     }
-
-    private ObjectNode table() {
-        ObjectNode table = Json.object();
-        ArrayNode list = table.putArray("host_types");
-        types.values().forEach(type -> list.add(type.toJson()));
-        return table;
-    }
 }
--- a/src/main/java/io/quartzgw/fleet/MachineRecords.java
+++ b/src/main/java/io/quartzgw/fleet/MachineRecords.java
@@ -1,5 +1,6 @@
 package io.quartzgw.fleet;
 
+import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.TextNode;
 import io.quartzgw.eventloop.CoalescedTask;
@@ -9,6 +10,7 @@
 import io.quartzgw.leadership.LeaderTerm;
 import io.quartzgw.leadership.Leadership;
 import io.quartzgw.model.MachineType;
+import io.quartzgw.model.MachineTypes;
 import io.quartzgw.scheduling.ClusterState;
 import io.quartzgw.scheduling.Machine;
 import io.quartzgw.store.KeyValue;
@@ -82,19 +84,10 @@
      * @param marked the pages of marks, read after those of descriptions
      */
     public void load(
-            List<KeyValue> described, List<KeyValue> marked, MachineCatalog types, long now, Consumer<Machine> found) {
+            List<KeyValue> described, List<KeyValue> marked, MachineTypes types, long now, Consumer<Machine> found) {
         Map<String, Machine> machines = new LinkedHashMap<>();
         descriptions.load(described, (id, record) -> {
-            MachineType type = types.get(record.path(0).asText());
-            if (type == null) {
-                return;
-            }
-            // Never earlier than it was: a machine that the list can't have yet must not be taken for gone.
-            long age = Math.max(0, kernel.wallClockMs() - record.path(3).asLong() * 1000 - maxClockSkewMs);
-            machines.put(
-                    id,
-                    new Machine(
-                            id, type, record.path(1).asText(), record.path(2).asBoolean(), now - age, now));
+            types.find(record.path(0).asText()).ifPresent(type -> machines.put(id, decode(id, type, record, now)));
         });
         marks.load(marked, (id, address) -> {
             Machine machine = machines.get(id);
@@ -108,6 +101,12 @@
         machines.values().forEach(found);
     }
 
+    private Machine decode(String id, MachineType type, JsonNode record, long now) {
+        // Never earlier than it was: a machine that the list can't have yet must not be taken for gone.
+        long age = Math.max(0, kernel.wallClockMs() - record.path(3).asLong() * 1000 - maxClockSkewMs);
+        return new Machine(id, type, record.path(1).asText(), record.path(2).asBoolean(), now - age, now);
+    }
+
     /** Notes a rented machine, to be described soon; its first start waits for that too. */
     public void describe(Machine machine) {
         ArrayNode description = Json.array()
--- a/src/main/java/io/quartzgw/fleet/ScaleOutPlanner.java
+++ b/src/main/java/io/quartzgw/fleet/ScaleOutPlanner.java
@@ -1,6 +1,7 @@
 package io.quartzgw.fleet;
 
 import io.quartzgw.model.MachineType;
+import io.quartzgw.model.MachineTypes;
 import io.quartzgw.model.Resources;
 import io.quartzgw.scheduling.Job;
 import io.quartzgw.scheduling.Machine;
@@ -14,11 +15,11 @@
 
 /** Chooses what to rent: the cheapest room for the work that does not fit what is coming anyway. */
 final class ScaleOutPlanner {
-    private final MachineCatalog types;
+    private final MachineTypes types;
     private Map<String, Integer> machinesByZone = Map.of();
     private long machinesExamined;
 
-    ScaleOutPlanner(MachineCatalog types) {
+    ScaleOutPlanner(MachineTypes types) {
         this.types = types;
     }
 
--- a/src/main/java/io/quartzgw/model/MachineType.java
+++ b/src/main/java/io/quartzgw/model/MachineType.java
@@ -1,13 +1,18 @@
 package io.quartzgw.model;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quartzgw.http.Json;
-import java.util.ArrayList;
 import java.util.List;
 
-/** A kind of machine that the cloud rents out; prices are per hour. */
+/**
+ * A type of machine that the cloud rents out.
+ *
+ * @param size capacity of one machine
+ * @param cacheGb size of the local image cache
+ * @param fetchGbPerS rate at which images are fetched
+ * @param price on-demand price per hour
+ * @param spotPrice spot price per hour
+ * @param bootS usual boot time
+ * @param zones zones in which the type is offered
+ */
 public record MachineType(
         String name,
         Resources size,
@@ -18,45 +23,13 @@
         double bootS,
         List<String> zones) {
 
+    /** Price per hour of a spot or an on-demand machine. */
     public double price(boolean spot) {
         return spot ? spotPrice : price;
     }
 
-    /** The usual boot time. */
+    /** The usual boot time in milliseconds. */
     public long bootMs() {
         return (long) (bootS * 1000);
     }
-
-    public ObjectNode toJson() {
-        ObjectNode node = Json.object()
-                .put("name", name)
-                .put("cpus", size.cpus())
-                .put("gpus", size.gpus())
-                .put("ram_gb", size.memoryGb())
-                .put("cache_gb", cacheGb)
-                .put("pull_gb_per_s", fetchGbPerS)
-                .put("hourly", price)
-                .put("spot_price", spotPrice)
-                .put("startup_s", bootS);
-        ArrayNode yards = node.putArray("yards");
-        zones.forEach(yards::add);
-        return node;
-    }
-
-    public static MachineType fromJson(JsonNode node) {
-        List<String> zones = new ArrayList<>();
-        node.path("yards").forEach(zone -> zones.add(zone.asText()));
-        return new MachineType(
-                node.path("name").asText(),
-                new Resources(
-                        node.path("cpus").asDouble(),
-                        node.path("gpus").asDouble(),
-                        node.path("ram_gb").asDouble()),
-                node.path("cache_gb").asDouble(),
-                node.path("pull_gb_per_s").asDouble(),
-                node.path("hourly").asDouble(),
-                node.path("spot_price").asDouble(),
-                node.path("startup_s").asDouble(),
-                List.copyOf(zones));
-    }
 }
--- a/src/main/java/io/quartzgw/model/package-info.java
+++ b/src/main/java/io/quartzgw/model/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Immutable values that several packages share: resources, machine types, job descriptions, priorities and team quotas.
- * Owns no state and depends on no other package of the program but the JSON helper.
+ * Immutable values that several packages share: resources, machine types, job specifications, priorities and team
+ * quotas. Owns no state, depends on no other package of the program, and may be used by all of them.
  */
 package io.quartzgw.model;
--- a/src/main/java/io/quartzgw/submission/SubmissionHandler.java
+++ b/src/main/java/io/quartzgw/submission/SubmissionHandler.java
@@ -3,11 +3,11 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quartzgw.eventloop.EventLoop;
-import io.quartzgw.fleet.MachineCatalog;
 import io.quartzgw.http.Json;
 import io.quartzgw.http.Request;
 import io.quartzgw.http.Response;
 import io.quartzgw.model.JobSpec;
+import io.quartzgw.model.MachineTypes;
 import io.quartzgw.store.StoreClient;
 import io.quartzgw.store.TransactionOutcome;
 import java.util.TreeMap;
@@ -33,7 +33,7 @@
     private final EventLoop kernel;
     private final StoreClient store;
     private final JobStore jobs;
-    private final MachineCatalog types;
+    private final MachineTypes types;
     private final Admission admission;
     private final Listener listener;
     private final TreeMap<String, JobCounts.TaskCounts> taskCounts = new TreeMap<>();
@@ -43,7 +43,7 @@
             EventLoop kernel,
             StoreClient store,
             JobStore jobs,
-            MachineCatalog types,
+            MachineTypes types,
             Admission admission,
             Listener listener) {
         this.kernel = kernel;
