--- a/src/main/java/io/quartzgw/scheduling/Allocation.java
+++ b/src/main/java/io/quartzgw/scheduling/Allocation.java
@@ -2,15 +2,21 @@
 
 import io.quartzgw.model.Resources;
 
-/** A task's place on a machine: it runs there, or may run there. */
+/**
+ * The assignment of one task attempt to a machine, whose resources it reserves until it is released: the task runs
+ * there, or may run there.
+ */
 public final class Allocation {
 
-    /** What is known of the attempt. */
+    /** The phase of the attempt, as far as its agent has reported it. */
     public enum Phase {
-        /** Booked, and not yet seen in a report. */
+        /** Allocated, and not yet seen in a heartbeat. */
         ASSIGNED,
+        /** The agent fetches the image. */
         FETCHING,
+        /** The task runs. */
         RUNNING,
+        /** The task saves a checkpoint before it stops. */
         CHECKPOINTING
     }
 
@@ -61,12 +67,12 @@
         return phase;
     }
 
-    /** Whether a report has shown the attempt. */
+    /** Whether a heartbeat has shown the attempt. */
     public boolean observed() {
         return phase != Phase.ASSIGNED;
     }
 
-    /** Notes the phase that the worker reports for this attempt. */
+    /** Records the phase that the agent reports for this attempt. */
     public void observed(Phase reported, long now) {
         if (reported == Phase.RUNNING && phase != Phase.RUNNING) {
             runningSince = now;
@@ -75,7 +81,7 @@
         phase = reported;
     }
 
-    /** The worker that had shown the attempt is gone; its successor may be started with the same attempt. */
+    /** Records that the agent restarted: the same attempt may be started on its successor. */
     public void agentReplaced() {
         phase = Phase.ASSIGNED;
     }
@@ -84,12 +90,12 @@
         return allocatedAt;
     }
 
-    /** How long the task has run on this machine, as far as this leader has seen. */
+    /** How long the task has run on this machine, as far as this leader has observed. */
     public long runtimeMs(long now) {
         return phase == Phase.RUNNING || phase == Phase.CHECKPOINTING ? now - runningSince : 0;
     }
 
-    /** Whether the start order has left this node at all. */
+    /** Whether a start command was sent to the agent at all. */
     public boolean startSent() {
         return startSent;
     }
@@ -98,22 +104,20 @@
         startSent = true;
     }
 
-    /**
-     * Whether the cloud takes the machine away before the task can have ended there, as far as its owner's guess goes.
-     */
+    /** Whether the cloud reclaims the machine before the task can complete there, by its owner's runtime estimate. */
     boolean reclaimedBeforeEnd(long now) {
         if (stopping || !observed() || job.spec().gang()) {
             return false;
         }
-        long left = (long) (job.spec().estimateS() * 1000) - runtimeMs(now);
-        return job.spec().service() || left > machine.reclaimAt() - now;
+        long remainingMs = (long) (job.spec().estimateS() * 1000) - runtimeMs(now);
+        return job.spec().service() || remainingMs > machine.reclaimAt() - now;
     }
 
     public boolean stopping() {
         return stopping;
     }
 
-    /** Has the task stopped; it keeps its place until the machine says that it has ended. */
+    /** Marks the task to be stopped; its resources stay allocated until the agent reports that it has ended. */
     public void requestStop(double graceS) {
         stopping = true;
         stopGraceS = graceS;
--- a/src/main/java/io/quartzgw/scheduling/BestFit.java
+++ b/src/main/java/io/quartzgw/scheduling/BestFit.java
@@ -7,20 +7,22 @@
 import java.util.SplittableRandom;
 import java.util.function.Predicate;
 
-/** Samples a few machines with room and takes the best fit; looks at all when the sample has none. */
+/** Best fit over a random sample of the machines with free capacity; scans all of them when the sample has none. */
 public final class BestFit {
-    /** How many machines with room are compared where they are there in any case: spread out, images spread too. */
+    /**
+     * Sample size where capacity stays reserved in any case: a small sample spreads tasks, and with them the images.
+     */
     static final int SMALL_SAMPLE = 3;
-    /** The same where a machine that stays empty is returned: what is spread thinly over a fleet keeps it all. */
+    /** Sample size where idle machines are scaled in: tasks that are spread thinly would keep every machine. */
     static final int LARGE_SAMPLE = 16;
-    /** A fetch of the image weighs more than any difference in room, a long one more than a short one. */
+    /** An image fetch costs more than any difference in free capacity, a long one more than a short one. */
     private static final double FETCH_WEIGHT = 10;
 
     private static final double FETCH_SECOND_WEIGHT = 1;
-    /** Work that may run on spot machines leaves the others to work that may not. */
+    /** Tasks that may run on spot machines leave on-demand machines to those that may not. */
     private static final double ON_DEMAND_WEIGHT = 2;
 
-    /** Work that may go to any zone leaves the fuller one to work that has to spread. */
+    /** Tasks that may run in any zone leave the fuller zone to jobs that have to spread. */
     private static final double ZONE_WEIGHT = 4;
 
     private final SplittableRandom random;
@@ -28,35 +30,35 @@
     private Map<String, Double> zoneUtilization = Map.of();
     private long machinesExamined;
 
-    /** @param roomIsKept whether room is kept rented whatever the demand */
-    public BestFit(SplittableRandom random, boolean roomIsKept) {
+    /** @param capacityReserved whether capacity stays rented whatever the demand */
+    public BestFit(SplittableRandom random, boolean capacityReserved) {
         this.random = random;
-        this.sampleSize = roomIsKept ? SMALL_SAMPLE : LARGE_SAMPLE;
+        this.sampleSize = capacityReserved ? SMALL_SAMPLE : LARGE_SAMPLE;
     }
 
-    /** How many machines were looked at since this was last asked. */
+    /** How many machines were examined since the last call. */
     long takeMachinesExamined() {
         long taken = machinesExamined;
         machinesExamined = 0;
         return taken;
     }
 
-    /** Takes how much of each zone's room is in use, from 0 to 1. */
-    void zoneUtilization(Map<String, Double> shares) {
-        zoneUtilization = shares;
+    /** Sets the utilization of each zone's on-demand machines, from 0 to 1. */
+    void zoneUtilization(Map<String, Double> utilizationByZone) {
+        zoneUtilization = utilizationByZone;
     }
 
     /**
-     * The machine for one more task of the job, or null when none of these has room. A machine that is drawn and can't
-     * take the task leaves the list: within one pass rooms only shrink, so it can't take the next task of the job
-     * either, and a whole job costs one look at each machine at the most.
+     * Chooses the machine for one more task of the job, or null when no candidate has enough free capacity. A sampled
+     * machine that can't run the task is removed from the candidates: within one pass free capacity only shrinks, so it
+     * can't run the next task of the job either, and a whole job examines each machine at most once. The result is
+     * nullable, not an Optional, since this is the innermost loop of the scheduler.
      */
     public Machine choose(Job job, List<Machine> candidates, Predicate<Machine> allowed, long now) {
         Machine best = null;
         double bestCost = Double.MAX_VALUE;
         int found = 0;
-        // Drawing goes on until enough machines with room were found: with no room in the sample this
-        // becomes the scan of all.
+        // Sampling goes on until enough suitable machines were found: without any, this becomes a scan of all.
         while (found < candidates.size() && found < sampleSize) {
             int pick = found + random.nextInt(candidates.size() - found);
             Machine machine = candidates.get(pick);
@@ -81,13 +83,13 @@
         return best;
     }
 
-    /** Lower is better: little room left over, the image there, and the right kind of machine. */
+    /** Lower is better: little capacity left over, the image cached, and the right kind of machine. */
     static double cost(JobSpec job, Machine machine, long now) {
         Resources size = machine.type().size();
         Resources left = machine.freeCapacity().minus(job.demand());
-        double cost = share(left.cpus(), size.cpus())
-                + share(left.gpus(), size.gpus())
-                + share(left.memoryGb(), size.memoryGb());
+        double cost = fraction(left.cpus(), size.cpus())
+                + fraction(left.gpus(), size.gpus())
+                + fraction(left.memoryGb(), size.memoryGb());
         if (!machine.hasImage(job.image())) {
             cost += FETCH_WEIGHT + FETCH_SECOND_WEIGHT * machine.fetchS(job.image(), job.imageGb(), now);
         }
@@ -97,7 +99,7 @@
         return cost;
     }
 
-    private static double share(double left, double of) {
-        return of == 0 ? 0 : left / of;
+    private static double fraction(double part, double whole) {
+        return whole == 0 ? 0 : part / whole;
     }
 }
--- a/src/main/java/io/quartzgw/scheduling/ClusterState.java
+++ b/src/main/java/io/quartzgw/scheduling/ClusterState.java
@@ -14,29 +14,35 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The leader's state: open jobs, machines, and which task has a place where. Only this class books and releases, so
- * that rooms, quotas and zones always add up.
+ * The leader's in-memory state: open jobs, machines and allocations. Only this class allocates and releases, so that
+ * free capacity, team usage and zone counts stay consistent.
+ *
+ * <p>After a takeover two things are unknown. An <em>unaccounted</em> task may run on a silent machine: it has no
+ * allocation, is not done and may have been started by a former leader. An <em>unexplained</em> machine may run tasks
+ * of jobs that are no longer open, and so belong to no job that this leader knows.
  */
 public final class ClusterState {
     private static final Logger LOG = LoggerFactory.getLogger(ClusterState.class);
 
-    private final EventLoop kernel;
+    private final EventLoop eventLoop;
     private final TreeMap<String, Job> jobs = new TreeMap<>();
     private final Map<String, Machine> machines = new TreeMap<>();
     private final Set<String> wasRemoved = new HashSet<>();
     private final Map<String, Resources> usageByTeam = new HashMap<>();
-    /** Jobs with a task that waits for a place, and jobs with an unaccounted task: few among many that run. */
+    /** Index of the jobs with a pending task: few among many that run. */
     private final Map<String, Job> pendingJobs = new TreeMap<>();
 
+    /** Index of the jobs with an unaccounted task. */
     private final Map<String, Job> jobsWithUnaccountedTasks = new TreeMap<>();
+
     private final Set<Machine> unexplainedMachines = new HashSet<>();
     private Resources unexplainedCapacity = Resources.NONE;
     private final long term;
     private long attempts;
     private boolean changed = true;
 
-    public ClusterState(EventLoop kernel, long term) {
-        this.kernel = kernel;
+    public ClusterState(EventLoop eventLoop, long term) {
+        this.eventLoop = eventLoop;
         this.term = term;
     }
 
@@ -46,7 +52,7 @@
         return jobs.values();
     }
 
-    /** The jobs whose names come after one, in their order. */
+    /** The jobs whose ids sort after the given one, in order. */
     public Collection<Job> jobsAfter(String id) {
         return jobs.tailMap(id, false).values();
     }
@@ -55,19 +61,23 @@
         return jobs.get(id);
     }
 
-    /** Adds an open job, or returns the one that is there. */
+    /** Adds an open job, or returns the one that was added before. */
     public Job add(OpenJob open) {
         changed = true;
-        long age = Math.max(0, kernel.wallClockMs() - open.acceptedAt());
+        long ageMs = Math.max(0, eventLoop.wallClockMs() - open.acceptedAt());
         return jobs.computeIfAbsent(open.spec().id(), id -> {
-            Job job = new Job(open, kernel.nowMs() - age);
-            LOG.debug("{} is open since {} ms: {}", id, age, open.spec());
+            Job job = new Job(open, eventLoop.nowMs() - ageMs);
+            LOG.atDebug()
+                    .addKeyValue("job", id)
+                    .addKeyValue("age_ms", ageMs)
+                    .addKeyValue("spec", open.spec())
+                    .log("job added");
             pendingJobs.put(id, job);
             return job;
         });
     }
 
-    /** Jobs with a task that waits for a place. */
+    /** Jobs with a pending task. */
     public Collection<Job> pendingJobs() {
         return pendingJobs.values();
     }
@@ -77,40 +87,40 @@
         return jobsWithUnaccountedTasks.values();
     }
 
-    /** Marks the waiting tasks of a job as unaccounted that a former leader may have started on a silent machine. */
+    /** Marks those pending tasks of a job as unaccounted that a former leader may have started on a silent machine. */
     public void markUnaccounted(Job job) {
         update(job, Job::markStartedUnaccounted);
     }
 
-    /** Settles a job: whatever of it is not explained by now runs nowhere. */
+    /** Makes the unaccounted tasks of a job pending again, once no silent machine can run one of them. */
     public void resolveUnaccounted(Job job) {
         update(job, Job::resolveUnaccounted);
     }
 
-    // Every change of a job's tasks goes through here, so that the sums and the short lists stay true.
+    // Every change of a job's tasks goes through here, so that team usage and the indexes stay consistent.
     private void update(Job job, Consumer<Job> change) {
         int before = job.unaccounted().cardinality();
         change.accept(job);
-        int more = job.unaccounted().cardinality() - before;
-        if (more != 0) {
-            usageByTeam.merge(job.spec().team(), job.spec().demand().times(more), Resources::plus);
+        int addedUnaccounted = job.unaccounted().cardinality() - before;
+        if (addedUnaccounted != 0) {
+            usageByTeam.merge(job.spec().team(), job.spec().demand().times(addedUnaccounted), Resources::plus);
         }
         index(pendingJobs, job, !job.pending().isEmpty());
         index(jobsWithUnaccountedTasks, job, !job.unaccounted().isEmpty());
         changed = true;
     }
 
-    private static void index(Map<String, Job> list, Job job, boolean belongs) {
-        if (belongs) {
-            list.put(job.id(), job);
+    private static void index(Map<String, Job> index, Job job, boolean isMember) {
+        if (isMember) {
+            index.put(job.id(), job);
         } else {
-            list.remove(job.id(), job);
+            index.remove(job.id(), job);
         }
     }
 
-    /** Ends a job: nothing of it is started any more; it leaves the cluster state with its last booking. */
+    /** Makes a job terminal: no task of it is started any more; it is removed with its last allocation. */
     public void terminate(Job job) {
-        LOG.debug("{} is over", job.id());
+        LOG.atDebug().addKeyValue("job", job.id()).log("job terminal");
         update(job, Job::terminate);
         removeIfDrained(job);
     }
@@ -136,23 +146,23 @@
         machines.put(machine.id(), machine);
     }
 
-    /** Takes a machine out that is surely gone, with everything that was on it. */
+    /** Removes a machine that certainly no longer exists, and releases its allocations. */
     public void remove(Machine machine) {
         machine.allocationsSnapshot().forEach(this::release);
         machines.remove(machine.id(), machine);
         wasRemoved.add(machine.id());
-        unexplainedMachines(machine, false);
+        setUnexplained(machine, false);
         changed = true;
     }
 
-    /** Whether a machine is surely gone: a late report of it must not bring it back. */
+    /** Whether a machine was removed: a delayed heartbeat of it must not add it again. */
     public boolean wasRemoved(String machineId) {
         return wasRemoved.contains(machineId);
     }
 
-    // ---- bookings
+    // ---- allocations
 
-    /** A task's attempts are unique across leaders: the term is the higher half. */
+    /** A new attempt number, unique across leaders: the higher half is the term. */
     public long nextAttempt() {
         return (term << 32) + ++attempts;
     }
@@ -160,62 +170,63 @@
     /** Assigns a task to a machine and reserves the resources there. */
     public Allocation allocate(Job job, int index, Machine machine, long attempt) {
         if (job.allocation(index) != null) {
-            throw new IllegalStateException(job.task(index) + " has a place already");
+            throw new IllegalStateException(job.task(index) + " is allocated already");
         }
-        Allocation booking = new Allocation(job, index, attempt, machine, kernel.nowMs());
-        kernel.increment("placement.booked", 1);
-        update(job, booked -> booked.addAllocation(booking));
-        machine.addAllocation(booking);
-        usageByTeam.merge(job.spec().team(), booking.demand(), Resources::plus);
-        logAllocation(booking, "task is booked");
-        return booking;
-    }
-
-    /** Frees the place; the task waits again unless it is done or its job over. */
-    public void release(Allocation booking) {
-        if (booking.machine().allocation(booking.task()) != booking) {
+        Allocation allocation = new Allocation(job, index, attempt, machine, eventLoop.nowMs());
+        eventLoop.increment("placement.booked", 1);
+        update(job, updated -> updated.addAllocation(allocation));
+        machine.addAllocation(allocation);
+        usageByTeam.merge(job.spec().team(), allocation.demand(), Resources::plus);
+        logAllocation(allocation, "task allocated");
+        return allocation;
+    }
+
+    /** Releases an allocation; the task is pending again unless it is done or its job is terminal. */
+    public void release(Allocation allocation) {
+        if (allocation.machine().allocation(allocation.task()) != allocation) {
             return;
         }
-        update(booking.job(), job -> job.removeAllocation(booking));
-        booking.machine().removeAllocation(booking, kernel.nowMs());
-        usageByTeam.merge(booking.job().spec().team(), booking.demand(), Resources::minus);
-        logAllocation(booking, "booking is released");
-        removeIfDrained(booking.job());
+        update(allocation.job(), job -> job.removeAllocation(allocation));
+        allocation.machine().removeAllocation(allocation, eventLoop.nowMs());
+        usageByTeam.merge(allocation.job().spec().team(), allocation.demand(), Resources::minus);
+        logAllocation(allocation, "allocation released");
+        removeIfDrained(allocation.job());
     }
 
-    private static void logAllocation(Allocation booking, String message) {
+    private static void logAllocation(Allocation allocation, String message) {
         LOG.atDebug()
-                .addKeyValue("task", booking.task())
-                .addKeyValue("attempt", booking.attempt())
-                .addKeyValue("machine", booking.machine().id())
-                .addKeyValue("phase", booking.phase())
-                .addKeyValue("stopping", booking.stopping())
+                .addKeyValue("task", allocation.task())
+                .addKeyValue("attempt", allocation.attempt())
+                .addKeyValue("machine", allocation.machine().id())
+                .addKeyValue("phase", allocation.phase())
+                .addKeyValue("stopping", allocation.stopping())
                 .log(message);
     }
 
+    /** Marks a task as done; it will not be started again. */
     public void markDone(Job job, int index) {
-        update(job, done -> done.markDone(index));
+        update(job, updated -> updated.markDone(index));
     }
 
-    /** What a team's tasks take or may take: booked ones and unaccounted ones. */
+    /** The resources of a team's allocated and unaccounted tasks. */
     public Resources usageByTeam(String team) {
         return usageByTeam.getOrDefault(team, Resources.NONE);
     }
 
     /**
-     * What a team's tasks may take at the most. On a machine that is not verified yet, or that reports tasks the leader
-     * has no place for, there may be tasks of jobs that are over: the open jobs don't tell of those, and until they are
-     * gone they count against their team's limit, whichever it is.
+     * Upper bound of a team's usage: the whole size of each unexplained machine counts in addition. Its tasks may
+     * belong to terminal jobs of any team, which the open jobs don't name, and count against the quota until they are
+     * gone.
      */
     public Resources maxPossibleUsage(String team) {
         return usageByTeam(team).plus(unexplainedCapacity);
     }
 
-    /** Says whether something may be on a machine that the open jobs don't explain. */
-    public void unexplainedMachines(Machine machine, boolean isUnexplained) {
+    /** Sets whether a machine is unexplained: whether it may run tasks that belong to no open job. */
+    public void setUnexplained(Machine machine, boolean isUnexplained) {
         if (isUnexplained ? unexplainedMachines.add(machine) : unexplainedMachines.remove(machine)) {
             Resources size = machine.type().size();
-            // Not summed anew, but for none: at a takeover hundreds of machines are explained one by one.
+            // Not summed again unless empty: after a takeover hundreds of machines are explained one by one.
             unexplainedCapacity = unexplainedMachines.isEmpty()
                     ? Resources.NONE
                     : isUnexplained ? unexplainedCapacity.plus(size) : unexplainedCapacity.minus(size);
@@ -223,13 +234,19 @@
         }
     }
 
-    /** Whether anything has changed since this was last asked. */
+    /** The former name of {@link #setUnexplained}. */
+    public void unexplainedMachines(Machine machine, boolean isUnexplained) {
+        setUnexplained(machine, isUnexplained);
+    }
+
+    /** Whether anything has changed since the last call. */
     public boolean takeChanged() {
         boolean was = changed;
         changed = false;
         return was;
     }
 
+    /** Requests another scheduling pass. */
     public void markChanged() {
         changed = true;
     }
--- a/src/main/java/io/quartzgw/scheduling/Consolidation.java
+++ b/src/main/java/io/quartzgw/scheduling/Consolidation.java
@@ -9,13 +9,13 @@
 import java.util.function.Predicate;
 
 /**
- * Moves the replicas of a machine that is little used to machines that have room and the image, so that it can be
- * returned. Batch work ends by itself; replicas would keep a machine for one of them for as long as they run.
+ * Drains underutilized machines whose service replicas all fit on machines that have the image, so that the fleet can
+ * scale in. Batch tasks end by themselves; a single replica would keep its machine for as long as the service runs.
  */
 public final class Consolidation {
-    /** Only a machine of which no more than this is in use is cleared. */
+    /** Only a machine with at most this utilization is drained. */
     private static final double MAX_UTILIZATION = 0.6;
-    /** A replica that has run for less stays: a start counts only when it lasts. */
+    /** A replica that has run for less is not moved: a start counts only if the replica stays up. */
     private static final double MIN_RUNTIME_LEASES = 2;
 
     private final ClusterState cluster;
@@ -23,20 +23,21 @@
     private final TaskLauncher launcher;
     private final long minRuntimeMs;
 
-    /** @param usable whether something may be placed on a machine now */
-    public Consolidation(ClusterState cluster, Predicate<Machine> usable, TaskLauncher starter, long leaseMs) {
+    /** @param usable whether tasks may be allocated to a machine now */
+    public Consolidation(ClusterState cluster, Predicate<Machine> usable, TaskLauncher launcher, long leaseMs) {
         this.cluster = cluster;
         this.usable = usable;
-        this.launcher = starter;
+        this.launcher = launcher;
         this.minRuntimeMs = (long) (MIN_RUNTIME_LEASES * leaseMs);
     }
 
     /**
-     * Clears one machine, if there is one whose replicas all have a better place, and returns it; else null.
+     * Drains one machine whose replicas all fit elsewhere.
      *
-     * @param returnable whether a machine may be returned at all
+     * @param removable whether a machine may be scaled in at all
+     * @return the machine that is being drained, or null if there is none
      */
-    public Machine drainOne(Predicate<Machine> returnable, long now) {
+    public Machine drainOne(Predicate<Machine> removable, long now) {
         if (!cluster.pendingJobs().isEmpty()) {
             return null;
         }
@@ -44,27 +45,27 @@
         List<Machine> candidates = machines.stream()
                 .filter(machine -> !machine.empty()
                         && utilization(machine) <= MAX_UTILIZATION
-                        && returnable.test(machine)
-                        && machine.allocations().stream().allMatch(booking -> movable(booking, now)))
+                        && removable.test(machine)
+                        && machine.allocations().stream().allMatch(allocation -> movable(allocation, now)))
                 .sorted(Comparator.comparingDouble(Consolidation::utilization).thenComparing(Machine::id))
                 .toList();
         for (Machine machine : candidates) {
             if (allFitElsewhere(machine, machines)) {
                 machine.drain();
                 machine.allocationsSnapshot()
-                        .forEach(booking -> launcher.stop(
-                                booking, booking.job().spec().checkpointGraceS(), StopReason.CONSOLIDATED));
+                        .forEach(allocation -> launcher.stop(
+                                allocation, allocation.job().spec().checkpointGraceS(), StopReason.CONSOLIDATED));
                 return machine;
             }
         }
         return null;
     }
 
-    private boolean movable(Allocation booking, long now) {
-        return booking.job().spec().service()
-                && !booking.stopping()
-                && booking.phase() == Allocation.Phase.RUNNING
-                && booking.runtimeMs(now) >= minRuntimeMs;
+    private boolean movable(Allocation allocation, long now) {
+        return allocation.job().spec().service()
+                && !allocation.stopping()
+                && allocation.phase() == Allocation.Phase.RUNNING
+                && allocation.runtimeMs(now) >= minRuntimeMs;
     }
 
     private static double utilization(Machine machine) {
@@ -72,8 +73,8 @@
         return 1 - machine.freeCapacity().cpus() / size.cpus();
     }
 
-    // In the same zone, so that no rule on zones is touched, and on machines that are used no less, so that
-    // nothing is moved to and fro.
+    // In the same zone, so that no zone constraint is affected, and on machines of at least the same utilization, so
+    // that no replica is moved back and forth.
     private static boolean allFitElsewhere(Machine from, List<Machine> machines) {
         Map<Machine, Resources> freeCapacities = new HashMap<>();
         List<Machine> targets = new ArrayList<>();
@@ -86,18 +87,18 @@
                 freeCapacities.put(machine, machine.freeCapacity());
             }
         }
-        for (Allocation booking : from.allocations()) {
+        for (Allocation allocation : from.allocations()) {
             Machine target = targets.stream()
-                    .filter(machine -> booking.demand().fitsIn(freeCapacities.get(machine))
-                            && machine.hasImage(booking.job().spec().image())
-                            && booking.job().spec().allows(machine.type().name(), machine.zone(), machine.spot())
-                            && !booking.job().excludes(machine.id()))
+                    .filter(machine -> allocation.demand().fitsIn(freeCapacities.get(machine))
+                            && machine.hasImage(allocation.job().spec().image())
+                            && allocation.job().spec().allows(machine.type().name(), machine.zone(), machine.spot())
+                            && !allocation.job().excludes(machine.id()))
                     .findFirst()
                     .orElse(null);
             if (target == null) {
                 return false;
             }
-            freeCapacities.merge(target, booking.demand(), Resources::minus);
+            freeCapacities.merge(target, allocation.demand(), Resources::minus);
         }
         return true;
     }
--- a/src/main/java/io/quartzgw/scheduling/Job.java
+++ b/src/main/java/io/quartzgw/scheduling/Job.java
@@ -12,10 +12,12 @@
 import java.util.Set;
 
 /**
- * An open job as the leader sees it. Each task is in exactly one state: done, booked on a machine, unaccounted (it may
- * run on a machine that is silent since the takeover), or waiting for a place.
+ * An open job as the leader sees it. Each task is in exactly one state: done, allocated to a machine, unaccounted (it
+ * may run on a machine that has been silent since the takeover), or pending. All times are of this node's steady clock.
  */
 public final class Job {
+    private static final int MAX_BACKOFF_DOUBLINGS = 6;
+
     private final OpenJob open;
     private final long submittedAt;
     private final BitSet done = new BitSet();
@@ -30,7 +32,7 @@
     private int failures;
     private long retryAt;
 
-    /** @param submittedAt when it was accepted, on this node's steady clock */
+    /** @param submittedAt when the job was accepted */
     Job(OpenJob open, long submittedAt) {
         this.open = open;
         this.submittedAt = submittedAt;
@@ -57,7 +59,7 @@
         return submittedAt;
     }
 
-    /** When the job should be done, on this node's steady clock; far away when it has no deadline. */
+    /** When the job should be done, or {@code Long.MAX_VALUE} if it has no deadline. */
     public long dueAt() {
         Double deadline = spec().deadlineS();
         return deadline == null ? Long.MAX_VALUE : submittedAt + (long) (deadline * 1000);
@@ -93,10 +95,10 @@
         return new ArrayList<>(allocations.values());
     }
 
-    /** The number of tasks that workers report as running. */
+    /** The number of tasks that agents report as running. */
     public int runningCount() {
         return (int) allocations.values().stream()
-                .filter(b -> b.phase() == Allocation.Phase.RUNNING)
+                .filter(allocation -> allocation.phase() == Allocation.Phase.RUNNING)
                 .count();
     }
 
@@ -112,22 +114,22 @@
         return unaccounted;
     }
 
-    void addAllocation(Allocation booking) {
-        pending.clear(booking.index());
-        unaccounted.clear(booking.index());
-        allocations.put(booking.index(), booking);
-        tasksPerZone.merge(booking.machine().zone(), 1, Integer::sum);
+    void addAllocation(Allocation allocation) {
+        pending.clear(allocation.index());
+        unaccounted.clear(allocation.index());
+        allocations.put(allocation.index(), allocation);
+        tasksPerZone.merge(allocation.machine().zone(), 1, Integer::sum);
     }
 
-    void removeAllocation(Allocation booking) {
-        allocations.remove(booking.index());
-        tasksPerZone.merge(booking.machine().zone(), -1, Integer::sum);
-        if (!isTerminal && !done.get(booking.index())) {
-            pending.set(booking.index());
+    void removeAllocation(Allocation allocation) {
+        allocations.remove(allocation.index());
+        tasksPerZone.merge(allocation.machine().zone(), -1, Integer::sum);
+        if (!isTerminal && !done.get(allocation.index())) {
+            pending.set(allocation.index());
         }
     }
 
-    /** Whether the task's finish is in the state service. */
+    /** Whether the task is recorded as done in the state service. */
     public boolean recordedDone(int index) {
         return recordedDone.get(index);
     }
@@ -142,13 +144,14 @@
         unaccounted.clear(index);
     }
 
-    /** Tasks from this one on have never been started by anyone, as the state service tells. */
+    /** Tasks with this index or a higher one were never started by any leader, according to the state service. */
     public int recordedStartLimit() {
         return recordedStartLimit;
     }
 
-    public void recordedStartLimit(int recorded) {
-        recordedStartLimit = Math.max(recordedStartLimit, recorded);
+    /** Raises the recorded start limit; it never decreases. */
+    public void recordedStartLimit(int startLimit) {
+        recordedStartLimit = Math.max(recordedStartLimit, startLimit);
     }
 
     void markStartedUnaccounted() {
@@ -164,24 +167,24 @@
         unaccounted.clear();
     }
 
-    /** Whether a gang has lost a member while others still have their places: it restarts whole. */
+    /** Whether a gang has lost a member while others are still allocated: it restarts as a whole. */
     public boolean isBrokenGang() {
         return spec().gang() && !pending.isEmpty() && !allocations.isEmpty();
     }
 
-    /** How many tasks are or may be running anywhere. */
+    /** The number of tasks that run or may run: allocated or unaccounted. */
     public int possiblyRunning() {
         return allocations.size() + unaccounted.cardinality();
     }
 
-    /** The CPU time that its waiting tasks will take, as far as its owner guesses. */
+    /** The CPU seconds that the pending tasks will take, by the owner's runtime estimate. */
     public double pendingWork() {
         return pending.cardinality() * spec().demand().cpus() * spec().estimateS();
     }
 
     // ---- zones
 
-    /** Whether one more task may start in the zone, given where the others are or may be. */
+    /** Whether the zone constraints allow one more task in the zone, given where the others run or may run. */
     public boolean zoneAllowed(String zone) {
         if (spec().spread()
                 && tasksPerZone.getOrDefault(zone, 0) + unaccounted.cardinality() >= spec().tasksPerZone()) {
@@ -190,7 +193,7 @@
         if (!spec().singleZone() || possiblyRunning() == 0) {
             return true;
         }
-        // An unaccounted task may be in any zone: until it is found, nothing else of the job starts.
+        // An unaccounted task may be in any zone: until it is found, no other task of the job starts.
         return unaccounted.isEmpty() && tasksPerZone.getOrDefault(zone, 0) == allocations.size();
     }
 
@@ -210,13 +213,14 @@
         unaccounted.clear();
     }
 
-    /** Notes a failed attempt: the next one waits, longer each time, and avoids the machine. */
-    public void recordFailure(String machine, long now, long firstPauseMs) {
+    /** Records a failed attempt: the job backs off exponentially and is not scheduled on the machine again. */
+    public void recordFailure(String machine, long now, long initialBackoffMs) {
         excludedMachines.add(machine);
         failures++;
-        retryAt = now + (firstPauseMs << Math.min(failures - 1, 6));
+        retryAt = now + (initialBackoffMs << Math.min(failures - 1, MAX_BACKOFF_DOUBLINGS));
     }
 
+    /** Delays the next attempt at least until the given time. */
     public void delayRetry(long until) {
         retryAt = Math.max(retryAt, until);
     }
@@ -233,7 +237,7 @@
         return excludedMachines.contains(machine);
     }
 
-    /** Forgets which machines failed it, when there is no other left to try. */
+    /** Allows all machines again, when none is left on which the job has not failed. */
     public void clearExcludedMachines() {
         excludedMachines.clear();
     }
--- a/src/main/java/io/quartzgw/scheduling/Machine.java
+++ b/src/main/java/io/quartzgw/scheduling/Machine.java
@@ -17,13 +17,13 @@
 /** A rented machine as the leader sees it. */
 public final class Machine {
 
-    /** What the machine is good for. */
+    /** The lifecycle of a machine. */
     public enum Status {
-        /** Rented; its worker has not reported yet. */
+        /** Rented; its agent has not sent a heartbeat yet. */
         BOOTING,
-        /** Its worker reports. */
+        /** Its agent sends heartbeats. */
         UP,
-        /** Nothing is placed on it any more; it will be returned. */
+        /** No task is allocated to it any more; it will be deleted. */
         DRAINING
     }
 
@@ -36,7 +36,7 @@
     private Status status = Status.BOOTING;
     private boolean hasRunTasks;
     private final AgentLiveness liveness;
-    private boolean removeAllocation;
+    private boolean reservationExpired;
     private long reclaimAt = Long.MAX_VALUE;
     private long emptySince;
     private final Map<String, Allocation> allocations = new HashMap<>();
@@ -86,8 +86,8 @@
         return address;
     }
 
-    public void address(Endpoint reported) {
-        this.address = reported;
+    public void address(Endpoint address) {
+        this.address = address;
     }
 
     // ---- state
@@ -109,41 +109,50 @@
         hasRunTasks = true;
     }
 
-    /** What was heard from its worker. */
+    /** The heartbeats of its agent. */
     public AgentLiveness liveness() {
         return liveness;
     }
 
-    /** A current report has told what is on it. */
+    /** Records that a current heartbeat has shown which tasks it runs. */
     public void markUp() {
-        removeAllocation = false;
+        reservationExpired = false;
         if (status == Status.BOOTING) {
             status = Status.UP;
         }
     }
 
-    /** Whether it was silent for its whole hold: what was on it has ended, and nothing is placed there. */
+    /**
+     * Whether it was silent for its whole reservation: its tasks have ended with their leases, and none is allocated to
+     * it until a current heartbeat arrives.
+     */
+    public boolean reservationExpired() {
+        return reservationExpired;
+    }
+
+    /** The former name of {@link #reservationExpired}. */
     public boolean removeAllocation() {
-        return removeAllocation;
+        return reservationExpired;
     }
 
     public void expireReservation() {
-        removeAllocation = true;
+        reservationExpired = true;
     }
 
+    /** When the cloud reclaims the machine, or {@code Long.MAX_VALUE} if it has announced nothing. */
     public long reclaimAt() {
         return reclaimAt;
     }
 
-    public void reclaimAt(long moment) {
-        reclaimAt = moment;
+    public void reclaimAt(long reclaimAt) {
+        this.reclaimAt = reclaimAt;
     }
 
     public long emptySince() {
         return emptySince;
     }
 
-    // ---- room
+    // ---- allocations
 
     public Resources freeCapacity() {
         return freeCapacity;
@@ -165,7 +174,7 @@
         return new ArrayList<>(allocations.values());
     }
 
-    /** Whether it has a task of less priority. */
+    /** Whether it runs a task below the priority. */
     boolean runsBelow(Priority priority) {
         for (int lower = priority.ordinal() + 1; lower < tasksPerPriority.length; lower++) {
             if (tasksPerPriority[lower] > 0) {
@@ -175,18 +184,18 @@
         return false;
     }
 
-    void addAllocation(Allocation booking) {
-        allocations.put(booking.task(), booking);
-        tasksPerPriority[booking.job().spec().priority().ordinal()]++;
-        allocated = allocated.plus(booking.demand());
+    void addAllocation(Allocation allocation) {
+        allocations.put(allocation.task(), allocation);
+        tasksPerPriority[allocation.job().spec().priority().ordinal()]++;
+        allocated = allocated.plus(allocation.demand());
         freeCapacity = type.size().minus(allocated);
     }
 
-    void removeAllocation(Allocation booking, long now) {
-        allocations.remove(booking.task());
-        tasksPerPriority[booking.job().spec().priority().ordinal()]--;
-        // Summed anew when empty, so that rounding errors of decimals don't add up over a day.
-        allocated = allocations.isEmpty() ? Resources.NONE : allocated.minus(booking.demand());
+    void removeAllocation(Allocation allocation, long now) {
+        allocations.remove(allocation.task());
+        tasksPerPriority[allocation.job().spec().priority().ordinal()]--;
+        // Reset when empty, so that rounding errors of decimals don't add up over a day.
+        allocated = allocations.isEmpty() ? Resources.NONE : allocated.minus(allocation.demand());
         freeCapacity = type.size().minus(allocated);
         if (allocations.isEmpty()) {
             emptySince = now;
@@ -199,54 +208,56 @@
         return images.containsKey(image);
     }
 
-    /** Notes that an image was fetched or used; the least recently used ones leave the cache. */
+    /** Records that an image was fetched or used; the least recently used ones are evicted from the cache. */
     public void cacheImage(String image, double gb) {
         images.put(image, gb);
-        double held = images.values().stream().mapToDouble(Double::doubleValue).sum();
+        double cachedGb =
+                images.values().stream().mapToDouble(Double::doubleValue).sum();
         var oldest = images.entrySet().iterator();
-        while (held > type.cacheGb() && oldest.hasNext()) {
+        while (cachedGb > type.cacheGb() && oldest.hasNext()) {
             Map.Entry<String, Double> entry = oldest.next();
             if (!entry.getKey().equals(image)) {
-                held -= entry.getValue();
+                cachedGb -= entry.getValue();
                 oldest.remove();
             }
         }
     }
 
     /**
-     * How long a task would wait for its image here: not at all where it is held, less where it is being fetched
-     * already, and the longer the more others are fetched at the same time.
+     * The estimated time until a task has its image here: none if it is cached, the remaining time if it is being
+     * fetched already, and longer the more images are fetched at the same time.
      */
     public double fetchS(String image, double gb, long now) {
         if (hasImage(image)) {
             return 0;
         }
-        double alone = type.fetchGbPerS() > 0 ? gb / type.fetchGbPerS() : 0;
-        int others = 0;
-        for (Allocation booking : allocations.values()) {
-            String fetched = booking.job().spec().image();
-            if (booking.phase() == Allocation.Phase.ASSIGNED || booking.phase() == Allocation.Phase.FETCHING) {
-                if (fetched.equals(image)) {
-                    return Math.max(0, alone - (now - booking.allocatedAt()) / 1000.0);
+        double unsharedFetchS = type.fetchGbPerS() > 0 ? gb / type.fetchGbPerS() : 0;
+        int otherFetches = 0;
+        for (Allocation allocation : allocations.values()) {
+            String allocatedImage = allocation.job().spec().image();
+            if (allocation.phase() == Allocation.Phase.ASSIGNED || allocation.phase() == Allocation.Phase.FETCHING) {
+                if (allocatedImage.equals(image)) {
+                    return Math.max(0, unsharedFetchS - (now - allocation.allocatedAt()) / 1000.0);
                 }
-                others += hasImage(fetched) ? 0 : 1;
+                otherFetches += hasImage(allocatedImage) ? 0 : 1;
             }
         }
-        return alone * (1 + others);
+        return unsharedFetchS * (1 + otherFetches);
     }
 
-    // ---- trust
+    // ---- exclusions
 
-    /** Jobs of which the worker would refuse a task at present, since it still knows a former attempt of it. */
+    /** Jobs of which the agent would refuse a task at present, since it still has a former attempt of the task. */
     public Set<String> refusedJobs() {
         return refusedJobs;
     }
 
-    /** Says which jobs the worker would refuse. */
+    /** Sets the jobs of which the agent would refuse a task. */
     public void refuseJobs(Set<String> jobs) {
         refusedJobs = jobs;
     }
 
+    /** Records that a task of the job failed here. */
     public void jobFailed(String job) {
         failedJobs.add(job);
     }
@@ -255,6 +266,7 @@
         failedJobs.clear();
     }
 
+    /** The number of different jobs that failed here since the last success. */
     public int failedJobs() {
         return failedJobs.size();
     }
--- a/src/main/java/io/quartzgw/scheduling/Preemption.java
+++ b/src/main/java/io/quartzgw/scheduling/Preemption.java
@@ -8,12 +8,12 @@
 import java.util.function.Predicate;
 
 /**
- * Finds machines where the tasks of one job of higher priority get room at the least loss. The plans of all machines
- * are made once for the job, however many of its tasks wait.
+ * Finds the machines where stopping tasks of lower priority frees capacity for a job at the least loss of work. The
+ * plans of all machines are made once for the job, however many of its tasks are pending.
  */
 final class Preemption {
 
-    /** Tasks to stop on a machine so that one more task fits there. */
+    /** The tasks to stop on a machine so that one more task fits there, and the CPU time that this loses. */
     record Plan(Machine machine, List<Allocation> victims, double lostCpuMs) {}
 
     private final Job job;
@@ -36,53 +36,56 @@
         }
     }
 
-    /** The cheapest plan, or null when stopping tasks of lower priority makes no room anywhere. */
+    /** The cheapest plan, or null when stopping tasks of lower priority frees enough capacity nowhere. */
     Plan next() {
         while (!plans.isEmpty()) {
             Plan cheapest = plans.poll();
-            Plan now = allowed.test(cheapest.machine()) ? plan(cheapest.machine()) : null;
-            if (now != null && now.victims().equals(cheapest.victims())) {
-                return now;
+            Plan current = allowed.test(cheapest.machine()) ? plan(cheapest.machine()) : null;
+            if (current != null && current.victims().equals(cheapest.victims())) {
+                return current;
             }
             // The machine has changed since the plan was made.
-            if (now != null) {
-                plans.add(now);
+            if (current != null) {
+                plans.add(current);
             }
         }
         return null;
     }
 
-    /** Has a machine looked at again, after a plan for it was carried out. */
+    /** Plans for a machine again, after a plan for it was carried out. */
     void reconsider(Machine machine) {
         addPlan(machine);
     }
 
     private Plan plan(Machine machine) {
-        Resources room = machine.freeCapacity();
+        Resources available = machine.freeCapacity();
         List<Allocation> victims = new ArrayList<>();
-        double loss = 0;
+        double lostCpuMs = 0;
         List<Allocation> candidates = machine.allocations().stream()
-                .filter(booking -> booking.observed()
-                        && !booking.stopping()
-                        && job.spec().priority().above(booking.job().spec().priority()))
-                .sorted(Comparator.comparingDouble((Allocation booking) -> lostWork(booking))
+                .filter(allocation -> allocation.observed()
+                        && !allocation.stopping()
+                        && job.spec().priority().above(allocation.job().spec().priority()))
+                .sorted(Comparator.comparingDouble((Allocation allocation) -> lostWork(allocation))
                         .thenComparing(Allocation::attempt))
                 .toList();
         for (Allocation candidate : candidates) {
-            if (job.spec().demand().fitsIn(room)) {
+            if (job.spec().demand().fitsIn(available)) {
                 break;
             }
             victims.add(candidate);
-            room = room.plus(candidate.demand());
-            loss += lostWork(candidate);
+            available = available.plus(candidate.demand());
+            lostCpuMs += lostWork(candidate);
         }
-        return !victims.isEmpty() && job.spec().demand().fitsIn(room) ? new Plan(machine, victims, loss) : null;
+        return !victims.isEmpty() && job.spec().demand().fitsIn(available)
+                ? new Plan(machine, victims, lostCpuMs)
+                : null;
     }
 
-    /** What is lost when the task is stopped at once: the run since its last checkpoint. */
-    private double lostWork(Allocation booking) {
-        double ran = booking.runtimeMs(now);
-        double checkpoint = booking.job().spec().checkpointIntervalS() * 1000;
-        return (checkpoint > 0 ? ran % checkpoint : ran) * booking.demand().cpus();
+    /** The CPU time that is lost when the task is stopped at once: since its last checkpoint. */
+    private double lostWork(Allocation allocation) {
+        double runtimeMs = allocation.runtimeMs(now);
+        double intervalMs = allocation.job().spec().checkpointIntervalS() * 1000;
+        return (intervalMs > 0 ? runtimeMs % intervalMs : runtimeMs)
+                * allocation.demand().cpus();
     }
 }
--- a/src/main/java/io/quartzgw/scheduling/Scheduler.java
+++ b/src/main/java/io/quartzgw/scheduling/Scheduler.java
@@ -21,7 +21,7 @@
 
     private static final double FRESH_HEARTBEATS = 2.5;
 
-    private final EventLoop kernel;
+    private final EventLoop eventLoop;
     private final ClusterState cluster;
     private final Map<String, TeamQuota> teams;
     private final TaskLauncher launcher;
@@ -42,22 +42,22 @@
      * @param cloudExhausted whether the cloud gives no more machines at present
      */
     public Scheduler(
-            EventLoop kernel,
+            EventLoop eventLoop,
             ClusterState cluster,
             Map<String, TeamQuota> teams,
             ServiceLevelObjectives goals,
-            boolean roomIsKept,
+            boolean capacityReserved,
             AgentTiming times,
             BooleanSupplier cloudExhausted,
-            TaskLauncher starter) {
-        this.kernel = kernel;
+            TaskLauncher launcher) {
+        this.eventLoop = eventLoop;
         this.cluster = cluster;
         this.teams = teams;
         this.cloudExhausted = cloudExhausted;
-        this.launcher = starter;
+        this.launcher = launcher;
         this.objectives = goals;
         this.queue = new SchedulingQueue(cluster, teams, goals, times.heartbeatMs());
-        this.bestFit = new BestFit(kernel.random(), roomIsKept);
+        this.bestFit = new BestFit(eventLoop.random(), capacityReserved);
         this.maxSilenceMs = (long) (FRESH_HEARTBEATS * times.heartbeatMs());
     }
 
@@ -73,9 +73,9 @@
                 .filter(machine -> machine.reclaimAt() != Long.MAX_VALUE)
                 .toList()
                 .forEach(this::evacuateReclaimed);
-        List<Job> queued = queue.order(kernel.nowMs());
-        kernel.increment("placement.passes", 1);
-        kernel.increment("placement.jobs", queued.size());
+        List<Job> queued = queue.order(eventLoop.nowMs());
+        eventLoop.increment("placement.passes", 1);
+        eventLoop.increment("placement.jobs", queued.size());
         List<UnplacedTasks> left = new ArrayList<>();
         if (!queued.isEmpty()) {
             List<Machine> machines =
@@ -93,7 +93,7 @@
                 }
             }
         }
-        kernel.increment("placement.looks", bestFit.takeMachinesExamined());
+        eventLoop.increment("placement.looks", bestFit.takeMachinesExamined());
         unplaced = left;
         scheduleRetry();
     }
@@ -125,11 +125,11 @@
     }
 
     private void scheduleRetry() {
-        long retry = queue.nextRetry(kernel.nowMs());
-        if (retry < retryAt || retryAt <= kernel.nowMs()) {
+        long retry = queue.nextRetry(eventLoop.nowMs());
+        if (retry < retryAt || retryAt <= eventLoop.nowMs()) {
             retryAt = retry;
             if (retry != Long.MAX_VALUE) {
-                kernel.after(retry - kernel.nowMs(), cluster::markChanged);
+                eventLoop.after(retry - eventLoop.nowMs(), cluster::markChanged);
             }
         }
     }
@@ -137,21 +137,21 @@
     /** Whether something may be placed on a machine now. */
     public boolean usable(Machine machine) {
         return machine.status() == Machine.Status.UP
-                && !machine.removeAllocation()
+                && !machine.reservationExpired()
                 && machine.liveness().verified()
                 && !machine.liveness().unreachable()
-                && kernel.nowMs() - machine.liveness().lastResponseAt() < maxSilenceMs
+                && eventLoop.nowMs() - machine.liveness().lastResponseAt() < maxSilenceMs
                 && machine.reclaimAt() == Long.MAX_VALUE
                 && machine.failedJobs() < QUARANTINE_FAILED_JOBS;
     }
 
     /** Returns how many tasks only lack room. */
-    private int place(Job job, List<Machine> machines, List<Machine> roomy) {
+    private int place(Job job, List<Machine> machines, List<Machine> withCapacity) {
         if (job.failures() >= MAX_FAILURES_FOR_SCALE_OUT
                 && machines.stream().allMatch(machine -> job.excludes(machine.id()))) {
             job.clearExcludedMachines();
         }
-        Candidates places = new Candidates(job, machines, roomy);
+        Candidates places = new Candidates(job, machines, withCapacity);
         while (job.nextPending() >= 0) {
             if (!withinQuota(job)) {
                 return 0;
@@ -179,7 +179,7 @@
         // Members come together under one attempt.
         long attempt = cluster.nextAttempt();
         while (job.nextPending() >= 0) {
-            Machine chosen = bestFit.choose(job, candidates, machine -> isAllowed(job, machine), kernel.nowMs());
+            Machine chosen = bestFit.choose(job, candidates, machine -> isAllowed(job, machine), eventLoop.nowMs());
             if (chosen == null) {
                 placed.forEach(cluster::release);
                 return members;
@@ -193,10 +193,11 @@
     // What a machine that is about to be taken away can't finish begins elsewhere now: when the machine is gone, that
     // is only known once the cloud's late list lacks it.
     private void evacuateReclaimed(Machine machine) {
-        for (Allocation booking : machine.allocationsSnapshot()) {
-            JobSpec spec = booking.job().spec();
-            if (booking.reclaimedBeforeEnd(kernel.nowMs()) && (!spec.service() || fitsElsewhere(booking.job()))) {
-                launcher.stop(booking, spec.checkpointGraceS(), StopReason.MACHINE_RECLAIMED);
+        for (Allocation allocation : machine.allocationsSnapshot()) {
+            JobSpec spec = allocation.job().spec();
+            if (allocation.reclaimedBeforeEnd(eventLoop.nowMs())
+                    && (!spec.service() || fitsElsewhere(allocation.job()))) {
+                launcher.stop(allocation, spec.checkpointGraceS(), StopReason.MACHINE_RECLAIMED);
                 if (spec.service()) {
                     // The next replica asks again whether there is room, once this one has taken its place.
                     return;
@@ -214,8 +215,9 @@
 
     private void stopRemainingMembers(Job job) {
         job.allocationsSnapshot().stream()
-                .filter(booking -> !booking.stopping())
-                .forEach(booking -> launcher.stop(booking, job.spec().checkpointGraceS(), StopReason.GANG_BROKEN));
+                .filter(allocation -> !allocation.stopping())
+                .forEach(
+                        allocation -> launcher.stop(allocation, job.spec().checkpointGraceS(), StopReason.GANG_BROKEN));
     }
 
     private boolean withinQuota(Job job) {
@@ -258,10 +260,10 @@
         private Preemption preemptionWithImage;
         private Preemption preemption;
 
-        Candidates(Job job, List<Machine> machines, List<Machine> roomy) {
+        Candidates(Job job, List<Machine> machines, List<Machine> withCapacity) {
             this.job = job;
             this.machines = machines;
-            for (Machine machine : roomy) {
+            for (Machine machine : withCapacity) {
                 if (job.spec().demand().fitsIn(machine.freeCapacity()) && isAllowed(job, machine)) {
                     listFor(machine).add(machine);
                 }
@@ -269,7 +271,7 @@
         }
 
         private List<Machine> listFor(Machine machine) {
-            double fetchS = machine.fetchS(job.spec().image(), job.spec().imageGb(), kernel.nowMs());
+            double fetchS = machine.fetchS(job.spec().image(), job.spec().imageGb(), eventLoop.nowMs());
             return fetchS == 0 ? withImage : objectives.startsInTime(job, fetchS) ? withFastFetch : withoutImage;
         }
 
@@ -284,7 +286,10 @@
             if (preempts(job)) {
                 if (preemptionWithImage == null) {
                     preemptionWithImage = new Preemption(
-                            job, machines, machine -> holdsImage(machine) && isAllowed(job, machine), kernel.nowMs());
+                            job,
+                            machines,
+                            machine -> holdsImage(machine) && isAllowed(job, machine),
+                            eventLoop.nowMs());
                 }
                 if (preempt(preemptionWithImage)) {
                     return true;
@@ -295,7 +300,7 @@
             }
             if (preempts(job)) {
                 if (preemption == null) {
-                    preemption = new Preemption(job, machines, machine -> isAllowed(job, machine), kernel.nowMs());
+                    preemption = new Preemption(job, machines, machine -> isAllowed(job, machine), eventLoop.nowMs());
                 }
                 return preempt(preemption);
             }
@@ -303,7 +308,7 @@
         }
 
         private boolean allocateFrom(List<Machine> candidates) {
-            Machine chosen = bestFit.choose(job, candidates, machine -> isAllowed(job, machine), kernel.nowMs());
+            Machine chosen = bestFit.choose(job, candidates, machine -> isAllowed(job, machine), eventLoop.nowMs());
             if (chosen != null) {
                 allocate(job, chosen);
             }
--- a/src/main/java/io/quartzgw/scheduling/SchedulingQueue.java
+++ b/src/main/java/io/quartzgw/scheduling/SchedulingQueue.java
@@ -8,19 +8,19 @@
 import java.util.Map;
 
 /**
- * The order in which jobs get room: priority, guarantee, whether a goal can still be reached, then the least work
- * first, the team's use, age. When not all can be in time, the least work first brings the most jobs home, and a job
- * that is late in any case holds up none that is not.
+ * The order in which pending jobs are scheduled: priority, the team's guaranteed quota, whether an objective can still
+ * be met, then least remaining work first, the team's usage, age. When not all jobs can meet their objectives, least
+ * work first completes the most of them, and a job that is late in any case delays none that is not.
  *
- * <p>Under a steady stream of small jobs that alone would starve the large and the late. So a job that has not begun
- * for a while goes first, work weighs less the longer it waits, and lateness counts only so long.
+ * <p>Under a steady stream of small jobs that alone would starve large and late jobs. So a job that has not started for
+ * a while goes first, work is discounted the longer it waits, and lateness counts for a limited time only.
  */
 final class SchedulingQueue {
-    /** A job that has no task running or done by now goes first. */
+    /** A job of this age without a running or done task goes first. */
     private static final int STARVED_AFTER_HEARTBEATS = 24;
-    /** After so long, waiting work counts for a quarter, after twice as long for a ninth. */
+    /** At this age, pending work counts for a quarter, at twice the age for a ninth. */
     private static final int AGEING_HEARTBEATS = 12;
-    /** After so long, a job that can't be in time any more waits no longer than others. */
+    /** From this age on, a job that can no longer meet its objectives is not ranked behind others for it. */
     private static final int LATENESS_EXPIRES_HEARTBEATS = 72;
 
     private final ClusterState cluster;
@@ -28,17 +28,18 @@
     private final ServiceLevelObjectives objectives;
     private final long heartbeatMs;
 
-    SchedulingQueue(ClusterState cluster, Map<String, TeamQuota> teams, ServiceLevelObjectives goals, long reportMs) {
+    SchedulingQueue(
+            ClusterState cluster, Map<String, TeamQuota> teams, ServiceLevelObjectives objectives, long heartbeatMs) {
         this.cluster = cluster;
-        this.heartbeatMs = reportMs;
-        this.objectives = goals;
+        this.heartbeatMs = heartbeatMs;
+        this.objectives = objectives;
         this.teams = teams;
     }
 
     private record RankedJob(
             Job job, boolean guaranteed, boolean starved, boolean late, double work, double teamShare) {}
 
-    /** Jobs with a task to place, first things first. */
+    /** Jobs with a pending task whose retry delay is over, the most urgent first. */
     List<Job> order(long now) {
         List<RankedJob> ranked = new ArrayList<>();
         for (Job job : cluster.pendingJobs()) {
@@ -68,7 +69,7 @@
         return ranked.stream().map(RankedJob::job).toList();
     }
 
-    /** When a paused job may be tried again, or {@code Long.MAX_VALUE}. */
+    /** When the next delayed job may be retried, or {@code Long.MAX_VALUE} if none is delayed. */
     long nextRetry(long now) {
         return cluster.pendingJobs().stream()
                 .filter(job -> job.retryAt() > now)
--- a/src/main/java/io/quartzgw/scheduling/StopReason.java
+++ b/src/main/java/io/quartzgw/scheduling/StopReason.java
@@ -1,16 +1,16 @@
 package io.quartzgw.scheduling;
 
-/** Why a task is stopped by this leader; it decides nothing, and is logged with every stop. */
+/** Why this leader stops a task; it is logged with every stop and influences no decision. */
 public enum StopReason {
-    /** Work of higher priority takes its room. */
+    /** A task of higher priority needs its resources. */
     PREEMPTED,
-    /** The cloud takes the machine away before the task can end there. */
+    /** The cloud reclaims the machine before the task can complete there. */
     MACHINE_RECLAIMED,
-    /** Another member of its gang was lost: the gang restarts whole. */
+    /** Another member of its gang was lost: the gang restarts as a whole. */
     GANG_BROKEN,
-    /** Its machine is little used and is cleared. */
+    /** Its machine is underutilized and is being drained. */
     CONSOLIDATED,
-    /** Its job is cancelled, or done. */
+    /** Its job is terminal: cancelled or done. */
     JOB_OVER,
     /** The task has completed on another machine. */
     COMPLETED_ELSEWHERE
--- a/src/main/java/io/quartzgw/scheduling/TaskLauncher.java
+++ b/src/main/java/io/quartzgw/scheduling/TaskLauncher.java
@@ -1,8 +1,14 @@
 package io.quartzgw.scheduling;
 
-/** Has bookings started and stopped on their machines. */
+/** Sends start and stop commands for allocations to the agents of their machines. */
 public interface TaskLauncher {
-    void start(Allocation booking);
+    /** Starts the allocated task. */
+    void start(Allocation allocation);
 
-    void stop(Allocation booking, double graceS, StopReason reason);
+    /**
+     * Stops the allocated task.
+     *
+     * @param graceS how long the task may take to save a checkpoint
+     */
+    void stop(Allocation allocation, double graceS, StopReason reason);
 }
--- a/src/main/java/io/quartzgw/scheduling/UnplacedTasks.java
+++ b/src/main/java/io/quartzgw/scheduling/UnplacedTasks.java
@@ -1,4 +1,4 @@
 package io.quartzgw.scheduling;
 
-/** Tasks of a job that only lack room. */
+/** The number of tasks of a job that could not be allocated for lack of free capacity alone. */
 public record UnplacedTasks(Job job, int count) {}
--- a/src/test/java/io/quartzgw/scheduling/SchedulerTest.java
+++ b/src/test/java/io/quartzgw/scheduling/SchedulerTest.java
@@ -22,19 +22,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The scheduler's decisions against a plain model that recounts everything from the bookings. */
+/** The scheduler's decisions, also against a reference model that recounts everything from the allocations. */
 class SchedulerTest {
     private static final Map<String, TeamQuota> TEAMS =
             Map.of("limited", new TeamQuota("limited", 0, 24, 0, 0), "free", new TeamQuota("free", 0, 0, 0, 0));
     private static final MachineType TYPE =
             new MachineType("t", new Resources(8, 0, 32), 40, 1, 1, 0.3, 10, List.of("a", "b"));
 
-    private final EventLoop kernel = new EventLoop(1);
-    private final ClusterState cluster = new ClusterState(kernel, 1);
+    private final EventLoop eventLoop = new EventLoop(1);
+    private final ClusterState cluster = new ClusterState(eventLoop, 1);
     private final List<Allocation> stopped = new ArrayList<>();
     private boolean cloudExhausted;
     private final Scheduler scheduler = new Scheduler(
-            kernel,
+            eventLoop,
             cluster,
             TEAMS,
             new ServiceLevelObjectives(Map.of(), Map.of(), Map.of()),
@@ -43,20 +43,20 @@
             () -> cloudExhausted,
             new TaskLauncher() {
                 @Override
-                public void start(Allocation booking) {
-                    booking.markStartSent();
+                public void start(Allocation allocation) {
+                    allocation.markStartSent();
                 }
 
                 @Override
-                public void stop(Allocation booking, double graceS, StopReason reason) {
-                    booking.requestStop(graceS);
-                    stopped.add(booking);
+                public void stop(Allocation allocation, double graceS, StopReason reason) {
+                    allocation.requestStop(graceS);
+                    stopped.add(allocation);
                 }
             });
 
     private Machine machine(int number, boolean spot) {
         Machine machine = new Machine("i-" + number, TYPE, number % 2 == 0 ? "a" : "b", spot, 0, 0);
-        machine.liveness().recordHeartbeat(1, 1, kernel.nowMs());
+        machine.liveness().recordHeartbeat(1, 1, eventLoop.nowMs());
         machine.markUp();
         cluster.add(machine);
         return machine;
@@ -69,7 +69,7 @@
             Priority priority,
             int tasks,
             double cpus,
-            boolean oneZone,
+            boolean singleZone,
             boolean spread,
             boolean spot) {
         JobSpec spec = JobSpecs.named("j-" + number)
@@ -79,59 +79,62 @@
                 .tasks(tasks)
                 .demand(cpus, 0, 1)
                 .image("img-" + number % 3)
-                .oneZone(oneZone)
+                .oneZone(singleZone)
                 .spread(spread)
                 .spot(spot)
                 .spec();
         return cluster.add(new OpenJob(spec, number, 0));
     }
 
-    // ---- the model: linear scans over the bookings, nothing cached
+    // ---- the reference model: linear scans over the allocations, nothing cached
 
-    private List<Allocation> bookings() {
+    private List<Allocation> allocations() {
         return cluster.jobs().stream()
                 .flatMap(job -> job.allocations().stream())
                 .toList();
     }
 
-    private double used(Machine machine) {
-        return bookings().stream()
-                .filter(b -> b.machine() == machine && !b.stopping())
-                .mapToDouble(b -> b.demand().cpus())
+    private double allocatedCpus(Machine machine) {
+        return allocations().stream()
+                .filter(allocation -> allocation.machine() == machine && !allocation.stopping())
+                .mapToDouble(allocation -> allocation.demand().cpus())
                 .sum();
     }
 
-    private double used(String team) {
-        return bookings().stream()
-                .filter(b -> b.job().spec().team().equals(team))
-                .mapToDouble(b -> b.demand().cpus())
+    private double allocatedCpus(String team) {
+        return allocations().stream()
+                .filter(allocation -> allocation.job().spec().team().equals(team))
+                .mapToDouble(allocation -> allocation.demand().cpus())
                 .sum();
     }
 
-    private long inZone(Job job, String zone) {
-        return bookings().stream()
-                .filter(b -> b.job() == job && b.machine().zone().equals(zone))
+    private long tasksInZone(Job job, String zone) {
+        return allocations().stream()
+                .filter(allocation ->
+                        allocation.job() == job && allocation.machine().zone().equals(zone))
                 .count();
     }
 
     private boolean modelAllows(Job job, Machine machine) {
         JobSpec spec = job.spec();
         TeamQuota team = TEAMS.get(spec.team());
-        boolean quota = team.maxCpus() == 0 || used(spec.team()) + spec.demand().cpus() <= team.maxCpus();
-        boolean room =
-                used(machine) + spec.demand().cpus() <= machine.type().size().cpus();
-        boolean spread = !spec.spread() || inZone(job, machine.zone()) + 1 <= (spec.tasks() + 1) / 2;
-        boolean together = !spec.singleZone()
-                || bookings().stream()
-                        .noneMatch(b -> b.job() == job && !b.machine().zone().equals(machine.zone()));
-        return quota && room && spread && together && (spec.spotAllowed() || !machine.spot());
+        boolean quota = team.maxCpus() == 0
+                || allocatedCpus(spec.team()) + spec.demand().cpus() <= team.maxCpus();
+        boolean capacity = allocatedCpus(machine) + spec.demand().cpus()
+                <= machine.type().size().cpus();
+        boolean spread = !spec.spread() || tasksInZone(job, machine.zone()) + 1 <= (spec.tasks() + 1) / 2;
+        boolean singleZone = !spec.singleZone()
+                || allocations().stream()
+                        .noneMatch(allocation -> allocation.job() == job
+                                && !allocation.machine().zone().equals(machine.zone()));
+        return quota && capacity && spread && singleZone && (spec.spotAllowed() || !machine.spot());
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    void placesAllThatTheModelAllowsAndNothingElse(long seed) {
+    void allocatesExactlyWhatTheReferenceModelAllows(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        kernel.processBatch(List.of(), new ClockReading(1_000, 1_000));
+        eventLoop.processBatch(List.of(), new ClockReading(1_000, 1_000));
         List<Machine> machines = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             machines.add(machine(i, random.nextInt(3) == 0));
@@ -150,18 +153,18 @@
                     !service && random.nextBoolean());
             scheduler.schedule();
             for (Machine machine : machines) {
-                assertTrue(used(machine) <= 8, "no machine is overbooked");
+                assertTrue(allocatedCpus(machine) <= 8, "no machine is overcommitted");
             }
-            assertTrue(used("limited") <= 24, "the limit holds");
+            assertTrue(allocatedCpus("limited") <= 24, "the quota holds");
             for (Job job : cluster.jobs()) {
                 if (job.spec().spread()) {
-                    assertTrue(inZone(job, "a") <= job.spec().tasksPerZone()
-                            && inZone(job, "b") <= job.spec().tasksPerZone());
+                    assertTrue(tasksInZone(job, "a") <= job.spec().tasksPerZone()
+                            && tasksInZone(job, "b") <= job.spec().tasksPerZone());
                 }
                 if (job.nextPending() >= 0) {
                     assertTrue(
                             machines.stream().noneMatch(machine -> modelAllows(job, machine)),
-                            job.id() + " waits though there is a place for it");
+                            job.id() + " is pending though a machine could run it");
                 }
                 assertEquals(
                         job.spec().tasks(),
@@ -170,10 +173,10 @@
         }
     }
 
-    // Guards against an order that starves the large and the late: small jobs come faster than they can be
-    // run, and the largest of each team and shape begins within four minutes all the same.
+    // Guards against starvation of large and late jobs: small jobs arrive faster than they can run, and the largest job
+    // of each team and shape starts within four minutes all the same.
     @Test
-    void theLargestBeginInTimeUnderAStreamOfSmallJobs() {
+    void largeJobsStartWithinFourMinutesUnderAStreamOfSmallJobs() {
         for (int i = 0; i < 4; i++) {
             machine(i, false);
         }
@@ -184,7 +187,7 @@
                 machine.liveness().recordHeartbeat(1, now, now);
                 machine.liveness().lastResponseAt(now);
             }
-            kernel.processBatch(List.of(), new ClockReading(now, now));
+            eventLoop.processBatch(List.of(), new ClockReading(now, now));
             if (now == 10_000) {
                 for (String team : TEAMS.keySet()) {
                     largest.add(job(number++, team, JobShape.ARRAY, Priority.NORMAL, 40, 4, false, false, false));
@@ -195,44 +198,44 @@
                 job(number++, i == 0 ? "limited" : "free", JobShape.ARRAY, Priority.NORMAL, 2, 4, false, false, false);
             }
             scheduler.schedule();
-            assertTrue(used("limited") <= 24, "the limit holds");
-            for (Allocation booking : bookings()) {
-                if (!booking.job().spec().service() && now - booking.allocatedAt() >= 5_000) {
-                    cluster.markDone(booking.job(), booking.index());
-                    cluster.release(booking);
+            assertTrue(allocatedCpus("limited") <= 24, "the quota holds");
+            for (Allocation allocation : allocations()) {
+                if (!allocation.job().spec().service() && now - allocation.allocatedAt() >= 5_000) {
+                    cluster.markDone(allocation.job(), allocation.index());
+                    cluster.release(allocation);
                 }
             }
         }
         for (Job job : largest) {
             assertTrue(
                     job.doneCount() + job.possiblyRunning() > 0,
-                    job.id() + " of " + job.spec().team() + " has not begun");
+                    job.id() + " of " + job.spec().team() + " has not started");
         }
     }
 
     @Test
-    void importantWorkStopsTheCheapestLowerWork() {
+    void productionJobPreemptsTheLowerPriorityTaskWithTheLeastLostWork() {
         Machine machine = machine(0, false);
         Job low = job(1, "free", JobShape.ARRAY, Priority.NORMAL, 2, 4, false, false, false);
-        kernel.processBatch(List.of(), new ClockReading(1_000, 1_000));
+        eventLoop.processBatch(List.of(), new ClockReading(1_000, 1_000));
         scheduler.schedule();
         Allocation older = low.allocation(0);
         older.observed(Allocation.Phase.RUNNING, 500);
         low.allocation(1).observed(Allocation.Phase.RUNNING, 900);
         Job service = job(2, "free", JobShape.SERVICE, Priority.PRODUCTION, 1, 2, false, false, false);
         scheduler.schedule();
-        assertEquals(List.of(low.allocation(1)), stopped, "the one that has run less");
+        assertEquals(List.of(low.allocation(1)), stopped, "the one that has run for less time");
         assertEquals(machine, service.allocation(0).machine());
     }
 
-    // Guards deadlines on days when guests' work of low priority has taken the last machine.
+    // Guards deadlines of normal jobs while tasks of low priority run on the last machine that the cloud offers.
     @Test
-    void normalWorkStopsLowWorkOnlyWhenTheCloudGivesNoMore() {
+    void normalJobPreemptsLowPriorityOnlyWhenTheCloudIsExhausted() {
         machine(0, false);
         Job low = job(1, "free", JobShape.ARRAY, Priority.LOW, 4, 2, false, false, false);
-        kernel.processBatch(List.of(), new ClockReading(1_000, 1_000));
+        eventLoop.processBatch(List.of(), new ClockReading(1_000, 1_000));
         scheduler.schedule();
-        low.allocations().forEach(booking -> booking.observed(Allocation.Phase.RUNNING, 1_000));
+        low.allocations().forEach(allocation -> allocation.observed(Allocation.Phase.RUNNING, 1_000));
         Job normal = job(2, "free", JobShape.ARRAY, Priority.NORMAL, 1, 4, false, false, false);
         scheduler.schedule();
         assertEquals(List.of(), stopped);
@@ -243,65 +246,67 @@
         assertEquals(1, normal.allocations().size());
         job(3, "free", JobShape.ARRAY, Priority.LOW, 1, 4, false, false, false);
         scheduler.schedule();
-        assertEquals(2, stopped.size(), "low work stops nothing");
+        assertEquals(2, stopped.size(), "a low-priority job preempts nothing");
     }
 
-    // Guards deadlines and replicas against a machine whose end was foretold: its tasks were placed again only when the
-    // cloud's late list lacked it.
+    // Guards deadlines and replicas against a machine whose reclaim was announced: its tasks were allocated again only
+    // when the cloud's delayed machine list lacked it.
     @Test
-    void whatAMachineThatIsTakenAwayCannotFinishBeginsElsewhere() {
-        kernel.processBatch(List.of(), new ClockReading(1_000, 1_000));
-        Machine taken = machine(0, true);
+    void tasksThatCannotCompleteOnAReclaimedMachineAreStopped() {
+        eventLoop.processBatch(List.of(), new ClockReading(1_000, 1_000));
+        Machine reclaimed = machine(0, true);
         Job batch = job(1, "free", JobShape.ARRAY, Priority.NORMAL, 2, 2, false, false, true);
         Job service = job(2, "free", JobShape.SERVICE, Priority.PRODUCTION, 1, 4, false, false, true);
         scheduler.schedule();
         batch.allocation(0).observed(Allocation.Phase.RUNNING, 1_000);
-        kernel.processBatch(List.of(), new ClockReading(8_000, 8_000));
+        eventLoop.processBatch(List.of(), new ClockReading(8_000, 8_000));
         batch.allocation(1).observed(Allocation.Phase.RUNNING, 8_000);
         service.allocation(0).observed(Allocation.Phase.RUNNING, 8_000);
         scheduler.schedule();
-        assertEquals(List.of(), stopped, "nothing is foretold");
-        taken.reclaimAt(14_000);
+        assertEquals(List.of(), stopped, "no reclaim is announced");
+        reclaimed.reclaimAt(14_000);
         scheduler.schedule();
         assertEquals(
-                List.of(batch.allocation(1)), stopped, "not what ends in time, nor a replica without room elsewhere");
+                List.of(batch.allocation(1)),
+                stopped,
+                "neither the task that completes in time nor the replica that fits nowhere else");
         machine(1, false).liveness().lastResponseAt(8_000);
         scheduler.schedule();
         assertEquals(List.of(batch.allocation(1), service.allocation(0)), stopped);
     }
 
     @Test
-    void aLateJobIsWorthItsRoomWhileAMultipleOfItsDeadlineCanBeReached() {
-        ServiceLevelObjectives goals = new ServiceLevelObjectives(Map.of(), Map.of("w", 2.0), Map.of());
+    void lateJobIsReachableUntilTheLargestDeadlineMultipleHasPassed() {
+        ServiceLevelObjectives objectives = new ServiceLevelObjectives(Map.of(), Map.of("w", 2.0), Map.of());
         Job job = cluster.add(new OpenJob(JobSpecs.named("j-2").deadlineS(20).spec(), 2, 0));
-        assertTrue(goals.isReachable(job, 30_000));
-        assertTrue(!goals.isReachable(job, 31_000));
+        assertTrue(objectives.isReachable(job, 30_000));
+        assertTrue(!objectives.isReachable(job, 31_000));
     }
 
     @Test
-    void tasksWithinTheLimitAreCountedLikeOneByOne() {
+    void tasksWithinLimitEqualsCountingOneByOne() {
         Resources demand = new Resources(2.5, 0, 1);
         for (TeamQuota team : TEAMS.values()) {
             for (double used = 0; used <= 30; used += 1.5) {
-                for (int most : List.of(0, 1, 7, 40)) {
+                for (int maxCount : List.of(0, 1, 7, 40)) {
                     int count = 0;
                     Resources use = new Resources(used, 0, 0);
-                    while (count < most && team.withinLimit(use = use.plus(demand))) {
+                    while (count < maxCount && team.withinLimit(use = use.plus(demand))) {
                         count++;
                     }
-                    assertEquals(count, team.tasksWithinLimit(new Resources(used, 0, 0), demand, most));
+                    assertEquals(count, team.tasksWithinLimit(new Resources(used, 0, 0), demand, maxCount));
                 }
             }
         }
     }
 
     @Test
-    void equalWorkIsNotStopped() {
+    void jobOfEqualPriorityPreemptsNothing() {
         machine(0, false);
         Job first = job(1, "free", JobShape.SERVICE, Priority.PRODUCTION, 4, 2, false, false, false);
-        kernel.processBatch(List.of(), new ClockReading(1_000, 1_000));
+        eventLoop.processBatch(List.of(), new ClockReading(1_000, 1_000));
         scheduler.schedule();
-        first.allocations().forEach(booking -> booking.observed(Allocation.Phase.RUNNING, 1_000));
+        first.allocations().forEach(allocation -> allocation.observed(Allocation.Phase.RUNNING, 1_000));
         job(2, "free", JobShape.SERVICE, Priority.PRODUCTION, 1, 2, false, false, false);
         scheduler.schedule();
         assertEquals(List.of(), stopped);
@@ -309,25 +314,25 @@
     }
 
     @Test
-    void aJobThatFailsEverywhereIsRetriedButNotRentedFor() {
+    void jobThatFailedThreeTimesIsRetriedWithoutScaleOut() {
         Machine machine = machine(0, false);
         Job job = job(1, "free", JobShape.ARRAY, Priority.NORMAL, 1, 4, false, false, false);
         job.recordFailure(machine.id(), 0, 1);
-        kernel.processBatch(List.of(), new ClockReading(1_000, 1_000));
+        eventLoop.processBatch(List.of(), new ClockReading(1_000, 1_000));
         scheduler.schedule();
-        assertEquals(1, scheduler.unplaced().size(), "another machine may do");
+        assertEquals(1, scheduler.unplaced().size(), "it may run on another machine");
         job.recordFailure(machine.id(), 0, 1);
         job.recordFailure(machine.id(), 0, 1);
         scheduler.schedule();
-        assertEquals(List.of(), scheduler.unplaced(), "no machine is rented for it");
+        assertEquals(List.of(), scheduler.unplaced(), "no scale-out for it");
         assertEquals(machine, job.allocation(0).machine(), "it may try again where it failed");
     }
 
     @Test
-    void aGangIsPlacedWholeOrNotAtAll() {
+    void gangIsAllocatedAsAWholeOrNotAtAll() {
         machine(0, false);
         Job gang = job(1, "free", JobShape.GANG, Priority.NORMAL, 3, 4, false, false, false);
-        kernel.processBatch(List.of(), new ClockReading(1_000, 1_000));
+        eventLoop.processBatch(List.of(), new ClockReading(1_000, 1_000));
         scheduler.schedule();
         assertEquals(0, gang.allocations().size());
         machine(1, false);
