--- /dev/null
+++ b/src/main/java/io/quartzgw/scheduling/CandidateMachines.java
@@ -0,0 +1,114 @@
+package io.quartzgw.scheduling;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Predicate;
+
+/**
+ * The machines that can run the tasks of one job in this pass, grouped by how soon they have its image. The tasks of a
+ * job are alike: a machine that can't run one of them can't run another.
+ */
+final class CandidateMachines {
+    private final SchedulingContext context;
+    private final Job job;
+    private final List<Machine> schedulable;
+    private final boolean mayPreempt;
+    private final Predicate<Machine> allowed;
+    private final List<Machine> withImage = new ArrayList<>();
+    /** Without the image, but it is fetched in time for the start objective. */
+    private final List<Machine> withFastFetch = new ArrayList<>();
+
+    private final List<Machine> withSlowFetch = new ArrayList<>();
+    /** Created on first use, since most jobs need no preemption. */
+    private Preemption preemptionWithImage;
+
+    private Preemption preemptionAnywhere;
+
+    /**
+     * @param schedulable all machines to which tasks may be allocated
+     * @param withCapacity those of them that may have enough free capacity
+     * @param mayPreempt whether the job may stop tasks of lower priority
+     */
+    CandidateMachines(
+            SchedulingContext context,
+            Job job,
+            List<Machine> schedulable,
+            List<Machine> withCapacity,
+            boolean mayPreempt) {
+        this.context = context;
+        this.job = job;
+        this.schedulable = schedulable;
+        this.mayPreempt = mayPreempt;
+        this.allowed = machine -> context.constraints().isAllowed(job, machine);
+        for (Machine machine : withCapacity) {
+            if (job.spec().demand().fitsIn(machine.freeCapacity()) && allowed.test(machine)) {
+                groupOf(machine).add(machine);
+            }
+        }
+    }
+
+    private List<Machine> groupOf(Machine machine) {
+        double fetchS = machine.fetchS(job.spec().image(), job.spec().imageGb(), nowMs());
+        if (fetchS == 0) {
+            return withImage;
+        }
+        return context.objectives().startsInTime(job, fetchS) ? withFastFetch : withSlowFetch;
+    }
+
+    /** Allocates and starts the next pending task; returns whether a machine was found for it. */
+    boolean scheduleNextTask() {
+        return allocateFrom(withImage)
+                || allocateFrom(withFastFetch)
+                || mayPreempt && preemptWithImage()
+                || allocateFrom(withSlowFetch)
+                || mayPreempt && preemptAnywhere();
+    }
+
+    private boolean allocateFrom(List<Machine> candidates) {
+        Machine machine = context.bestFit().choose(job, candidates, allowed, nowMs());
+        if (machine == null) {
+            return false;
+        }
+        allocateNextTask(machine);
+        return true;
+    }
+
+    private boolean preemptWithImage() {
+        if (preemptionWithImage == null) {
+            preemptionWithImage = new Preemption(
+                    job,
+                    schedulable,
+                    machine -> machine.hasImage(job.spec().image()) && allowed.test(machine),
+                    nowMs());
+        }
+        return preempt(preemptionWithImage);
+    }
+
+    private boolean preemptAnywhere() {
+        if (preemptionAnywhere == null) {
+            preemptionAnywhere = new Preemption(job, schedulable, allowed, nowMs());
+        }
+        return preempt(preemptionAnywhere);
+    }
+
+    private boolean preempt(Preemption preemption) {
+        Preemption.Plan plan = preemption.next();
+        if (plan == null) {
+            return false;
+        }
+        // An agent executes commands in order: the stops free the capacity that the start needs.
+        plan.victims().forEach(victim -> context.launcher().stop(victim, 0, StopReason.PREEMPTED));
+        allocateNextTask(plan.machine());
+        preemption.reconsider(plan.machine());
+        return true;
+    }
+
+    private void allocateNextTask(Machine machine) {
+        long attempt = context.cluster().nextAttempt();
+        context.launcher().start(context.cluster().allocate(job, job.nextPending(), machine, attempt));
+    }
+
+    private long nowMs() {
+        return context.eventLoop().nowMs();
+    }
+}
--- /dev/null
+++ b/src/main/java/io/quartzgw/scheduling/SchedulingConstraints.java
@@ -0,0 +1,70 @@
+package io.quartzgw.scheduling;
+
+import io.quartzgw.eventloop.EventLoop;
+import io.quartzgw.model.JobSpec;
+import io.quartzgw.model.Resources;
+import io.quartzgw.model.TeamQuota;
+import java.util.Map;
+
+/** The hard constraints of scheduling: which machines may get tasks, which of them a job may use, and team quotas. */
+final class SchedulingConstraints {
+    /** A machine on which this many different jobs failed in a row is quarantined. */
+    private static final int QUARANTINE_FAILED_JOBS = 2;
+    /** A machine whose last heartbeat was answered longer ago gets no tasks. */
+    private static final double MAX_SILENCE_HEARTBEATS = 2.5;
+
+    private final EventLoop eventLoop;
+    private final ClusterState cluster;
+    private final Map<String, TeamQuota> teams;
+    private final long maxSilenceMs;
+
+    SchedulingConstraints(EventLoop eventLoop, ClusterState cluster, SchedulingPolicy policy) {
+        this.eventLoop = eventLoop;
+        this.cluster = cluster;
+        this.teams = policy.teams();
+        this.maxSilenceMs =
+                (long) (MAX_SILENCE_HEARTBEATS * policy.agentTiming().heartbeatMs());
+    }
+
+    /** Whether tasks may be allocated to the machine now. */
+    boolean isSchedulable(Machine machine) {
+        return machine.status() == Machine.Status.UP
+                && !machine.reservationExpired()
+                && machine.liveness().verified()
+                && !machine.liveness().unreachable()
+                && eventLoop.nowMs() - machine.liveness().lastResponseAt() < maxSilenceMs
+                && machine.reclaimAt() == Long.MAX_VALUE
+                && machine.failedJobs() < QUARANTINE_FAILED_JOBS;
+    }
+
+    /** Whether the job may use the machine, whatever its free capacity. */
+    boolean isAllowed(Job job, Machine machine) {
+        JobSpec spec = job.spec();
+        return spec.allows(machine.type().name(), machine.zone(), machine.spot())
+                && job.zoneAllowed(machine.zone())
+                && !job.excludes(machine.id())
+                && !machine.refusedJobs().contains(job.id());
+    }
+
+    /** Whether the team's quota allows one more task of the job. */
+    boolean taskWithinQuota(Job job) {
+        TeamQuota team = teams.get(job.spec().team());
+        return team != null
+                && team.withinLimit(cluster.maxPossibleUsage(job.spec().team())
+                        .plus(job.spec().demand()));
+    }
+
+    /** Whether the team's quota allows all pending members of the gang together. */
+    boolean gangWithinQuota(Job gang) {
+        TeamQuota team = teams.get(gang.spec().team());
+        Resources demand = gang.spec().demand().times(gang.pending().cardinality());
+        return team.withinLimit(cluster.maxPossibleUsage(team.name()).plus(demand));
+    }
+
+    /** How many of the job's pending tasks the team's quota allows. */
+    int pendingTasksWithinQuota(Job job) {
+        TeamQuota team = teams.get(job.spec().team());
+        Resources usage = cluster.maxPossibleUsage(job.spec().team());
+        return team.tasksWithinLimit(usage, job.spec().demand(), job.pending().cardinality());
+    }
+}
--- a/src/test/java/io/quartzgw/scheduling/SchedulerTest.java
+++ b/src/test/java/io/quartzgw/scheduling/SchedulerTest.java
@@ -36,10 +36,11 @@
     private final Scheduler scheduler = new Scheduler(
             eventLoop,
             cluster,
-            TEAMS,
-            new ServiceLevelObjectives(Map.of(), Map.of(), Map.of()),
-            false,
-            new AgentTiming(2_500, 16_000, 36_000),
+            new SchedulingPolicy(
+                    TEAMS,
+                    new ServiceLevelObjectives(Map.of(), Map.of(), Map.of()),
+                    false,
+                    new AgentTiming(2_500, 16_000, 36_000)),
             () -> cloudExhausted,
             new TaskLauncher() {
                 @Override
