--- a/src/test/java/io/quartzgw/scheduling/SchedulerTest.java
+++ b/src/test/java/io/quartzgw/scheduling/SchedulerTest.java
@@ -55,6 +55,15 @@
                 }
             });
 
+    private Machine onDemandMachine(int number) {
+        return machine(number, false);
+    }
+
+    private Machine spotMachine(int number) {
+        return machine(number, true);
+    }
+
+    /** Adds a machine that is up: even numbers in zone a, odd ones in zone b. */
     private Machine machine(int number, boolean spot) {
         Machine machine = new Machine("i-" + number, TYPE, number % 2 == 0 ? "a" : "b", spot, 0, 0);
         machine.liveness().recordHeartbeat(1, 1, eventLoop.nowMs());
@@ -63,28 +72,37 @@
         return machine;
     }
 
-    private Job job(
-            int number,
-            String team,
-            JobShape shape,
-            Priority priority,
-            int tasks,
-            double cpus,
-            boolean singleZone,
-            boolean spread,
-            boolean spot) {
-        JobSpec spec = JobSpecs.named("j-" + number)
-                .team(team)
-                .shape(shape)
-                .priority(priority)
-                .tasks(tasks)
-                .demand(cpus, 0, 1)
-                .image("img-" + number % 3)
-                .oneZone(singleZone)
-                .spread(spread)
-                .spot(spot)
-                .spec();
-        return cluster.add(new OpenJob(spec, number, 0));
+    private static JobSpecs array(int number) {
+        return JobSpecs.named("j-" + number).shape(JobShape.ARRAY).image("img-" + number % 3);
+    }
+
+    private static JobSpecs gang(int number) {
+        return array(number).shape(JobShape.GANG);
+    }
+
+    private static JobSpecs service(int number) {
+        return array(number).shape(JobShape.SERVICE);
+    }
+
+    private static JobSpecs productionService(int number) {
+        return service(number).priority(Priority.PRODUCTION);
+    }
+
+    private Job submit(JobSpecs specs, int tasks, double cpusPerTask) {
+        JobSpec spec = specs.tasks(tasks).demand(cpusPerTask, 0, 1).spec();
+        return cluster.add(new OpenJob(spec, 1, 0));
+    }
+
+    private Job submitRandomJob(int number, SplittableRandom random) {
+        boolean service = random.nextBoolean();
+        JobSpecs specs = service ? productionService(number) : array(number);
+        specs.team(random.nextBoolean() ? "limited" : "free");
+        int tasks = 1 + random.nextInt(5);
+        int cpusPerTask = 1 + random.nextInt(4);
+        specs.oneZone(random.nextInt(4) == 0)
+                .spread(service && random.nextBoolean())
+                .spot(!service && random.nextBoolean());
+        return submit(specs, tasks, cpusPerTask);
     }
 
     // ---- the reference model: linear scans over the allocations, nothing cached
@@ -141,17 +159,7 @@
             machines.add(machine(i, random.nextInt(3) == 0));
         }
         for (int i = 0; i < 14; i++) {
-            boolean service = random.nextBoolean();
-            job(
-                    i,
-                    random.nextBoolean() ? "limited" : "free",
-                    service ? JobShape.SERVICE : JobShape.ARRAY,
-                    service ? Priority.PRODUCTION : Priority.NORMAL,
-                    1 + random.nextInt(5),
-                    1 + random.nextInt(4),
-                    random.nextInt(4) == 0,
-                    service && random.nextBoolean(),
-                    !service && random.nextBoolean());
+            submitRandomJob(i, random);
             scheduler.schedule();
             for (Machine machine : machines) {
                 assertTrue(allocatedCpus(machine) <= 8, "no machine is overcommitted");
@@ -179,7 +187,7 @@
     @Test
     void largeJobsStartWithinFourMinutesUnderAStreamOfSmallJobs() {
         for (int i = 0; i < 4; i++) {
-            machine(i, false);
+            onDemandMachine(i);
         }
         List<Job> largest = new ArrayList<>();
         int number = 100;
@@ -191,12 +199,12 @@
             eventLoop.processBatch(List.of(), new ClockReading(now, now));
             if (now == 10_000) {
                 for (String team : TEAMS.keySet()) {
-                    largest.add(job(number++, team, JobShape.ARRAY, Priority.NORMAL, 40, 4, false, false, false));
-                    largest.add(job(number++, team, JobShape.SERVICE, Priority.NORMAL, 6, 2, false, true, false));
+                    largest.add(submit(array(number++).team(team), 40, 4));
+                    largest.add(submit(service(number++).team(team).spread(true), 6, 2));
                 }
             }
             for (int i = 0; i < 2; i++) {
-                job(number++, i == 0 ? "limited" : "free", JobShape.ARRAY, Priority.NORMAL, 2, 4, false, false, false);
+                submit(array(number++).team(i == 0 ? "limited" : "free"), 2, 4);
             }
             scheduler.schedule();
             assertTrue(allocatedCpus("limited") <= 24, "the quota holds");
@@ -216,14 +224,14 @@
 
     @Test
     void productionJobPreemptsTheLowerPriorityTaskWithTheLeastLostWork() {
-        Machine machine = machine(0, false);
-        Job low = job(1, "free", JobShape.ARRAY, Priority.NORMAL, 2, 4, false, false, false);
+        Machine machine = onDemandMachine(0);
+        Job low = submit(array(1), 2, 4);
         eventLoop.processBatch(List.of(), new ClockReading(1_000, 1_000));
         scheduler.schedule();
         Allocation older = low.allocation(0);
         older.observed(Allocation.Phase.RUNNING, 500);
         low.allocation(1).observed(Allocation.Phase.RUNNING, 900);
-        Job service = job(2, "free", JobShape.SERVICE, Priority.PRODUCTION, 1, 2, false, false, false);
+        Job service = submit(productionService(2), 1, 2);
         scheduler.schedule();
         assertEquals(List.of(low.allocation(1)), stopped, "the one that has run for less time");
         assertEquals(machine, service.allocation(0).machine());
@@ -232,12 +240,12 @@
     // Guards deadlines of normal jobs while tasks of low priority run on the last machine that the cloud offers.
     @Test
     void normalJobPreemptsLowPriorityOnlyWhenTheCloudIsExhausted() {
-        machine(0, false);
-        Job low = job(1, "free", JobShape.ARRAY, Priority.LOW, 4, 2, false, false, false);
+        onDemandMachine(0);
+        Job low = submit(array(1).priority(Priority.LOW), 4, 2);
         eventLoop.processBatch(List.of(), new ClockReading(1_000, 1_000));
         scheduler.schedule();
         low.allocations().forEach(allocation -> allocation.observed(Allocation.Phase.RUNNING, 1_000));
-        Job normal = job(2, "free", JobShape.ARRAY, Priority.NORMAL, 1, 4, false, false, false);
+        Job normal = submit(array(2), 1, 4);
         scheduler.schedule();
         assertEquals(List.of(), stopped);
         assertEquals(1, normal.pending().cardinality());
@@ -245,7 +253,7 @@
         scheduler.schedule();
         assertEquals(2, stopped.size());
         assertEquals(1, normal.allocations().size());
-        job(3, "free", JobShape.ARRAY, Priority.LOW, 1, 4, false, false, false);
+        submit(array(3).priority(Priority.LOW), 1, 4);
         scheduler.schedule();
         assertEquals(2, stopped.size(), "a low-priority job preempts nothing");
     }
@@ -255,9 +263,9 @@
     @Test
     void tasksThatCannotCompleteOnAReclaimedMachineAreStopped() {
         eventLoop.processBatch(List.of(), new ClockReading(1_000, 1_000));
-        Machine reclaimed = machine(0, true);
-        Job batch = job(1, "free", JobShape.ARRAY, Priority.NORMAL, 2, 2, false, false, true);
-        Job service = job(2, "free", JobShape.SERVICE, Priority.PRODUCTION, 1, 4, false, false, true);
+        Machine reclaimed = spotMachine(0);
+        Job batch = submit(array(1).spot(true), 2, 2);
+        Job service = submit(productionService(2).spot(true), 1, 4);
         scheduler.schedule();
         batch.allocation(0).observed(Allocation.Phase.RUNNING, 1_000);
         eventLoop.processBatch(List.of(), new ClockReading(8_000, 8_000));
@@ -271,7 +279,7 @@
                 List.of(batch.allocation(1)),
                 stopped,
                 "neither the task that completes in time nor the replica that fits nowhere else");
-        machine(1, false).liveness().lastResponseAt(8_000);
+        onDemandMachine(1).liveness().lastResponseAt(8_000);
         scheduler.schedule();
         assertEquals(List.of(batch.allocation(1), service.allocation(0)), stopped);
     }
@@ -303,12 +311,12 @@
 
     @Test
     void jobOfEqualPriorityPreemptsNothing() {
-        machine(0, false);
-        Job first = job(1, "free", JobShape.SERVICE, Priority.PRODUCTION, 4, 2, false, false, false);
+        onDemandMachine(0);
+        Job first = submit(productionService(1), 4, 2);
         eventLoop.processBatch(List.of(), new ClockReading(1_000, 1_000));
         scheduler.schedule();
         first.allocations().forEach(allocation -> allocation.observed(Allocation.Phase.RUNNING, 1_000));
-        job(2, "free", JobShape.SERVICE, Priority.PRODUCTION, 1, 2, false, false, false);
+        submit(productionService(2), 1, 2);
         scheduler.schedule();
         assertEquals(List.of(), stopped);
         assertEquals(1, scheduler.unplaced().size());
@@ -316,8 +324,8 @@
 
     @Test
     void jobThatFailedThreeTimesIsRetriedWithoutScaleOut() {
-        Machine machine = machine(0, false);
-        Job job = job(1, "free", JobShape.ARRAY, Priority.NORMAL, 1, 4, false, false, false);
+        Machine machine = onDemandMachine(0);
+        Job job = submit(array(1), 1, 4);
         job.recordFailure(machine.id(), 0, 1);
         eventLoop.processBatch(List.of(), new ClockReading(1_000, 1_000));
         scheduler.schedule();
@@ -331,12 +339,12 @@
 
     @Test
     void gangIsAllocatedAsAWholeOrNotAtAll() {
-        machine(0, false);
-        Job gang = job(1, "free", JobShape.GANG, Priority.NORMAL, 3, 4, false, false, false);
+        onDemandMachine(0);
+        Job gang = submit(gang(1), 3, 4);
         eventLoop.processBatch(List.of(), new ClockReading(1_000, 1_000));
         scheduler.schedule();
         assertEquals(0, gang.allocations().size());
-        machine(1, false);
+        onDemandMachine(1);
         scheduler.schedule();
         assertEquals(3, gang.allocations().size());
         assertEquals(
