--- a/src/main/java/io/quartzgw/fleet/ScaleInPolicy.java
+++ b/src/main/java/io/quartzgw/fleet/ScaleInPolicy.java
@@ -98,10 +98,9 @@
         if (policy.reservedCpus() > 0 || clearing) {
             return;
         }
-        Machine cleared = consolidation.drainOne(this::nearlyCharged, kernel.nowMs());
-        if (cleared != null) {
-            LOG.info("clearing {}: its replicas have room elsewhere", cleared.id());
-        }
+        consolidation
+                .drainOne(this::nearlyCharged, kernel.nowMs())
+                .ifPresent(drained -> LOG.info("clearing {}: its replicas have room elsewhere", drained.id()));
     }
 
     private boolean nearlyCharged(Machine machine) {
--- a/src/main/java/io/quartzgw/scheduling/Consolidation.java
+++ b/src/main/java/io/quartzgw/scheduling/Consolidation.java
@@ -6,6 +6,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Predicate;
 
 /**
@@ -35,18 +36,18 @@
      * Drains one machine whose replicas all fit elsewhere.
      *
      * @param removable whether a machine may be scaled in at all
-     * @return the machine that is being drained, or null if there is none
+     * @return the machine that is being drained, if there is one
      */
-    public Machine drainOne(Predicate<Machine> removable, long now) {
+    public Optional<Machine> drainOne(Predicate<Machine> removable, long now) {
         if (!cluster.pendingJobs().isEmpty()) {
-            return null;
+            return Optional.empty();
         }
         List<Machine> machines = cluster.machines().stream().filter(usable).toList();
         List<Machine> candidates = machines.stream()
                 .filter(machine -> !machine.empty()
                         && utilization(machine) <= MAX_UTILIZATION
                         && removable.test(machine)
-                        && machine.allocations().stream().allMatch(allocation -> movable(allocation, now)))
+                        && machine.allocations().stream().allMatch(allocation -> isMovable(allocation, now)))
                 .sorted(Comparator.comparingDouble(Consolidation::utilization).thenComparing(Machine::id))
                 .toList();
         for (Machine machine : candidates) {
@@ -55,13 +56,13 @@
                 machine.allocationsSnapshot()
                         .forEach(allocation -> launcher.stop(
                                 allocation, allocation.job().spec().checkpointGraceS(), StopReason.CONSOLIDATED));
-                return machine;
+                return Optional.of(machine);
             }
         }
-        return null;
+        return Optional.empty();
     }
 
-    private boolean movable(Allocation allocation, long now) {
+    private boolean isMovable(Allocation allocation, long now) {
         return allocation.job().spec().service()
                 && !allocation.stopping()
                 && allocation.phase() == Allocation.Phase.RUNNING
@@ -88,17 +89,16 @@
             }
         }
         for (Allocation allocation : from.allocations()) {
-            Machine target = targets.stream()
+            Optional<Machine> target = targets.stream()
                     .filter(machine -> allocation.demand().fitsIn(freeCapacities.get(machine))
                             && machine.hasImage(allocation.job().spec().image())
                             && allocation.job().spec().allows(machine.type().name(), machine.zone(), machine.spot())
                             && !allocation.job().excludes(machine.id()))
-                    .findFirst()
-                    .orElse(null);
-            if (target == null) {
+                    .findFirst();
+            if (target.isEmpty()) {
                 return false;
             }
-            freeCapacities.merge(target, allocation.demand(), Resources::minus);
+            freeCapacities.merge(target.get(), allocation.demand(), Resources::minus);
         }
         return true;
     }
--- /dev/null
+++ b/src/main/java/io/quartzgw/scheduling/FailureHistory.java
@@ -0,0 +1,40 @@
+package io.quartzgw.scheduling;
+
+import java.util.HashSet;
+import java.util.Set;
+
+/** The failed attempts of a job: how long it backs off, and the machines on which it is not scheduled again. */
+final class FailureHistory {
+    private static final int MAX_BACKOFF_DOUBLINGS = 6;
+
+    private final Set<String> excludedMachines = new HashSet<>();
+    private int failures;
+    private long retryAt;
+
+    /** Records a failed attempt; the backoff doubles with each one. */
+    void recordFailure(String machineId, long now, long initialBackoffMs) {
+        excludedMachines.add(machineId);
+        failures++;
+        retryAt = now + (initialBackoffMs << Math.min(failures - 1, MAX_BACKOFF_DOUBLINGS));
+    }
+
+    void delayRetry(long until) {
+        retryAt = Math.max(retryAt, until);
+    }
+
+    int failures() {
+        return failures;
+    }
+
+    long retryAt() {
+        return retryAt;
+    }
+
+    boolean excludes(String machineId) {
+        return excludedMachines.contains(machineId);
+    }
+
+    void clearExcludedMachines() {
+        excludedMachines.clear();
+    }
+}
--- a/src/main/java/io/quartzgw/scheduling/Job.java
+++ b/src/main/java/io/quartzgw/scheduling/Job.java
@@ -6,18 +6,14 @@
 import java.util.BitSet;
 import java.util.Collection;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 
 /**
  * An open job as the leader sees it. Each task is in exactly one state: done, allocated to a machine, unaccounted (it
  * may run on a machine that has been silent since the takeover), or pending. All times are of this node's steady clock.
  */
 public final class Job {
-    private static final int MAX_BACKOFF_DOUBLINGS = 6;
-
     private final OpenJob open;
     private final long submittedAt;
     private final BitSet done = new BitSet();
@@ -26,11 +22,9 @@
     private final BitSet unaccounted = new BitSet();
     private final Map<Integer, Allocation> allocations = new HashMap<>();
     private final Map<String, Integer> tasksPerZone = new HashMap<>();
-    private final Set<String> excludedMachines = new HashSet<>();
+    private final FailureHistory failureHistory = new FailureHistory();
     private int recordedStartLimit;
     private boolean isTerminal;
-    private int failures;
-    private long retryAt;
 
     /** @param submittedAt when the job was accepted */
     Job(OpenJob open, long submittedAt) {
@@ -215,30 +209,31 @@
 
     /** Records a failed attempt: the job backs off exponentially and is not scheduled on the machine again. */
     public void recordFailure(String machine, long now, long initialBackoffMs) {
-        excludedMachines.add(machine);
-        failures++;
-        retryAt = now + (initialBackoffMs << Math.min(failures - 1, MAX_BACKOFF_DOUBLINGS));
+        failureHistory.recordFailure(machine, now, initialBackoffMs);
     }
 
     /** Delays the next attempt at least until the given time. */
     public void delayRetry(long until) {
-        retryAt = Math.max(retryAt, until);
+        failureHistory.delayRetry(until);
     }
 
+    /** The number of failed attempts. */
     public int failures() {
-        return failures;
+        return failureHistory.failures();
     }
 
+    /** The time before which no task of the job is started. */
     public long retryAt() {
-        return retryAt;
+        return failureHistory.retryAt();
     }
 
+    /** Whether the job is not scheduled on the machine, since it failed there. */
     public boolean excludes(String machine) {
-        return excludedMachines.contains(machine);
+        return failureHistory.excludes(machine);
     }
 
     /** Allows all machines again, when none is left on which the job has not failed. */
     public void clearExcludedMachines() {
-        excludedMachines.clear();
+        failureHistory.clearExcludedMachines();
     }
 }
--- a/src/main/java/io/quartzgw/scheduling/Machine.java
+++ b/src/main/java/io/quartzgw/scheduling/Machine.java
@@ -9,7 +9,6 @@
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.HashSet;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -43,7 +42,7 @@
     private final int[] tasksPerPriority = new int[Priority.values().length];
     private Resources allocated = Resources.NONE;
     private Resources freeCapacity;
-    private final LinkedHashMap<String, Double> images = new LinkedHashMap<>(8, 0.75f, true);
+    private final ImageCache images;
     private final Set<String> failedJobs = new HashSet<>();
     private Set<String> refusedJobs = Set.of();
 
@@ -55,6 +54,7 @@
         this.id = id;
         this.type = type;
         this.freeCapacity = type.size();
+        this.images = new ImageCache(type.cacheGb());
         this.zone = zone;
         this.spot = spot;
         this.rentedAt = rentedAt;
@@ -205,22 +205,12 @@
     // ---- images
 
     public boolean hasImage(String image) {
-        return images.containsKey(image);
+        return images.contains(image);
     }
 
-    /** Records that an image was fetched or used; the least recently used ones are evicted from the cache. */
+    /** Records that an image was fetched or used here. */
     public void cacheImage(String image, double gb) {
         images.put(image, gb);
-        double cachedGb =
-                images.values().stream().mapToDouble(Double::doubleValue).sum();
-        var oldest = images.entrySet().iterator();
-        while (cachedGb > type.cacheGb() && oldest.hasNext()) {
-            Map.Entry<String, Double> entry = oldest.next();
-            if (!entry.getKey().equals(image)) {
-                cachedGb -= entry.getValue();
-                oldest.remove();
-            }
-        }
     }
 
     /**
