--- a/src/main/java/io/quartzgw/submission/Admission.java
+++ b/src/main/java/io/quartzgw/submission/Admission.java
@@ -5,25 +5,27 @@
 import io.quartzgw.model.TeamQuota;
 import java.util.Collection;
 import java.util.Map;
+import java.util.Optional;
 
-/** Decides whether a well-formed job can ever run. */
+/** Admission control: decides whether a well-formed job can ever run. */
 public final class Admission {
     private final Map<String, TeamQuota> teams;
 
+    /** @param teams quotas by team name */
     public Admission(Map<String, TeamQuota> teams) {
         this.teams = teams;
     }
 
-    /** Why the job can never run, or null when it can. */
-    public String refusal(JobSpec job, Collection<MachineType> types) {
+    /** Why the job can never run, or empty when it can. */
+    public Optional<String> refusal(JobSpec job, Collection<MachineType> types) {
         TeamQuota team = teams.get(job.team());
         if (team == null) {
-            return "unknown crew";
+            return Optional.of("unknown crew");
         }
         if (types.stream().noneMatch(type -> fits(job, type))) {
-            return "a task fits no allowed machine type";
+            return Optional.of("a task fits no allowed machine type");
         }
-        return team.withinLimit(job.neededAtOnce()) ? null : "more than the crew's limit";
+        return team.withinLimit(job.neededAtOnce()) ? Optional.empty() : Optional.of("more than the crew's limit");
     }
 
     private static boolean fits(JobSpec job, MachineType type) {
--- a/src/main/java/io/quartzgw/submission/InvalidJobException.java
+++ b/src/main/java/io/quartzgw/submission/InvalidJobException.java
@@ -1,6 +1,6 @@
 package io.quartzgw.submission;
 
-/** A job description that is malformed; the message names the field. */
+/** A job specification is malformed; the message names the field. */
 public final class InvalidJobException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/io/quartzgw/submission/JobCodec.java
+++ b/src/main/java/io/quartzgw/submission/JobCodec.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 import java.util.regex.Pattern;
 
-/** Job descriptions in the protocol's spelling; reading one checks every field. */
+/** JSON encoding of job specifications with the protocol's field names; decoding checks every field. */
 public final class JobCodec {
     private static final Pattern ID = Pattern.compile("j-[0-9]{1,32}");
     private static final int MAX_TASKS = 100_000;
@@ -26,12 +26,17 @@
 
     private JobCodec() {}
 
+    /** Whether the text, which may be null, is a job id. */
     public static boolean validId(String id) {
         return id != null && ID.matcher(id).matches();
     }
 
-    /** Reads and checks a submission. */
-    public static JobSpec read(JsonNode node) throws InvalidJobException {
+    /**
+     * Decodes and checks a submission.
+     *
+     * @throws InvalidJobException when a field is missing or malformed
+     */
+    public static JobSpec decode(JsonNode node) throws InvalidJobException {
         String id = text(node, "id");
         if (!validId(id)) {
             throw new InvalidJobException("id: not a job id");
@@ -67,8 +72,8 @@
                 deadline);
     }
 
-    /** Writes a job with the field names of the protocol. */
-    public static ObjectNode write(JobSpec job) {
+    /** Encodes a job specification. */
+    public static ObjectNode encode(JobSpec job) {
         ObjectNode node = Json.object()
                 .put("id", job.id())
                 .put("workload", job.jobClass())
--- a/src/main/java/io/quartzgw/submission/JobCounts.java
+++ b/src/main/java/io/quartzgw/submission/JobCounts.java
@@ -2,16 +2,14 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quartzgw.http.Json;
-import java.util.HashMap;
 import java.util.Map;
 import java.util.TreeMap;
 
 /**
- * A page of the leader's counts for display: of jobs in a range of names, those that have any.
+ * A page of the leader's task counts for display: those of the jobs in a range of ids that have any.
  *
- * @param after the range begins after this name
- * @param upTo the last name of the range, or null when it has no end
+ * @param after the range begins after this id
+ * @param upTo the last id of the range, or null when it has no end
  */
 public record JobCounts(String after, String upTo, Map<String, TaskCounts> jobs) {
 
@@ -20,31 +18,17 @@
         static final TaskCounts NONE = new TaskCounts(0, 0);
     }
 
-    /** Reads one page of counts from a message between controllers. */
+    /** Former name of {@link JobCountsCodec#decode}. */
     public static JobCounts fromJson(JsonNode node) {
-        Map<String, TaskCounts> jobs = new HashMap<>();
-        node.path("jobs")
-                .properties()
-                .forEach(entry -> jobs.put(
-                        entry.getKey(),
-                        new TaskCounts(
-                                entry.getValue().path(0).asInt(),
-                                entry.getValue().path(1).asInt())));
-        return new JobCounts(
-                node.path("after").asText(),
-                node.hasNonNull("up_to") ? node.path("up_to").asText() : null,
-                jobs);
+        return JobCountsCodec.decode(node);
     }
 
-    /** Writes this page for a message between controllers. */
+    /** Former name of {@link JobCountsCodec#encode}. */
     public ObjectNode toJson() {
-        ObjectNode node = Json.object().put("after", after).put("up_to", upTo);
-        ObjectNode named = node.putObject("jobs");
-        jobs.forEach((id, counts) -> named.putArray(id).add(counts.done()).add(counts.running()));
-        return node;
+        return JobCountsCodec.encode(this);
     }
 
-    /** Puts this page in the place of what is known of its range. */
+    /** Replaces all counts of this page's range by those of the page. */
     void mergeInto(TreeMap<String, TaskCounts> known) {
         (upTo == null ? known.tailMap(after, false) : known.subMap(after, false, upTo, true)).clear();
         known.putAll(jobs);
--- a/src/main/java/io/quartzgw/submission/JobKeys.java
+++ b/src/main/java/io/quartzgw/submission/JobKeys.java
@@ -1,19 +1,23 @@
 package io.quartzgw.submission;
 
 /**
- * Where jobs are kept in the state service. A job is under {@link #OPEN} with its description until it moves, in one
- * transaction, to {@link #TERMINAL}: a takeover reads unfinished jobs only.
+ * Keys of job records in the state service. A job is under {@link #OPEN} with its specification until it moves, in one
+ * transaction, to {@link #TERMINAL}: a takeover reads open jobs only.
  */
 public final class JobKeys {
+    /** Prefix of the records of open jobs. */
     public static final String OPEN = "open/";
+    /** Prefix of the records of terminal jobs. */
     public static final String TERMINAL = "over/";
 
     private JobKeys() {}
 
+    /** The key of a job while it is open. */
     public static String open(String id) {
         return OPEN + id;
     }
 
+    /** The key of a job once it is terminal. */
     public static String terminal(String id) {
         return TERMINAL + id;
     }
--- /dev/null
+++ b/src/main/java/io/quartzgw/submission/JobRecordCodec.java
@@ -0,0 +1,50 @@
+package io.quartzgw.submission;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.quartzgw.http.Json;
+import io.quartzgw.model.JobSpec;
+
+/** JSON encoding of the records that the state service keeps of open and terminal jobs. */
+public final class JobRecordCodec {
+    private static final String ACCEPTED_AT = "accepted_ms";
+    private static final String PHASE = "phase";
+    private static final String DONE_TASKS = "done";
+
+    private JobRecordCodec() {}
+
+    /** Encodes the record of an open job. */
+    public static ObjectNode encodeOpen(JobSpec spec, long acceptedAt) {
+        return JobCodec.encode(spec).put(ACCEPTED_AT, acceptedAt);
+    }
+
+    /**
+     * Decodes the record of an open job.
+     *
+     * @throws IllegalStateException when the record is malformed: only this program writes it
+     */
+    public static OpenJob decodeOpen(JsonNode record, long revision) {
+        try {
+            return new OpenJob(
+                    JobCodec.decode(record), revision, record.path(ACCEPTED_AT).asLong());
+        } catch (InvalidJobException e) {
+            throw new IllegalStateException("unreadable job record: " + e.getMessage(), e);
+        }
+    }
+
+    /** Encodes the record of a terminal job. */
+    public static ObjectNode encodeTerminal(TerminalState state) {
+        return Json.object().put(PHASE, phase(state)).put(DONE_TASKS, state.doneTasks());
+    }
+
+    /** Decodes the record of a terminal job. */
+    static TerminalState decodeTerminal(JsonNode record) {
+        return new TerminalState(
+                record.path(PHASE).asText().equals(JobResponses.CANCELLED),
+                record.path(DONE_TASKS).asInt());
+    }
+
+    private static String phase(TerminalState state) {
+        return state.cancelled() ? JobResponses.CANCELLED : JobResponses.DONE;
+    }
+}
--- a/src/main/java/io/quartzgw/submission/OpenJob.java
+++ b/src/main/java/io/quartzgw/submission/OpenJob.java
@@ -5,24 +5,20 @@
 import io.quartzgw.model.JobSpec;
 
 /**
- * An accepted, unfinished job as the state service keeps it.
+ * An accepted job that is not terminal, as the state service keeps it.
  *
  * @param revision of its record; it never changes while the job is open
- * @param acceptedAt time of day, in milliseconds, at the node that accepted it
+ * @param acceptedAt time of day, in milliseconds, at the controller that accepted it
  */
 public record OpenJob(JobSpec spec, long revision, long acceptedAt) {
 
+    /** Former name of {@link JobRecordCodec#encodeOpen}. */
     public static ObjectNode record(JobSpec spec, long acceptedAt) {
-        return JobCodec.write(spec).put("accepted_ms", acceptedAt);
+        return JobRecordCodec.encodeOpen(spec, acceptedAt);
     }
 
-    /** @throws IllegalStateException when the record can't be read: only this program writes it */
+    /** Former name of {@link JobRecordCodec#decodeOpen}. */
     public static OpenJob fromRecord(JsonNode record, long revision) {
-        try {
-            return new OpenJob(
-                    JobCodec.read(record), revision, record.path("accepted_ms").asLong());
-        } catch (InvalidJobException e) {
-            throw new IllegalStateException("unreadable job record: " + e.getMessage(), e);
-        }
+        return JobRecordCodec.decodeOpen(record, revision);
     }
 }
--- /dev/null
+++ b/src/main/java/io/quartzgw/submission/OpenJobRevalidation.java
@@ -0,0 +1,102 @@
+package io.quartzgw.submission;
+
+import com.github.benmanes.caffeine.cache.Cache;
+import io.quartzgw.store.RequestUrgency;
+import io.quartzgw.store.StoreClient;
+import io.quartzgw.store.Transaction;
+import io.quartzgw.store.TransactionOutcome;
+import io.quartzgw.submission.JobStore.LookupResult;
+import java.util.ArrayList;
+import java.util.Iterator;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.BiConsumer;
+import java.util.function.Consumer;
+
+/**
+ * Checks whether open records still have the revisions that this controller knows, many of them in one transaction that
+ * only compares. Requests that come while a transaction is in flight wait for the next one.
+ */
+final class OpenJobRevalidation {
+    /** The state service compares this many keys for each write that a transaction may hold. */
+    private static final int PRECONDITIONS_PER_WRITE = 4;
+
+    private final StoreClient store;
+    private final Cache<String, Long> openRevisions;
+    private final BiConsumer<String, Consumer<LookupResult>> read;
+    private final Map<String, List<Consumer<LookupResult>>> waiting = new LinkedHashMap<>();
+    private boolean inFlight;
+
+    /** A job whose revision is being checked, and the callers that wait for the result. */
+    private record Check(String id, long revision, List<Consumer<LookupResult>> callers) {}
+
+    /**
+     * @param openRevisions the known revisions; those that have changed are removed
+     * @param read reads a job whose revision is not known or has changed
+     */
+    OpenJobRevalidation(
+            StoreClient store, Cache<String, Long> openRevisions, BiConsumer<String, Consumer<LookupResult>> read) {
+        this.store = store;
+        this.openRevisions = openRevisions;
+        this.read = read;
+    }
+
+    /** Revalidates the record of a job that was open before. */
+    void request(String id, Consumer<LookupResult> callback) {
+        waiting.computeIfAbsent(id, key -> new ArrayList<>()).add(callback);
+        sendNextBatch();
+    }
+
+    private void sendNextBatch() {
+        if (inFlight || waiting.isEmpty()) {
+            return;
+        }
+        List<Check> batch = takeBatch();
+        if (batch.isEmpty()) {
+            return;
+        }
+        Transaction transaction = new Transaction();
+        batch.forEach(check -> transaction.require(JobKeys.open(check.id()), check.revision()));
+        inFlight = true;
+        store.commit(transaction, RequestUrgency.NORMAL, outcome -> {
+            inFlight = false;
+            batch.forEach(check -> complete(check, outcome));
+            sendNextBatch();
+        });
+    }
+
+    private List<Check> takeBatch() {
+        List<Check> batch = new ArrayList<>();
+        Iterator<Map.Entry<String, List<Consumer<LookupResult>>>> entries =
+                waiting.entrySet().iterator();
+        while (entries.hasNext() && batch.size() < PRECONDITIONS_PER_WRITE * store.maxTransactionWrites()) {
+            Map.Entry<String, List<Consumer<LookupResult>>> entry = entries.next();
+            entries.remove();
+            String id = entry.getKey();
+            Long revision = openRevisions.getIfPresent(id);
+            if (revision == null) {
+                entry.getValue().forEach(caller -> read.accept(id, caller));
+            } else {
+                batch.add(new Check(id, revision, entry.getValue()));
+            }
+        }
+        return batch;
+    }
+
+    private void complete(Check check, TransactionOutcome outcome) {
+        if (outcome instanceof TransactionOutcome.Committed) {
+            check.callers().forEach(caller -> caller.accept(new LookupResult.Open(check.revision())));
+        } else if (outcome instanceof TransactionOutcome.Conflict conflict) {
+            if (conflict.failedKeys().contains(JobKeys.open(check.id()))) {
+                openRevisions.invalidate(check.id());
+                check.callers().forEach(caller -> read.accept(check.id(), caller));
+            } else {
+                // The conflict need not name every key that has changed: check again without those that it named.
+                waiting.computeIfAbsent(check.id(), key -> new ArrayList<>()).addAll(check.callers());
+            }
+        } else {
+            check.callers().forEach(caller -> caller.accept(new LookupResult.Unavailable()));
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/io/quartzgw/submission/SubmissionCheck.java
@@ -0,0 +1,60 @@
+package io.quartzgw.submission;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import io.quartzgw.http.Json;
+import io.quartzgw.http.Response;
+import io.quartzgw.model.JobSpec;
+import io.quartzgw.model.MachineTypes;
+import java.util.Optional;
+
+/** Decodes a submission and decides, without the state service, whether the job may be accepted. */
+final class SubmissionCheck {
+    private final MachineTypes machineTypes;
+    private final Admission admission;
+    private final int maxRecordBytes;
+
+    /** The result of a check. */
+    sealed interface Result {
+        /** The submission names no valid job id. */
+        record NotAJob(Response response) implements Result {}
+
+        /** The job can't be accepted; the response is for a job that was not accepted before. */
+        record Rejected(String id, Response response) implements Result {}
+
+        /** The job may be accepted. */
+        record Admitted(JobSpec spec) implements Result {}
+    }
+
+    /** @param maxRecordBytes the largest record that the state service takes */
+    SubmissionCheck(MachineTypes machineTypes, Admission admission, int maxRecordBytes) {
+        this.machineTypes = machineTypes;
+        this.admission = admission;
+        this.maxRecordBytes = maxRecordBytes;
+    }
+
+    /** Checks the body of a submission that arrived at the given time of day. */
+    Result check(byte[] requestBody, long wallClockMs) {
+        JsonNode body = Json.readOrNull(requestBody);
+        String id = body == null ? null : body.path("id").textValue();
+        if (!JobCodec.validId(id)) {
+            return new Result.NotAJob(JobResponses.malformed("not a job: a JSON object with a job id is due"));
+        }
+        try {
+            JobSpec spec = JobCodec.decode(body);
+            Optional<Response> rejection = rejection(spec, wallClockMs);
+            return rejection.isPresent() ? new Result.Rejected(id, rejection.get()) : new Result.Admitted(spec);
+        } catch (InvalidJobException e) {
+            return new Result.Rejected(id, JobResponses.malformed(e.getMessage()));
+        }
+    }
+
+    private Optional<Response> rejection(JobSpec spec, long wallClockMs) {
+        if (Json.write(JobRecordCodec.encodeOpen(spec, wallClockMs)).length > maxRecordBytes) {
+            return Optional.of(JobResponses.malformed("the description is too long"));
+        }
+        if (!machineTypes.isKnown()) {
+            return Optional.of(JobResponses.machineTypesUnknown());
+        }
+        return admission.refusal(spec, machineTypes.all()).map(JobResponses::notAdmitted);
+    }
+}
--- a/src/main/java/io/quartzgw/submission/SubmissionHandler.java
+++ b/src/main/java/io/quartzgw/submission/SubmissionHandler.java
@@ -1,9 +1,6 @@
 package io.quartzgw.submission;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quartzgw.eventloop.EventLoop;
-import io.quartzgw.http.Json;
 import io.quartzgw.http.Request;
 import io.quartzgw.http.Response;
 import io.quartzgw.model.JobSpec;
@@ -13,48 +10,49 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** Serves the users: every request gets its answer as soon as the state service has told. */
+/**
+ * Serves the users' requests: submit, poll and abort. A submission is decoded, checked, admitted, stored and answered,
+ * in this order; every request is answered as soon as the state service has responded.
+ */
 public final class SubmissionHandler {
+    /** The path of submissions; all requests of users begin with it. */
     public static final String PATH = "/submissions";
-    private static final String ABORT = "/abort";
-    /** When a user should come back while the state service is away. */
-    private static final int AWAY_RETRY_S = 2;
 
-    private static final int ABORT_TRIES = 4;
+    private static final String ABORT = "/abort";
+    private static final int MAX_ABORT_ATTEMPTS = 4;
 
-    /** Told about jobs, before a user is; the leader wants to know at once. */
+    /** Is notified of jobs before a user is. */
     public interface Listener {
+        /** A job was accepted; the leader should schedule it at once. */
         void accepted(OpenJob job);
 
-        /** A user is about to be told that a job is cancelled, perhaps as the first one. */
+        /** A user is about to learn that a job is cancelled, perhaps as the first one. */
         void cancelled(String id);
     }
 
-    private final EventLoop kernel;
+    private final EventLoop eventLoop;
     private final StoreClient store;
     private final JobStore jobs;
-    private final MachineTypes types;
-    private final Admission admission;
+    private final SubmissionCheck submissionCheck;
     private final Listener listener;
     private final TreeMap<String, JobCounts.TaskCounts> taskCounts = new TreeMap<>();
 
-    /** @param listener learns of accepted jobs, and of cancellations before a user is told */
+    /** @param listener is notified of accepted jobs, and of cancellations before a user is */
     public SubmissionHandler(
-            EventLoop kernel,
+            EventLoop eventLoop,
             StoreClient store,
             JobStore jobs,
-            MachineTypes types,
+            MachineTypes machineTypes,
             Admission admission,
             Listener listener) {
-        this.kernel = kernel;
+        this.eventLoop = eventLoop;
         this.store = store;
         this.jobs = jobs;
-        this.types = types;
-        this.admission = admission;
+        this.submissionCheck = new SubmissionCheck(machineTypes, admission, store.maxValueBytes());
         this.listener = listener;
     }
 
-    /** Takes the leader's counts for display. */
+    /** Updates the leader's task counts for display. */
     public void taskCounts(JobCounts page) {
         page.mergeInto(taskCounts);
     }
@@ -77,7 +75,7 @@
 
     private boolean allowed(Request request, String method) {
         if (!request.method().equals(method)) {
-            kernel.answer(request.exchange(), Response.error(405, "method not allowed"));
+            answer(request, JobResponses.methodNotAllowed());
             return false;
         }
         return true;
@@ -86,63 +84,44 @@
     // ---- submit
 
     private void submit(Request request) {
-        JsonNode body = Json.readOrNull(request.body());
-        String id = body == null ? null : body.path("id").textValue();
-        if (!JobCodec.validId(id)) {
-            kernel.answer(request.exchange(), Response.error(400, "not a job: a JSON object with a job id is due"));
-            return;
-        }
-        JobSpec spec;
-        try {
-            spec = JobCodec.read(body);
-        } catch (InvalidJobException e) {
-            respondUnlessKnown(request, id, Response.error(400, e.getMessage()));
-            return;
-        }
-        if (Json.write(OpenJob.record(spec, kernel.wallClockMs())).length > store.maxValueBytes()) {
-            respondUnlessKnown(request, id, Response.error(400, "the description is too long"));
-            return;
+        SubmissionCheck.Result result = submissionCheck.check(request.body(), eventLoop.wallClockMs());
+        if (result instanceof SubmissionCheck.Result.Admitted admitted) {
+            accept(request, admitted.spec());
+        } else if (result instanceof SubmissionCheck.Result.Rejected rejected) {
+            answerUnlessKnown(request, rejected.id(), rejected.response());
+        } else if (result instanceof SubmissionCheck.Result.NotAJob notAJob) {
+            answer(request, notAJob.response());
         }
-        if (!types.isKnown()) {
-            respondUnlessKnown(request, id, Response.unavailable("machine types not known yet", AWAY_RETRY_S));
-            return;
-        }
-        String refusal = admission.refusal(spec, types.all());
-        if (refusal != null) {
-            respondUnlessKnown(request, id, Response.error(422, refusal));
-            return;
-        }
-        accept(request, spec);
-    }
-
-    // A repeat of an accepted submission gets 200, whatever its body says now.
-    private void respondUnlessKnown(Request request, String id, Response otherwise) {
-        lookUp(
-                request,
-                id,
-                found -> kernel.answer(
-                        request.exchange(),
-                        found instanceof JobStore.LookupResult.NotFound ? otherwise : stateResponse(id, found)));
     }
 
     private void accept(Request request, JobSpec spec) {
-        TerminalState known = jobs.cachedTerminalState(spec.id());
-        if (known != null) {
-            kernel.answer(request.exchange(), stateResponse(spec.id(), new JobStore.LookupResult.Terminal(known)));
-            return;
+        if (jobs.terminalState(spec.id()).isPresent()) {
+            lookUp(request, spec.id(), found -> answerState(request, spec.id(), found));
+        } else if (!store.reachable()) {
+            answer(request, JobResponses.storeUnavailable());
+        } else {
+            jobs.accept(spec, eventLoop.wallClockMs(), result -> answerAcceptance(request, spec.id(), result));
         }
-        if (!store.reachable()) {
-            respondUnavailable(request);
-            return;
+    }
+
+    private void answerAcceptance(Request request, String id, JobStore.AcceptResult result) {
+        if (result instanceof JobStore.AcceptResult.New created) {
+            answer(request, JobResponses.accepted(id));
+            listener.accepted(created.job());
+        } else if (result instanceof JobStore.AcceptResult.Known) {
+            answerUnlessKnown(request, id, JobResponses.conflict());
+        } else {
+            answer(request, JobResponses.storeUnavailable());
         }
-        jobs.accept(spec, kernel.wallClockMs(), accepted -> {
-            if (accepted instanceof JobStore.AcceptResult.New created) {
-                kernel.answer(request.exchange(), Response.json(201, body(spec.id(), "pending")));
-                listener.accepted(created.job());
-            } else if (accepted instanceof JobStore.AcceptResult.Known) {
-                respondUnlessKnown(request, spec.id(), Response.unavailable("try again", 1));
+    }
+
+    // A repeat of an accepted submission gets its state with 200, whatever its body says now.
+    private void answerUnlessKnown(Request request, String id, Response response) {
+        lookUp(request, id, found -> {
+            if (found instanceof JobStore.LookupResult.NotFound) {
+                answer(request, response);
             } else {
-                respondUnavailable(request);
+                answerState(request, id, found);
             }
         });
     }
@@ -151,89 +130,80 @@
 
     private void poll(Request request, String id) {
         if (!JobCodec.validId(id)) {
-            kernel.answer(request.exchange(), Response.error(404, "no such job"));
+            answer(request, JobResponses.notFound());
             return;
         }
-        lookUp(request, id, found -> kernel.answer(request.exchange(), stateResponse(id, found)));
+        lookUp(request, id, found -> answerState(request, id, found));
     }
 
+    /** Looks a job up, and answers the request itself when the state service is unavailable. */
     private void lookUp(Request request, String id, Consumer<JobStore.LookupResult> then) {
-        if (jobs.cachedTerminalState(id) == null && !store.reachable()) {
-            respondUnavailable(request);
+        if (jobs.terminalState(id).isEmpty() && !store.reachable()) {
+            answer(request, JobResponses.storeUnavailable());
             return;
         }
         jobs.lookUp(id, found -> {
             if (found instanceof JobStore.LookupResult.Unavailable) {
-                respondUnavailable(request);
+                answer(request, JobResponses.storeUnavailable());
             } else {
                 then.accept(found);
             }
         });
     }
 
-    private Response stateResponse(String id, JobStore.LookupResult found) {
+    private void answerState(Request request, String id, JobStore.LookupResult found) {
         if (found instanceof JobStore.LookupResult.Open) {
-            JobCounts.TaskCounts now = taskCounts.getOrDefault(id, JobCounts.TaskCounts.NONE);
-            return Response.json(
-                    200,
-                    body(id, now.running() > 0 ? "running" : "pending")
-                            .put("done", now.done())
-                            .put("running", now.running()));
-        }
-        if (found instanceof JobStore.LookupResult.Terminal over) {
-            if (over.phase().cancelled()) {
-                // Guards the user whose abort was carried out while its answer got lost: this one may be the first to
-                // tell.
+            answer(request, JobResponses.open(id, countsOf(id)));
+        } else if (found instanceof JobStore.LookupResult.Terminal terminal) {
+            if (terminal.state().cancelled()) {
+                // The response to the abort itself may have been lost: this user may be the first to learn of it.
                 listener.cancelled(id);
             }
-            return Response.json(
-                    200,
-                    body(id, over.phase().cancelled() ? "withdrawn" : "done")
-                            .put("done", over.phase().doneTasks())
-                            .put("running", 0));
+            answer(request, JobResponses.terminal(id, terminal.state()));
+        } else {
+            answer(request, JobResponses.notFound());
         }
-        return Response.error(404, "no such job");
     }
 
     // ---- abort
 
     private void abort(Request request, String id) {
         if (!JobCodec.validId(id)) {
-            kernel.answer(request.exchange(), Response.error(404, "no such job"));
+            answer(request, JobResponses.notFound());
             return;
         }
-        abort(request, id, ABORT_TRIES);
+        abort(request, id, MAX_ABORT_ATTEMPTS);
     }
 
-    private void abort(Request request, String id, int tries) {
+    private void abort(Request request, String id, int attemptsLeft) {
         lookUp(request, id, found -> {
-            if (!(found instanceof JobStore.LookupResult.Open open)) {
-                kernel.answer(request.exchange(), stateResponse(id, found));
-                return;
+            if (found instanceof JobStore.LookupResult.Open open) {
+                cancel(request, id, open.revision(), attemptsLeft);
+            } else {
+                answerState(request, id, found);
+            }
+        });
+    }
+
+    private void cancel(Request request, String id, long revision, int attemptsLeft) {
+        jobs.cancel(id, revision, countsOf(id).done(), outcome -> {
+            if (outcome instanceof TransactionOutcome.Committed) {
+                listener.cancelled(id);
+                answer(request, JobResponses.cancelled(id));
+            } else if (outcome instanceof TransactionOutcome.Conflict && attemptsLeft > 1) {
+                // The job became terminal meanwhile: its first terminal state stands, so read which one it is.
+                abort(request, id, attemptsLeft - 1);
+            } else {
+                answer(request, JobResponses.storeUnavailable());
             }
-            jobs.cancel(
-                    id,
-                    open.revision(),
-                    taskCounts.getOrDefault(id, JobCounts.TaskCounts.NONE).done(),
-                    outcome -> {
-                        if (outcome instanceof TransactionOutcome.Committed) {
-                            listener.cancelled(id);
-                            kernel.answer(request.exchange(), Response.json(200, body(id, "withdrawn")));
-                        } else if (outcome instanceof TransactionOutcome.Conflict && tries > 1) {
-                            // The job has just ended some other way: the first end wins, read which.
-                            abort(request, id, tries - 1);
-                        } else {
-                            respondUnavailable(request);
-                        }
-                    });
         });
     }
 
-    private void respondUnavailable(Request request) {
-        kernel.answer(request.exchange(), Response.unavailable("the state service does not answer", AWAY_RETRY_S));
+    private JobCounts.TaskCounts countsOf(String id) {
+        return taskCounts.getOrDefault(id, JobCounts.TaskCounts.NONE);
     }
 
-    private static ObjectNode body(String id, String phase) {
-        return Json.object().put("id", id).put("phase", phase);
+    private void answer(Request request, Response response) {
+        eventLoop.answer(request.exchange(), response);
     }
 }
--- a/src/main/java/io/quartzgw/submission/TerminalState.java
+++ b/src/main/java/io/quartzgw/submission/TerminalState.java
@@ -1,23 +1,17 @@
 package io.quartzgw.submission;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quartzgw.http.Json;
 
 /**
- * How a job ended, for good.
+ * The final state of a job, which never changes.
  *
+ * @param cancelled whether the job was cancelled; otherwise it is done
  * @param doneTasks how many tasks were done, for display
  */
 public record TerminalState(boolean cancelled, int doneTasks) {
 
+    /** Former name of {@link JobRecordCodec#encodeTerminal}. */
     public ObjectNode toJson() {
-        return Json.object().put("phase", cancelled ? "withdrawn" : "done").put("done", doneTasks);
-    }
-
-    static TerminalState fromJson(JsonNode node) {
-        return new TerminalState(
-                node.path("phase").asText().equals("withdrawn"),
-                node.path("done").asInt());
+        return JobRecordCodec.encodeTerminal(this);
     }
 }
--- a/src/main/java/io/quartzgw/submission/package-info.java
+++ b/src/main/java/io/quartzgw/submission/package-info.java
@@ -1,5 +1,9 @@
 /**
- * The users' interface: validate, accept, poll and abort jobs. It works on every node and needs the state service, but
- * not the leader.
+ * The users' interface: submit, poll and abort jobs. It works on every controller and needs the state service, but not
+ * the leader.
+ *
+ * <p>State owned: the records of open and terminal jobs in the state service, and this controller's caches of them.
+ *
+ * <p>Called on the event loop only, by app; progress and recovery use its keys and codecs for the same records.
  */
 package io.quartzgw.submission;
