--- a/src/main/java/io/quartzgw/fleet/CloudClient.java
+++ b/src/main/java/io/quartzgw/fleet/CloudClient.java
@@ -17,28 +17,30 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Talks to the cloud inside its request limit; calls wait in order for their turn. */
+/** Client of the cloud that keeps to its request limit; calls beyond it wait in order. */
 public final class CloudClient {
     static final int MAX_RENTAL = 50;
     static final int MAX_DELETE = 100;
     private static final int LIST_PAGE_SIZE = 500;
     private static final int TIMEOUT_MS = 5_000;
-    /** Mostly the leader alone calls the cloud; the rest is for nodes that start. */
+    /**
+     * The fraction of the limit that one controller uses: mostly the leader alone, the rest is for those that start.
+     */
     private static final double USED_FRACTION = 0.8;
 
-    private final EventLoop kernel;
+    private final EventLoop eventLoop;
     private final Endpoint endpoint;
     private final TokenBucket budget;
     private final Deque<QueuedCall> queue = new ArrayDeque<>();
     private final CoalescedTask drain;
 
-    private record QueuedCall(Call call, Consumer<Reply> then) {}
+    private record QueuedCall(Call call, Consumer<Reply> callback) {}
 
     /** A machine as the cloud lists it. */
     public record ListedMachine(
             String id, String address, String type, String zone, boolean spot, String phase, double ageS) {}
 
-    /** What a rental request brought. */
+    /** The result of a rental request. */
     public sealed interface RentalResult {
         /** The machines that were rented, possibly fewer than requested. */
         record Machines(List<String> ids) implements RentalResult {}
@@ -46,16 +48,16 @@
         /** The cloud has no machine of the requested type, zone and kind. */
         record NoCapacity() implements RentalResult {}
 
-        /** No clear answer: the same request has to be repeated. */
+        /** No definite result: the same request has to be repeated. */
         record Unknown() implements RentalResult {}
     }
 
-    /** @param limits how many requests the cloud takes from this node */
-    public CloudClient(EventLoop kernel, Endpoint endpoint, CloudLimits limits) {
-        this.kernel = kernel;
-        this.drain = new CoalescedTask(kernel, this::drain);
+    /** @param limits the limits of the cloud, for all controllers together */
+    public CloudClient(EventLoop eventLoop, Endpoint endpoint, CloudLimits limits) {
+        this.eventLoop = eventLoop;
+        this.drain = new CoalescedTask(eventLoop, this::drain);
         this.endpoint = endpoint;
-        this.budget = new TokenBucket(limits.requestsPerS() * USED_FRACTION, kernel.nowMs());
+        this.budget = new TokenBucket(limits.requestsPerS() * USED_FRACTION, eventLoop.nowMs());
     }
 
     /** The table as the cloud sends it, or null. */
@@ -73,21 +75,21 @@
                 .put("yard", zone)
                 .put("loaner", spot)
                 .put("number", Math.min(count, MAX_RENTAL));
-        submit(Call.post(endpoint, "/rentals", body, TIMEOUT_MS), reply -> then.accept(hired(reply)));
+        submit(Call.post(endpoint, "/rentals", body, TIMEOUT_MS), reply -> then.accept(rentalResult(reply)));
     }
 
-    private static RentalResult hired(Reply reply) {
+    private static RentalResult rentalResult(Reply reply) {
         if (reply.ok()) {
             List<String> ids = new ArrayList<>();
             reply.json().path("hosts").forEach(id -> ids.add(id.asText()));
             return new RentalResult.Machines(ids);
         }
-        boolean full =
+        boolean noCapacity =
                 reply.status() == 503 && reply.json().path("error").asText().equals("no capacity");
-        return full ? new RentalResult.NoCapacity() : new RentalResult.Unknown();
+        return noCapacity ? new RentalResult.NoCapacity() : new RentalResult.Unknown();
     }
 
-    /** Says whether the machines are surely gone. */
+    /** Deletes machines; the callback learns whether they certainly no longer exist. */
     public void delete(Collection<String> ids, Consumer<Boolean> then) {
         ObjectNode body = Json.object();
         ArrayNode hosts = body.putArray("hosts");
@@ -125,27 +127,27 @@
         });
     }
 
-    /** Whether a call would go out at once. */
+    /** Whether a call would be sent at once. */
     public boolean isIdle() {
-        return queue.isEmpty() && budget.waitMsFor(1, kernel.nowMs()) == 0;
+        return queue.isEmpty() && budget.waitMsFor(1, eventLoop.nowMs()) == 0;
     }
 
-    private void submit(Call call, Consumer<Reply> then) {
-        queue.addLast(new QueuedCall(call, then));
+    private void submit(Call call, Consumer<Reply> callback) {
+        queue.addLast(new QueuedCall(call, callback));
         drain();
     }
 
     private void drain() {
         while (!queue.isEmpty()) {
-            long wait = budget.waitMsFor(1, kernel.nowMs());
-            if (wait > 0) {
-                drain.schedule(wait);
+            long waitMs = budget.waitMsFor(1, eventLoop.nowMs());
+            if (waitMs > 0) {
+                drain.schedule(waitMs);
                 return;
             }
-            budget.take(1, kernel.nowMs());
-            kernel.increment("cloud.calls", 1);
+            budget.take(1, eventLoop.nowMs());
+            eventLoop.increment("cloud.calls", 1);
             QueuedCall next = queue.pollFirst();
-            kernel.call(next.call, next.then);
+            eventLoop.call(next.call, next.callback);
         }
     }
 }
--- a/src/main/java/io/quartzgw/fleet/CloudLimits.java
+++ b/src/main/java/io/quartzgw/fleet/CloudLimits.java
@@ -1,4 +1,9 @@
 package io.quartzgw.fleet;
 
-/** What the cloud takes, from all nodes together, and how late its machine list is. */
+/**
+ * The limits of the cloud.
+ *
+ * @param requestsPerS request rate that the cloud accepts from all controllers together
+ * @param listLagMs how outdated its machine list may be
+ */
 public record CloudLimits(double requestsPerS, long listLagMs) {}
--- a/src/main/java/io/quartzgw/fleet/FleetManager.java
+++ b/src/main/java/io/quartzgw/fleet/FleetManager.java
@@ -14,13 +14,14 @@
 import java.util.function.Consumer;
 
 /**
- * Rents machines for work that lacks room, and returns those that are not needed, never came up, or are lost. It acts
- * only while this node's term is confirmed.
+ * Scales the fleet out for tasks that lack free capacity, and in when machines are not needed, never booted, or are
+ * lost. It acts only while this controller's term is confirmed.
  */
 public final class FleetManager {
+    /** A machine that takes longer than this many usual boot times is not waited for. */
     private static final double EXPECTED_BOOT_TIMES = 1.6;
 
-    private final EventLoop kernel;
+    private final EventLoop eventLoop;
     private final LeaderTerm term;
     private final ClusterState cluster;
     private final MachineRecords records;
@@ -33,28 +34,28 @@
     private final double reservedCpus;
 
     /**
-     * How a fleet is kept.
+     * The settings of the fleet.
      *
-     * @param reservedCpus room that is kept rented whatever the demand, since teams are guaranteed it
-     * @param reservationMs how long a silent machine keeps its room
-     * @param listLagMs how late the cloud's machine list is
+     * @param reservedCpus CPUs that stay rented whatever the demand, for the guaranteed quotas of teams
+     * @param reservationMs how long the capacity of a silent machine stays reserved
+     * @param listLagMs how outdated the cloud's machine list may be
      */
     public record Policy(double reservedCpus, long reservationMs, long listLagMs) {
-        /** A machine that was heard within this part of its hold is not silent. */
+        /** A machine is not silent if its last heartbeat is within this fraction of its reservation time. */
         private static final double RECENT_RESERVATION_FRACTION = 0.25;
 
         /**
-         * Whether a machine is not silent. Such a machine is also believed before the cloud's list, which is late: the
-         * machine may be back.
+         * Whether a machine is not silent. Its heartbeats also outrank the cloud's list, which may be outdated: the
+         * machine may have come back.
          */
-        boolean heardRecently(Machine machine, long now) {
+        boolean hasRecentHeartbeat(Machine machine, long now) {
             return machine.liveness().heartbeatWithin((long) (RECENT_RESERVATION_FRACTION * reservationMs), now);
         }
     }
 
-    /** @param gone told when a machine is surely gone */
+    /** @param gone is notified when a machine certainly no longer exists */
     public FleetManager(
-            EventLoop kernel,
+            EventLoop eventLoop,
             CloudClient cloud,
             LeaderTerm term,
             ClusterState cluster,
@@ -63,20 +64,20 @@
             Consolidation consolidation,
             Policy policy,
             Consumer<Machine> gone) {
-        this.kernel = kernel;
+        this.eventLoop = eventLoop;
         this.term = term;
         this.cluster = cluster;
         this.records = records;
         this.reservedCpus = policy.reservedCpus();
         this.gone = gone;
         this.planner = new ScaleOutPlanner(types);
-        this.inventory = new InventoryReconciler(kernel, cloud, term, cluster, types, policy, this::remove);
-        this.scaleOutRequests = new ScaleOutRequests(kernel, cloud, term, cluster, records);
-        this.scaleInPolicy = new ScaleInPolicy(kernel, cluster, consolidation, policy);
-        this.scaleInRequests = new ScaleInRequests(kernel, cloud, term, cluster, this::remove);
+        this.inventory = new InventoryReconciler(eventLoop, cloud, term, cluster, types, policy, this::remove);
+        this.scaleOutRequests = new ScaleOutRequests(eventLoop, cloud, term, cluster, records);
+        this.scaleInPolicy = new ScaleInPolicy(eventLoop, cluster, consolidation, policy);
+        this.scaleInRequests = new ScaleInRequests(eventLoop, cloud, term, cluster, this::remove);
     }
 
-    /** Begins to read the cloud's machine list; nothing is rented or returned before it is known. */
+    /** Starts to read the cloud's machine list; nothing is rented or deleted before it is known. */
     public void start() {
         inventory.start();
     }
@@ -89,25 +90,26 @@
     }
 
     /**
-     * Rents for work that lacks room, and returns what is not needed.
+     * Scales the fleet out and in.
      *
-     * @param bookingsKnown whether all that is on the machines is known; before, none is returned
-     * @return whether it has to be called again soon, for what the cloud could not be asked yet
+     * @param unplaced tasks that lack free capacity
+     * @param allocationsKnown whether it is known what runs on the machines; before that, none is drained
+     * @return whether it has to be called again soon, since the cloud's request limit was reached
      */
-    public boolean scale(List<UnplacedTasks> unplaced, boolean bookingsKnown) {
+    public boolean scale(List<UnplacedTasks> unplaced, boolean allocationsKnown) {
         if (!term.isConfirmed() || !inventory.isInventoryKnown()) {
             return false;
         }
-        List<Machine> coming =
-                cluster.machines().stream().filter(this::isComing).toList();
+        List<Machine> booting =
+                cluster.machines().stream().filter(this::isBooting).toList();
         List<MachineOffer> requested = scaleOutRequests.requested();
-        double rented = rentedCpus(requested);
-        // Guards the leader's processor time while the cloud gives nothing: then there is nothing to be planned, and
-        // most work waits.
-        boolean more = !isExhausted() && scaleOut(unplaced, coming, requested, rented);
-        if (bookingsKnown) {
-            scaleInPolicy.drainUnneeded(rented);
-            if (coming.isEmpty() && requested.isEmpty()) {
+        double rentedCpus = rentedCpus(requested);
+        // Guards the leader's processor time while the cloud is exhausted: planning is useless, and most tasks are
+        // pending.
+        boolean more = !isExhausted() && scaleOut(unplaced, booting, requested, rentedCpus);
+        if (allocationsKnown) {
+            scaleInPolicy.drainUnneeded(rentedCpus);
+            if (booting.isEmpty() && requested.isEmpty()) {
                 scaleInPolicy.drainUnderused();
             }
         }
@@ -115,64 +117,66 @@
     }
 
     private boolean scaleOut(
-            List<UnplacedTasks> unplaced, List<Machine> coming, List<MachineOffer> requested, double rented) {
+            List<UnplacedTasks> unplaced, List<Machine> booting, List<MachineOffer> requested, double rentedCpus) {
         Map<MachineOffer, Integer> wanted = planner.plan(
-                beyondSlack(unplaced),
-                coming,
+                withoutReusableSlots(unplaced),
+                booting,
                 requested,
                 scaleOutRequests::available,
-                reservedCpus - rented,
+                reservedCpus - rentedCpus,
                 machinesPerZone());
-        kernel.increment("fleet.plans", 1);
-        kernel.increment("fleet.looks", planner.takeMachinesExamined());
+        eventLoop.increment("fleet.plans", 1);
+        eventLoop.increment("fleet.looks", planner.takeMachinesExamined());
         return scaleOutRequests.request(wanted);
     }
 
-    /** Whether the cloud has refused every offer lately. */
+    /** Whether the cloud has recently refused every offer. */
     public boolean isExhausted() {
         return planner.offers().stream().noneMatch(scaleOutRequests::available);
     }
 
     private double rentedCpus(List<MachineOffer> requested) {
-        double asked = requested.stream()
+        double requestedCpus = requested.stream()
                 .mapToDouble(offer -> offer.type().size().cpus())
                 .sum();
-        double held = cluster.machines().stream()
+        double machineCpus = cluster.machines().stream()
                 .filter(machine -> machine.status() != Machine.Status.DRAINING)
                 .mapToDouble(machine -> machine.type().size().cpus())
                 .sum();
-        return asked + held;
+        return requestedCpus + machineCpus;
     }
 
-    // Where room is guaranteed, it is rented for; elsewhere what can wait until its deadline does.
-    private List<UnplacedTasks> beyondSlack(List<UnplacedTasks> unplaced) {
+    // Where capacity is reserved for guaranteed quotas, all tasks get machines; elsewhere, tasks that can wait for a
+    // slot
+    // until their deadline do so.
+    private List<UnplacedTasks> withoutReusableSlots(List<UnplacedTasks> unplaced) {
         if (reservedCpus > 0) {
             return unplaced;
         }
-        ReusableSlots places = new ReusableSlots(cluster.machines(), kernel.nowMs());
-        List<UnplacedTasks> left = new ArrayList<>();
-        for (UnplacedTasks work : unplaced) {
-            int lacking = work.count() - places.take(work.job(), work.count());
-            if (lacking > 0) {
-                left.add(new UnplacedTasks(work.job(), lacking));
+        ReusableSlots slots = new ReusableSlots(cluster.machines(), eventLoop.nowMs());
+        List<UnplacedTasks> remaining = new ArrayList<>();
+        for (UnplacedTasks tasks : unplaced) {
+            int count = tasks.count() - slots.take(tasks.job(), tasks.count());
+            if (count > 0) {
+                remaining.add(new UnplacedTasks(tasks.job(), count));
             }
         }
-        return left;
+        return remaining;
     }
 
-    private boolean isComing(Machine machine) {
-        // The usual ones are up by then: nothing waits for one that may never come.
+    private boolean isBooting(Machine machine) {
+        // Most machines are up by then: nothing waits for one that may never boot.
         return machine.status() == Machine.Status.BOOTING
-                && !machine.removeAllocation()
-                && kernel.nowMs() - machine.rentedAt()
+                && !machine.reservationExpired()
+                && eventLoop.nowMs() - machine.rentedAt()
                         < EXPECTED_BOOT_TIMES * machine.type().bootMs();
     }
 
     private Map<String, Integer> machinesPerZone() {
-        Map<String, Integer> held = new HashMap<>();
+        Map<String, Integer> machinesPerZone = new HashMap<>();
         cluster.machines().stream()
                 .filter(machine -> !machine.spot())
-                .forEach(machine -> held.merge(machine.zone(), 1, Integer::sum));
-        return held;
+                .forEach(machine -> machinesPerZone.merge(machine.zone(), 1, Integer::sum));
+        return machinesPerZone;
     }
 }
--- a/src/main/java/io/quartzgw/fleet/InventoryReconciler.java
+++ b/src/main/java/io/quartzgw/fleet/InventoryReconciler.java
@@ -17,16 +17,16 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Reads the cloud's machine list at intervals and reconciles it with the machines that the leader knows. */
+/** Reads the cloud's machine list periodically and reconciles the cluster state with it. */
 final class InventoryReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(InventoryReconciler.class);
-    /** A list may describe the cloud of up to twice its lag ago. */
+    /** A machine list may be outdated by up to twice its lag; this is with a margin. */
     private static final double OLDEST_LIST_LAGS = 2.2;
 
     private static final double LIST_EVERY_LAGS = 0.5;
     private static final int MIN_LIST_MS = 2_000;
 
-    private final EventLoop kernel;
+    private final EventLoop eventLoop;
     private final CloudClient cloud;
     private final LeaderTerm term;
     private final ClusterState cluster;
@@ -36,16 +36,16 @@
     private final Map<String, Long> lastListedAt = new HashMap<>();
     private boolean inventoryKnown;
 
-    /** @param removed told when a machine is surely gone */
+    /** @param removed is notified when a machine certainly no longer exists */
     InventoryReconciler(
-            EventLoop kernel,
+            EventLoop eventLoop,
             CloudClient cloud,
             LeaderTerm term,
             ClusterState cluster,
             MachineTypes types,
             FleetManager.Policy policy,
             Consumer<Machine> removed) {
-        this.kernel = kernel;
+        this.eventLoop = eventLoop;
         this.cloud = cloud;
         this.term = term;
         this.cluster = cluster;
@@ -54,7 +54,7 @@
         this.removed = removed;
     }
 
-    /** Begins to read the list. */
+    /** Starts to read the list periodically. */
     void start() {
         read();
     }
@@ -73,26 +73,26 @@
         if (!term.isCurrent()) {
             return;
         }
-        long asked = kernel.nowMs();
+        long requestedAt = eventLoop.nowMs();
         cloud.list(machines -> {
             if (!term.isCurrent()) {
                 return;
             }
             if (machines != null) {
                 inventoryKnown = true;
-                machines.forEach(machine -> reconcile(machine, asked));
-                removeAbsent(machines, asked);
+                machines.forEach(machine -> reconcile(machine, requestedAt));
+                removeAbsent(machines, requestedAt);
                 cluster.markChanged();
             }
-            kernel.after(Math.max(MIN_LIST_MS, (long) (LIST_EVERY_LAGS * policy.listLagMs())), this::read);
+            eventLoop.after(Math.max(MIN_LIST_MS, (long) (LIST_EVERY_LAGS * policy.listLagMs())), this::read);
         });
     }
 
-    private void reconcile(CloudClient.ListedMachine entry, long asked) {
+    private void reconcile(CloudClient.ListedMachine entry, long requestedAt) {
         if (cluster.wasRemoved(entry.id())) {
             return;
         }
-        lastListedAt.put(entry.id(), asked);
+        lastListedAt.put(entry.id(), requestedAt);
         Machine machine = cluster.machine(entry.id());
         if (machine == null) {
             Optional<Machine> adopted = adoptUnknown(entry);
@@ -104,16 +104,16 @@
         if (machine.address() == null) {
             machine.address(Endpoint.parse(entry.address()));
         }
-        if (entry.phase().equals("failed") && !policy.heardRecently(machine, kernel.nowMs())) {
-            // It has stopped on its own, with all that was on it.
-            LOG.info("{} has failed", entry.id());
+        if (entry.phase().equals("failed") && !policy.hasRecentHeartbeat(machine, eventLoop.nowMs())) {
+            // It has stopped by itself, and its tasks with it.
+            LOG.atInfo().addKeyValue("machine", entry.id()).log("machine failed");
             machine.allocationsSnapshot().forEach(cluster::release);
             machine.expireReservation();
             machine.drain();
         }
     }
 
-    // Not rented by this leader, as far as it knows: it is used, or returned when idle.
+    // Not rented by this leader, as far as it knows: it is used, and drained when idle.
     private Optional<Machine> adoptUnknown(CloudClient.ListedMachine entry) {
         Optional<Machine> adopted = types.find(entry.type()).map(type -> newMachine(entry, type));
         adopted.ifPresent(cluster::add);
@@ -121,24 +121,27 @@
     }
 
     private Machine newMachine(CloudClient.ListedMachine entry, MachineType type) {
-        long rentedAt = kernel.nowMs() - (long) (entry.ageS() * 1000);
-        return new Machine(entry.id(), type, entry.zone(), entry.spot(), rentedAt, kernel.nowMs());
+        long rentedAt = eventLoop.nowMs() - (long) (entry.ageS() * 1000);
+        return new Machine(entry.id(), type, entry.zone(), entry.spot(), rentedAt, eventLoop.nowMs());
     }
 
-    // Once listed, a machine stays listed until it is gone; but a list may be older than the one
-    // before it. A machine is gone when it is missing in a list that can't be older than the last
-    // one that had it.
-    private void removeAbsent(List<CloudClient.ListedMachine> machines, long asked) {
+    // Once listed, a machine stays listed until it is deleted; but a list may be older than the one before it. A
+    // machine
+    // no longer exists when it is missing in a list that can't be older than the last one that had it.
+    private void removeAbsent(List<CloudClient.ListedMachine> machines, long requestedAt) {
         Set<String> present = new HashSet<>();
         machines.forEach(machine -> present.add(machine.id()));
-        long bound = (long) (OLDEST_LIST_LAGS * policy.listLagMs());
+        long maxListAgeMs = (long) (OLDEST_LIST_LAGS * policy.listLagMs());
         for (Machine machine : List.copyOf(cluster.machines())) {
-            // A machine of a former leader was rented at the time that its record tells.
-            long last = Math.max(machine.rentedAt(), lastListedAt.getOrDefault(machine.id(), Long.MIN_VALUE));
+            // For a machine of a former leader, the rental time is that of its record.
+            long lastKnownAt = Math.max(machine.rentedAt(), lastListedAt.getOrDefault(machine.id(), Long.MIN_VALUE));
             if (!present.contains(machine.id())
-                    && asked - last > bound
-                    && !policy.heardRecently(machine, kernel.nowMs())) {
-                LOG.info("{} is gone from the list", machine.id());
+                    && requestedAt - lastKnownAt > maxListAgeMs
+                    && !policy.hasRecentHeartbeat(machine, eventLoop.nowMs())) {
+                LOG.atInfo()
+                        .addKeyValue("machine", machine.id())
+                        .addKeyValue("reason", "not_listed")
+                        .log("machine removed");
                 removed.accept(machine);
             }
         }
--- a/src/main/java/io/quartzgw/fleet/MachineCatalog.java
+++ b/src/main/java/io/quartzgw/fleet/MachineCatalog.java
@@ -13,32 +13,32 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The table of machine types, on every node. The last table is kept in the state service, so that a node that starts
- * during an outage of the cloud can decide on submissions.
+ * The table of machine types, on every controller. The last table is stored in the state service, so that a controller
+ * that starts during an outage of the cloud can decide on submissions.
  */
 public final class MachineCatalog implements MachineTypes {
     private static final String KEY = "types";
     private static final int RETRY_MS = 500;
     private static final int REFRESH_MS = 60_000;
 
-    private final EventLoop kernel;
+    private final EventLoop eventLoop;
     private final StoreClient store;
     private final CloudClient cloud;
     private final BooleanSupplier leading;
     private Map<String, MachineType> types = Map.of();
 
-    /** @param leading whether this node leads: only the leader asks the cloud and writes the table */
-    public MachineCatalog(EventLoop kernel, StoreClient store, CloudClient cloud, BooleanSupplier leading) {
-        this.kernel = kernel;
+    /** @param leading whether this controller leads: only the leader asks the cloud and writes the table */
+    public MachineCatalog(EventLoop eventLoop, StoreClient store, CloudClient cloud, BooleanSupplier leading) {
+        this.eventLoop = eventLoop;
         this.store = store;
         this.cloud = cloud;
         this.leading = leading;
     }
 
-    /** Reads the stored table and begins to refresh it. */
+    /** Reads the stored table and starts to refresh it periodically. */
     public void start() {
         readStored();
-        kernel.every(REFRESH_MS, () -> {
+        eventLoop.every(REFRESH_MS, () -> {
             if (leading.getAsBoolean()) {
                 fetchFromCloud();
             } else {
@@ -86,7 +86,7 @@
                         RequestUrgency.NORMAL,
                         outcome -> {});
             } else if (!isKnown()) {
-                kernel.after(RETRY_MS, this::readStored);
+                eventLoop.after(RETRY_MS, this::readStored);
             }
         });
     }
--- a/src/main/java/io/quartzgw/fleet/MachineOffer.java
+++ b/src/main/java/io/quartzgw/fleet/MachineOffer.java
@@ -2,7 +2,7 @@
 
 import io.quartzgw.model.MachineType;
 
-/** A kind of machine that can be rented: type, zone, and spot or ordinary. */
+/** An offer of the cloud: a machine type in a zone, on spot or on demand. */
 public record MachineOffer(MachineType type, String zone, boolean spot) {
 
     @Override
@@ -12,7 +12,7 @@
 
     @Override
     public boolean equals(Object other) {
-        // Prices move: the same kind of machine at another price is the same offer.
+        // Prices change: the same machine type at another price is the same offer.
         return other instanceof MachineOffer offer
                 && type.name().equals(offer.type.name())
                 && zone.equals(offer.zone)
--- a/src/main/java/io/quartzgw/fleet/MachineRecords.java
+++ b/src/main/java/io/quartzgw/fleet/MachineRecords.java
@@ -26,18 +26,22 @@
 import java.util.function.Consumer;
 
 /**
- * Rented machines in the state service, packed. A machine's description is written when it is rented. A machine is
- * marked as used before its first start, so that after a takeover one that never ran anything leaves no task
- * unaccounted. The marks have pages of their own: starts wait for them, and they are far smaller than descriptions.
+ * Records of rented machines in the state service, packed into pages. A machine's description is written when it is
+ * rented. A machine is marked as used before the first task starts on it, so that after a takeover a machine that never
+ * ran a task leaves none unaccounted. The marks have pages of their own: starts wait for them, and they are far smaller
+ * than descriptions.
  */
 public final class MachineRecords {
+    /** Prefix of the pages of descriptions. */
     public static final String PREFIX = "mach/";
+    /** Prefix of the pages of marks. */
     public static final String MARK_PREFIX = "used/";
+
     private static final int RETRY_MS = 200;
-    /** The part of this node's changes that descriptions may take while no start waits. */
-    private static final double BACKGROUND_PART = 0.25;
+    /** The fraction of this controller's write budget that descriptions may take while no start waits. */
+    private static final double BACKGROUND_FRACTION = 0.25;
 
-    private final EventLoop kernel;
+    private final EventLoop eventLoop;
     private final StoreClient store;
     private final LeaderTerm term;
     private final ClusterState cluster;
@@ -49,28 +53,28 @@
     private final CoalescedTask flushLater;
     private boolean dirty;
     private boolean writing;
-    private long backgroundAt;
+    private long nextBackgroundWriteAt;
 
     /**
-     * @param maxClockSkewMs how far the times of day of two controllers may be apart
-     * @param used told when a machine's mark is written
+     * @param maxClockSkewMs the maximum difference between the wall clocks of two controllers
+     * @param used is notified when a machine's mark is written
      */
     public MachineRecords(
-            EventLoop kernel,
+            EventLoop eventLoop,
             StoreClient store,
             LeaderTerm term,
             ClusterState cluster,
-            long clocksApartMs,
+            long maxClockSkewMs,
             Consumer<Machine> used) {
-        this.kernel = kernel;
+        this.eventLoop = eventLoop;
         this.store = store;
         this.term = term;
         this.cluster = cluster;
-        this.maxClockSkewMs = clocksApartMs;
+        this.maxClockSkewMs = maxClockSkewMs;
         this.used = used;
         this.descriptions = new PackedRecords(store, PREFIX, this::fencedTransaction);
         this.marks = new PackedRecords(store, MARK_PREFIX, this::fencedTransaction);
-        this.flushLater = new CoalescedTask(kernel, this::flush);
+        this.flushLater = new CoalescedTask(eventLoop, this::flush);
     }
 
     private Transaction fencedTransaction() {
@@ -78,7 +82,7 @@
     }
 
     /**
-     * Takes the records that a former leader left; a machine whose type is no longer known is left out.
+     * Loads the records of a former leader; a machine whose type is no longer known is skipped.
      *
      * @param described the pages of descriptions
      * @param marked the pages of marks, read after those of descriptions
@@ -102,23 +106,23 @@
     }
 
     private Machine decode(String id, MachineType type, JsonNode record, long now) {
-        // Never earlier than it was: a machine that the list can't have yet must not be taken for gone.
-        long age = Math.max(0, kernel.wallClockMs() - record.path(3).asLong() * 1000 - maxClockSkewMs);
-        return new Machine(id, type, record.path(1).asText(), record.path(2).asBoolean(), now - age, now);
+        // Never earlier than the actual rental: a machine that is too new for the cloud's list must not be removed.
+        long ageMs = Math.max(0, eventLoop.wallClockMs() - record.path(3).asLong() * 1000 - maxClockSkewMs);
+        return new Machine(id, type, record.path(1).asText(), record.path(2).asBoolean(), now - ageMs, now);
     }
 
-    /** Notes a rented machine, to be described soon; its first start waits for that too. */
+    /** Schedules the description of a rented machine; the first start on it waits for that too. */
     public void describe(Machine machine) {
         ArrayNode description = Json.array()
                 .add(machine.type().name())
                 .add(machine.zone())
                 .add(machine.spot())
-                .add((kernel.wallClockMs() - (kernel.nowMs() - machine.rentedAt())) / 1000 + 1);
+                .add((eventLoop.wallClockMs() - (eventLoop.nowMs() - machine.rentedAt())) / 1000 + 1);
         descriptions.put(machine.id(), description, 0);
         dirty = true;
     }
 
-    /** Marks a machine as used; its first start waits for this. */
+    /** Marks a machine as used; the first start on it waits until the mark is written. */
     public void markUsed(Machine machine) {
         if (!machine.hasRunTasks() && pendingMarks.add(machine)) {
             if (!descriptions.contains(machine.id())) {
@@ -130,7 +134,7 @@
         }
     }
 
-    /** Drops the records of a machine that is surely gone. */
+    /** Drops the records of a machine that certainly no longer exists. */
     public void drop(Machine machine) {
         pendingMarks.remove(machine);
         descriptions.removeLazily(machine.id());
@@ -140,34 +144,34 @@
         }
     }
 
-    /** Writes what is due, one write at a time: what falls due meanwhile goes together into the next. */
+    /** Writes what is due, one write at a time: changes made meanwhile are written together by the next one. */
     public void flush() {
         if (writing || !dirty || !term.isConfirmed()) {
             return;
         }
-        if (pendingMarks.isEmpty() && kernel.nowMs() < backgroundAt) {
-            flushLater.schedule(backgroundAt - kernel.nowMs());
+        if (pendingMarks.isEmpty() && eventLoop.nowMs() < nextBackgroundWriteAt) {
+            flushLater.schedule(nextBackgroundWriteAt - eventLoop.nowMs());
             return;
         }
         writing = true;
         dirty = false;
         List<Machine> marked = List.copyOf(pendingMarks);
         int pages = descriptions.dirtyPageCount() + marks.dirtyPageCount();
-        backgroundAt = kernel.nowMs() + store.pauseMsAfter(pages, BACKGROUND_PART);
+        nextBackgroundWriteAt = eventLoop.nowMs() + store.pauseMsAfter(pages, BACKGROUND_FRACTION);
         RequestUrgency urgency = marked.isEmpty() ? RequestUrgency.BACKGROUND : RequestUrgency.HIGH;
-        // A mark says nothing without its description, so that is written first.
+        // A mark is useless without its description, so that is written first.
         descriptions.write(urgency, described -> {
             if (described) {
-                marks.write(urgency, written -> written(marked, written));
+                marks.write(urgency, written -> onWritten(marked, written));
             } else {
-                written(marked, false);
+                onWritten(marked, false);
             }
         });
     }
 
-    private void written(List<Machine> marked, boolean written) {
-        if (!written) {
-            kernel.after(RETRY_MS, () -> {
+    private void onWritten(List<Machine> marked, boolean success) {
+        if (!success) {
+            eventLoop.after(RETRY_MS, () -> {
                 dirty = true;
                 writing = false;
             });
--- a/src/main/java/io/quartzgw/fleet/ScaleInPolicy.java
+++ b/src/main/java/io/quartzgw/fleet/ScaleInPolicy.java
@@ -11,128 +11,142 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Decides which machines are to be returned: those that are idle, never came up, or are lost, and those that are
- * cleared because little of them is in use.
+ * Decides which machines are drained for scale-in: those that are idle, never booted, or are lost, and underutilized
+ * ones whose tasks fit elsewhere.
  */
 final class ScaleInPolicy {
     private static final Logger LOG = LoggerFactory.getLogger(ScaleInPolicy.class);
-    /** Boot times vary; one that takes longer than this many usual ones is not waited for. */
+    /** Boot times vary; a machine that takes longer than this many usual boot times is given up. */
     private static final double MAX_BOOT_TIMES = 3;
-    /** Charged in any case, so a machine is not returned before. */
+    /** The minimum rental time that the cloud charges: no machine is deleted before. */
     private static final int MIN_CHARGED_MS = 60_000;
-    /** How long before the charged time is over a machine may be cleared. */
+    /** How long before the end of the minimum rental time a machine may be drained. */
     private static final int DRAIN_AHEAD_MS = 2_000;
-    /** A pause between two jobs is bridged, no more: work with a deadline can wait for a boot. */
+    /** A machine stays for a pause between two jobs, no longer: jobs with a deadline can wait for a boot. */
     private static final double IDLE_BOOT_TIMES = 0.2;
-    /** A machine is lost when it was silent for this many holds while this leader answered. */
+    /** A machine is lost after this many reservation times of silence. */
     private static final double LOST_RESERVATIONS = 1.5;
 
-    private final EventLoop kernel;
+    private final EventLoop eventLoop;
     private final ClusterState cluster;
     private final Consolidation consolidation;
     private final FleetManager.Policy policy;
     private final long electedAt;
 
-    ScaleInPolicy(EventLoop kernel, ClusterState cluster, Consolidation consolidation, FleetManager.Policy policy) {
-        this.kernel = kernel;
+    ScaleInPolicy(EventLoop eventLoop, ClusterState cluster, Consolidation consolidation, FleetManager.Policy policy) {
+        this.eventLoop = eventLoop;
         this.cluster = cluster;
         this.consolidation = consolidation;
         this.policy = policy;
-        this.electedAt = kernel.nowMs();
+        this.electedAt = eventLoop.nowMs();
     }
 
     /**
-     * Marks the machines that are to be returned.
+     * Drains machines that are not needed.
      *
-     * @param rentedCpus the size of all machines that are rented or requested
+     * @param rentedCpus the CPUs of all machines that are rented or requested
      */
     void drainUnneeded(double rentedCpus) {
-        double spare = rentedCpus - policy.reservedCpus();
-        Resources idleRoom = idleCapacity();
-        Resources unaccounted = unaccountedDemand();
+        double spareCpus = rentedCpus - policy.reservedCpus();
+        Resources idle = idleCapacity();
+        Resources neededLater = demandOfSilentMachines();
         for (Machine machine : cluster.machines()) {
             double cpus = machine.type().size().cpus();
             if (neverBooted(machine) || isLost(machine)) {
-                LOG.info("returning {}: {}", machine.id(), !machine.liveness().verified() ? "never came up" : "lost");
-                machine.drain();
+                drain(machine, machine.liveness().verified() ? "lost" : "never_booted");
             } else if (isIdle(machine)
-                    && cpus <= spare
-                    && unaccounted.fitsIn(idleRoom.minus(machine.type().size()))) {
-                LOG.info("returning {}: idle", machine.id());
-                machine.drain();
-                spare -= cpus;
-                idleRoom = idleRoom.minus(machine.type().size());
+                    && cpus <= spareCpus
+                    && neededLater.fitsIn(idle.minus(machine.type().size()))) {
+                drain(machine, "idle");
+                spareCpus -= cpus;
+                idle = idle.minus(machine.type().size());
             }
         }
     }
 
+    private static void drain(Machine machine, String reason) {
+        machine.drain();
+        logDrained(machine, reason);
+    }
+
+    private static void logDrained(Machine machine, String reason) {
+        LOG.atInfo()
+                .addKeyValue("machine", machine.id())
+                .addKeyValue("reason", reason)
+                .log("machine drained");
+    }
+
     private Resources idleCapacity() {
-        Resources room = Resources.NONE;
+        Resources capacity = Resources.NONE;
         for (Machine machine : cluster.machines()) {
-            if (machine.status() == Machine.Status.UP && machine.empty() && !machine.removeAllocation()) {
-                room = room.plus(machine.type().size());
+            if (machine.status() == Machine.Status.UP && machine.empty() && !machine.reservationExpired()) {
+                capacity = capacity.plus(machine.type().size());
             }
         }
-        return room;
+        return capacity;
     }
 
-    // Guards against returning machines shortly before they are needed: tasks that may run on a silent machine wait for
-    // no place, but when its reservation ends they all do, and then the cloud may have nothing left to rent.
-    private Resources unaccountedDemand() {
+    // Guards against scale-in shortly before capacity is needed: tasks that may run on a silent machine are not
+    // pending,
+    // but when its reservation expires they all are, and then the cloud may have no machine left to rent.
+    private Resources demandOfSilentMachines() {
         Resources demand = Resources.NONE;
         for (Job job : cluster.jobsWithUnaccountedTasks()) {
             demand = demand.plus(job.spec().demand().times(job.unaccounted().cardinality()));
         }
         for (Machine machine : cluster.machines()) {
-            if (!machine.empty() && !machine.removeAllocation() && !policy.heardRecently(machine, kernel.nowMs())) {
+            if (!machine.empty()
+                    && !machine.reservationExpired()
+                    && !policy.hasRecentHeartbeat(machine, eventLoop.nowMs())) {
                 demand = demand.plus(machine.type().size().minus(machine.freeCapacity()));
             }
         }
         return demand;
     }
 
-    /** Clears a machine of which little is in use, one after the other. */
+    /** Drains an underutilized machine, one at a time. */
     void drainUnderused() {
-        boolean clearing = cluster.machines().stream()
+        boolean draining = cluster.machines().stream()
                 .anyMatch(machine -> machine.status() == Machine.Status.DRAINING && !machine.empty());
-        if (policy.reservedCpus() > 0 || clearing) {
+        if (policy.reservedCpus() > 0 || draining) {
             return;
         }
         consolidation
-                .drainOne(this::nearlyCharged, kernel.nowMs())
-                .ifPresent(drained -> LOG.info("clearing {}: its replicas have room elsewhere", drained.id()));
+                .drainOne(this::minimumRentalElapsed, eventLoop.nowMs())
+                .ifPresent(drained -> logDrained(drained, "consolidated"));
     }
 
-    private boolean nearlyCharged(Machine machine) {
-        return kernel.nowMs() - machine.rentedAt() > MIN_CHARGED_MS - DRAIN_AHEAD_MS;
+    private boolean minimumRentalElapsed(Machine machine) {
+        return eventLoop.nowMs() - machine.rentedAt() > MIN_CHARGED_MS - DRAIN_AHEAD_MS;
     }
 
     private boolean isIdle(Machine machine) {
         long idleMs = (long) (IDLE_BOOT_TIMES * machine.type().bootMs());
         return machine.status() == Machine.Status.UP
                 && machine.empty()
-                && !machine.removeAllocation()
-                && kernel.nowMs() - machine.emptySince() > idleMs
-                && nearlyCharged(machine)
-                && kernel.nowMs() - electedAt > idleMs;
+                && !machine.reservationExpired()
+                && eventLoop.nowMs() - machine.emptySince() > idleMs
+                && minimumRentalElapsed(machine)
+                && eventLoop.nowMs() - electedAt > idleMs;
     }
 
     private boolean neverBooted(Machine machine) {
         return machine.status() == Machine.Status.BOOTING
-                && (!machine.hasRunTasks() || machine.removeAllocation())
-                && kernel.nowMs() - Math.max(machine.rentedAt(), electedAt)
+                && (!machine.hasRunTasks() || machine.reservationExpired())
+                && eventLoop.nowMs() - Math.max(machine.rentedAt(), electedAt)
                         > (long) (MAX_BOOT_TIMES * machine.type().bootMs());
     }
 
-    // Its hold is over and it has not come back, or it reports and takes no orders: it is of no use, and
-    // those that can't be reached must not pile up while others are rented in their place.
+    // Its reservation has expired and it has not come back, or it sends heartbeats but takes no commands: unreachable
+    // machines must not accumulate while others are rented in their place.
     private boolean isLost(Machine machine) {
         if (machine.status() != Machine.Status.UP || !machine.empty()) {
             return false;
         }
-        AgentLiveness presence = machine.liveness();
-        long patience = (long) (LOST_RESERVATIONS * policy.reservationMs());
-        return machine.removeAllocation() && kernel.nowMs() - Math.max(presence.lastResponseAt(), electedAt) > patience
-                || presence.unreachable() && kernel.nowMs() - presence.unreachableSince() > patience;
+        AgentLiveness liveness = machine.liveness();
+        long maxSilenceMs = (long) (LOST_RESERVATIONS * policy.reservationMs());
+        return machine.reservationExpired()
+                        && eventLoop.nowMs() - Math.max(liveness.lastResponseAt(), electedAt) > maxSilenceMs
+                || liveness.unreachable() && eventLoop.nowMs() - liveness.unreachableSince() > maxSilenceMs;
     }
 }
--- a/src/main/java/io/quartzgw/fleet/ScaleInRequests.java
+++ b/src/main/java/io/quartzgw/fleet/ScaleInRequests.java
@@ -7,60 +7,61 @@
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
+import java.util.Objects;
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** Has machines deleted that are to be returned, once they are drained. */
+/** Deletes drained machines at the cloud, once no task runs on them. */
 final class ScaleInRequests {
     private static final int RETRY_MS = 2_000;
 
-    private final EventLoop kernel;
+    private final EventLoop eventLoop;
     private final CloudClient cloud;
     private final LeaderTerm term;
     private final ClusterState cluster;
     private final Consumer<Machine> removed;
     private final Set<String> deleting = new HashSet<>();
 
-    /** @param removed told when a machine is surely gone */
+    /** @param removed is notified when a machine certainly no longer exists */
     ScaleInRequests(
-            EventLoop kernel, CloudClient cloud, LeaderTerm term, ClusterState cluster, Consumer<Machine> removed) {
-        this.kernel = kernel;
+            EventLoop eventLoop, CloudClient cloud, LeaderTerm term, ClusterState cluster, Consumer<Machine> removed) {
+        this.eventLoop = eventLoop;
         this.cloud = cloud;
         this.term = term;
         this.cluster = cluster;
         this.removed = removed;
     }
 
-    /** Deletes marked machines that are drained; returns whether some have to wait for their turn at the cloud. */
+    /** Deletes drained machines; returns whether some have to wait for the cloud's request limit. */
     boolean deleteDrained() {
         if (!cloud.isIdle()) {
             return cluster.machines().stream().anyMatch(machine -> machine.status() == Machine.Status.DRAINING);
         }
         List<String> ids = new ArrayList<>();
         for (Machine machine : cluster.machines()) {
-            // Drained first: nothing may be on it when it is returned, unless its hold is over.
+            // No task may be allocated to it when it is deleted, unless its reservation has expired.
             if (machine.status() == Machine.Status.DRAINING
-                    && (machine.empty() || machine.removeAllocation())
+                    && (machine.empty() || machine.reservationExpired())
                     && ids.size() < CloudClient.MAX_DELETE
                     && deleting.add(machine.id())) {
                 ids.add(machine.id());
             }
         }
         if (!ids.isEmpty()) {
-            cloud.delete(ids, deleted -> deleted(ids, deleted));
+            cloud.delete(ids, success -> onDeleted(ids, success));
         }
         return false;
     }
 
-    private void deleted(List<String> ids, boolean done) {
+    private void onDeleted(List<String> ids, boolean success) {
         deleting.removeAll(ids);
         if (!term.isCurrent()) {
             return;
         }
-        if (!done) {
-            kernel.after(RETRY_MS, cluster::markChanged);
+        if (!success) {
+            eventLoop.after(RETRY_MS, cluster::markChanged);
             return;
         }
-        ids.stream().map(cluster::machine).filter(machine -> machine != null).forEach(removed);
+        ids.stream().map(cluster::machine).filter(Objects::nonNull).forEach(removed);
     }
 }
--- a/src/main/java/io/quartzgw/fleet/ScaleOutPlanner.java
+++ b/src/main/java/io/quartzgw/fleet/ScaleOutPlanner.java
@@ -13,8 +13,10 @@
 import java.util.Map;
 import java.util.function.Predicate;
 
-/** Chooses what to rent: the cheapest room for the work that does not fit what is coming anyway. */
+/** Plans scale-out: the cheapest offers for the tasks that don't fit on machines that are booting or requested. */
 final class ScaleOutPlanner {
+    private static final double EPSILON = 1e-6;
+
     private final MachineTypes types;
     private Map<String, Integer> machinesByZone = Map.of();
     private long machinesExamined;
@@ -23,7 +25,7 @@
         this.types = types;
     }
 
-    /** A machine that is coming or wanted, and what is still free on it. */
+    /** A machine that is booting, requested or planned, and its free capacity. */
     private static final class Bin {
         private final MachineType type;
         private final String zone;
@@ -39,48 +41,52 @@
     }
 
     /**
-     * @param coming machines that boot
-     * @param requested machines under way in rental requests
-     * @param reserveCpus room to rent for, whatever the demand
-     * @param machinesPerZone how many there are: work that has to spread needs room in every zone
+     * Plans which machines to request, the most urgent first.
+     *
+     * @param booting machines that boot
+     * @param requested machines of rental requests in flight
+     * @param available whether an offer may be requested
+     * @param reserveCpus CPUs to rent whatever the demand
+     * @param machinesPerZone the number of machines: jobs that have to spread need capacity in every zone
      */
     Map<MachineOffer, Integer> plan(
             List<UnplacedTasks> unplaced,
-            List<Machine> coming,
+            List<Machine> booting,
             List<MachineOffer> requested,
             Predicate<MachineOffer> available,
             double reserveCpus,
             Map<String, Integer> machinesPerZone) {
         machinesByZone = new HashMap<>(machinesPerZone);
         List<Bin> bins = new ArrayList<>();
-        coming.forEach(machine -> bins.add(new Bin(machine.type(), machine.zone(), machine.spot())));
+        booting.forEach(machine -> bins.add(new Bin(machine.type(), machine.zone(), machine.spot())));
         requested.forEach(offer -> bins.add(new Bin(offer.type(), offer.zone(), offer.spot())));
         Map<MachineOffer, Integer> wanted = new LinkedHashMap<>();
-        double missing = reserveCpus;
-        for (UnplacedTasks work : unplaced) {
-            missing -= pack(work, bins, wanted, available);
+        double missingCpus = reserveCpus;
+        for (UnplacedTasks tasks : unplaced) {
+            missingCpus -= pack(tasks, bins, wanted, available);
         }
-        while (missing > 0) {
-            MachineOffer cheapest = cheapestRoom(available);
+        while (missingCpus > 0) {
+            MachineOffer cheapest = cheapestPerCpu(available);
             if (cheapest == null) {
                 break;
             }
             wanted.merge(cheapest, 1, Integer::sum);
-            missing -= cheapest.type().size().cpus();
+            missingCpus -= cheapest.type().size().cpus();
         }
         return wanted;
     }
 
-    /** Returns the CPUs of the machines that were added for the work. */
+    /** Returns the CPUs of the machines that were planned for the tasks. */
     private double pack(
-            UnplacedTasks work, List<Bin> bins, Map<MachineOffer, Integer> wanted, Predicate<MachineOffer> available) {
-        Job job = work.job();
-        double added = 0;
+            UnplacedTasks tasks, List<Bin> bins, Map<MachineOffer, Integer> wanted, Predicate<MachineOffer> available) {
+        Job job = tasks.job();
+        double addedCpus = 0;
         Map<String, Integer> perZone = new HashMap<>();
-        // The tasks of a job are alike: a bin that can't take one can't take a later one, so a job costs one look at
-        // each. With thousands of tasks waiting, one look per task and bin kept a leader from renewing its hold.
+        // The tasks of a job are alike: a bin that can't take one can't take a later one, so each bin is examined once
+        // for a job. With thousands of pending tasks, examining every bin for every task kept a leader from renewing
+        // its lease.
         int next = 0;
-        for (int left = work.count(); left > 0; left--) {
+        for (int left = tasks.count(); left > 0; left--) {
             while (next < bins.size() && !fits(job, bins.get(next), perZone)) {
                 next++;
             }
@@ -88,18 +94,18 @@
             if (bin == null) {
                 MachineOffer offer = cheapest(job, left, perZone, available);
                 if (offer == null) {
-                    return added;
+                    return addedCpus;
                 }
                 wanted.merge(offer, 1, Integer::sum);
                 machinesByZone.merge(offer.zone(), 1, Integer::sum);
                 bin = new Bin(offer.type(), offer.zone(), offer.spot());
-                added += offer.type().size().cpus();
+                addedCpus += offer.type().size().cpus();
                 bins.add(bin);
             }
             bin.freeCapacity = bin.freeCapacity.minus(job.spec().demand());
             perZone.merge(bin.zone, 1, Integer::sum);
         }
-        return added;
+        return addedCpus;
     }
 
     private boolean fits(Job job, Bin bin, Map<String, Integer> perZone) {
@@ -109,7 +115,7 @@
                 && zoneAllowed(job, bin.zone, perZone);
     }
 
-    /** How many machines, coming or wanted, were looked at since this was last asked. */
+    /** How many bins were examined since the last call. */
     long takeMachinesExamined() {
         long taken = machinesExamined;
         machinesExamined = 0;
@@ -128,11 +134,11 @@
                         < job.spec().tasksPerZone();
     }
 
-    /** The offer with the lowest price per task of the work; of equal ones that in the zone with fewest machines. */
+    /** The offer with the lowest price per task, of equal ones that in the zone with fewest machines; null if none. */
     private MachineOffer cheapest(Job job, int count, Map<String, Integer> perZone, Predicate<MachineOffer> available) {
         MachineOffer best = null;
         double bestPrice = Double.MAX_VALUE;
-        int bestHeld = 0;
+        int bestZoneMachines = 0;
         for (MachineOffer offer : offers()) {
             if (!job.spec().allows(offer.type().name(), offer.zone(), offer.spot())
                     || !zoneAllowed(job, offer.zone(), perZone)
@@ -141,20 +147,20 @@
             }
             int fits = Math.min(count, fits(job.spec().demand(), offer.type().size()));
             double price = fits == 0 ? Double.MAX_VALUE : offer.type().price(offer.spot()) / fits;
-            int heldThere = machinesByZone.getOrDefault(offer.zone(), 0);
-            if (price < bestPrice || best != null && price == bestPrice && heldThere < bestHeld) {
+            int zoneMachines = machinesByZone.getOrDefault(offer.zone(), 0);
+            if (price < bestPrice || best != null && price == bestPrice && zoneMachines < bestZoneMachines) {
                 best = offer;
                 bestPrice = price;
-                bestHeld = heldThere;
+                bestZoneMachines = zoneMachines;
             }
         }
         return best;
     }
 
-    private MachineOffer cheapestRoom(Predicate<MachineOffer> available) {
+    private MachineOffer cheapestPerCpu(Predicate<MachineOffer> available) {
         MachineOffer best = null;
         for (MachineOffer offer : offers()) {
-            // Guaranteed room has to serve any work, so it is not rented on spot.
+            // Reserved capacity has to serve any job, so it is not rented on spot.
             if (!offer.spot() && available.test(offer) && (best == null || perCpu(offer) < perCpu(best))) {
                 best = offer;
             }
@@ -166,7 +172,7 @@
         return offer.type().price(offer.spot()) / offer.type().size().cpus();
     }
 
-    /** All that the cloud offers, whether or not it has any at present. */
+    /** All offers of the cloud, whether or not it has capacity at present. */
     List<MachineOffer> offers() {
         List<MachineOffer> offers = new ArrayList<>();
         for (MachineType type : types.all()) {
@@ -183,6 +189,6 @@
         times = demand.cpus() > 0 ? Math.min(times, size.cpus() / demand.cpus()) : times;
         times = demand.gpus() > 0 ? Math.min(times, size.gpus() / demand.gpus()) : times;
         times = demand.memoryGb() > 0 ? Math.min(times, size.memoryGb() / demand.memoryGb()) : times;
-        return (int) Math.floor(times + 1e-6);
+        return (int) Math.floor(times + EPSILON);
     }
 }
--- a/src/main/java/io/quartzgw/fleet/ScaleOutRequests.java
+++ b/src/main/java/io/quartzgw/fleet/ScaleOutRequests.java
@@ -12,13 +12,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Sends rental requests and repeats those without a clear answer until the cloud has told what came of them. */
+/** Sends rental requests, and retries those without a definite result under the same request name. */
 final class ScaleOutRequests {
     private static final Logger LOG = LoggerFactory.getLogger(ScaleOutRequests.class);
-    private static final int NO_CAPACITY_PAUSE_MS = 15_000;
-    private static final int REPEAT_MS = 2_000;
+    private static final int NO_CAPACITY_BACKOFF_MS = 15_000;
+    private static final int RETRY_MS = 2_000;
 
-    private final EventLoop kernel;
+    private final EventLoop eventLoop;
     private final CloudClient cloud;
     private final LeaderTerm term;
     private final ClusterState cluster;
@@ -27,24 +27,24 @@
     private final Map<String, PendingRental> pending = new LinkedHashMap<>();
     private long lastRequestNumber;
 
-    /** A rental request that has no clear answer yet. */
+    /** A rental request without a definite result yet. */
     private record PendingRental(String request, MachineOffer offer, int count) {}
 
     ScaleOutRequests(
-            EventLoop kernel, CloudClient cloud, LeaderTerm term, ClusterState cluster, MachineRecords records) {
-        this.kernel = kernel;
+            EventLoop eventLoop, CloudClient cloud, LeaderTerm term, ClusterState cluster, MachineRecords records) {
+        this.eventLoop = eventLoop;
         this.cloud = cloud;
         this.term = term;
         this.cluster = cluster;
         this.records = records;
     }
 
-    /** Whether an offer is worth asking for; one that was refused rests for a while. */
+    /** Whether the offer may be requested; after a refusal it is not for a while. */
     boolean available(MachineOffer offer) {
-        return refusedUntil.getOrDefault(offer, Long.MIN_VALUE) <= kernel.nowMs();
+        return refusedUntil.getOrDefault(offer, Long.MIN_VALUE) <= eventLoop.nowMs();
     }
 
-    /** The machines of all requests that have no clear answer yet, one entry each. */
+    /** The machines of all requests without a definite result yet, one entry for each machine. */
     List<MachineOffer> requested() {
         List<MachineOffer> offers = new ArrayList<>();
         for (PendingRental rental : pending.values()) {
@@ -56,10 +56,10 @@
     }
 
     /**
-     * Requests what is wanted, the most urgent first, as far as the cloud can be asked now. The cloud takes few calls:
-     * the rest is planned again, so that each request is as large as can be.
+     * Requests the wanted machines, the most urgent first, as far as the request limit allows now. The rest is planned
+     * again later, so that each request is as large as possible.
      *
-     * @return whether something was left
+     * @return whether some machines were not requested
      */
     boolean request(Map<MachineOffer, Integer> wanted) {
         for (Map.Entry<MachineOffer, Integer> entry : wanted.entrySet()) {
@@ -72,11 +72,17 @@
     }
 
     private void rent(MachineOffer offer, int count) {
-        // Term and counter: a request name is never used again, not by another leader either.
+        // Term and counter: a request name is never used again, not even by another leader.
         String name = "r-" + term.fencingToken() + "-" + ++lastRequestNumber;
         PendingRental rental = new PendingRental(name, offer, Math.min(count, CloudClient.MAX_RENTAL));
         pending.put(rental.request(), rental);
-        LOG.info("renting {} {}", rental.count(), offer);
+        LOG.atInfo()
+                .addKeyValue("request", rental.request())
+                .addKeyValue("type", offer.type().name())
+                .addKeyValue("zone", offer.zone())
+                .addKeyValue("spot", offer.spot())
+                .addKeyValue("count", rental.count())
+                .log("machines requested");
         send(rental);
     }
 
@@ -88,30 +94,31 @@
                 offer.zone(),
                 offer.spot(),
                 rental.count(),
-                hired -> answered(rental, hired));
+                result -> onResult(rental, result));
     }
 
-    private void answered(PendingRental rental, CloudClient.RentalResult hired) {
+    private void onResult(PendingRental rental, CloudClient.RentalResult result) {
         if (!term.isCurrent()) {
             return;
         }
-        if (hired instanceof CloudClient.RentalResult.Unknown) {
-            // It may have been carried out: only the same request tells, and rents nothing twice.
-            kernel.after(REPEAT_MS, () -> send(rental));
+        if (result instanceof CloudClient.RentalResult.Unknown) {
+            // It may have been executed: repeating the same request returns its result and rents nothing twice.
+            eventLoop.after(RETRY_MS, () -> send(rental));
             return;
         }
         pending.remove(rental.request());
-        List<String> ids = hired instanceof CloudClient.RentalResult.Machines machines ? machines.ids() : List.of();
-        ids.forEach(id -> rented(id, rental.offer()));
+        List<String> ids = result instanceof CloudClient.RentalResult.Machines machines ? machines.ids() : List.of();
+        ids.forEach(id -> addMachine(id, rental.offer()));
         if (ids.size() < rental.count()) {
-            refusedUntil.put(rental.offer(), kernel.nowMs() + NO_CAPACITY_PAUSE_MS);
+            refusedUntil.put(rental.offer(), eventLoop.nowMs() + NO_CAPACITY_BACKOFF_MS);
         }
         cluster.markChanged();
     }
 
-    private void rented(String id, MachineOffer offer) {
+    private void addMachine(String id, MachineOffer offer) {
         if (cluster.machine(id) == null && !cluster.wasRemoved(id)) {
-            Machine machine = new Machine(id, offer.type(), offer.zone(), offer.spot(), kernel.nowMs(), kernel.nowMs());
+            Machine machine =
+                    new Machine(id, offer.type(), offer.zone(), offer.spot(), eventLoop.nowMs(), eventLoop.nowMs());
             cluster.add(machine);
             records.describe(machine);
         }
--- a/src/test/java/io/quartzgw/fleet/ScaleInPolicyTest.java
+++ b/src/test/java/io/quartzgw/fleet/ScaleInPolicyTest.java
@@ -19,41 +19,41 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which idle machines are returned while tasks are unaccounted for, and which never came up. */
+/** Which machines are drained for scale-in: idle ones, unless silent machines may need them, and unbooted ones. */
 class ScaleInPolicyTest {
     private static final long SILENT_MS = 17_000;
     private static final MachineType TYPE =
             new MachineType("t", new Resources(16, 2, 64), 40, 1, 1, 0.3, 20, List.of("a"));
 
-    private final EventLoop kernel = new EventLoop(1);
-    private final ClusterState cluster = new ClusterState(kernel, 1);
-    private final ScaleInPolicy retirement = new ScaleInPolicy(
-            kernel,
+    private final EventLoop eventLoop = new EventLoop(1);
+    private final ClusterState cluster = new ClusterState(eventLoop, 1);
+    private final ScaleInPolicy scaleInPolicy = new ScaleInPolicy(
+            eventLoop,
             cluster,
-            new Consolidation(cluster, machine -> true, new NoStarter(), 16_000),
+            new Consolidation(cluster, machine -> true, new IgnoringLauncher(), 16_000),
             new FleetManager.Policy(0, SILENT_MS, 5_000));
 
-    private static final class NoStarter implements TaskLauncher {
+    private static final class IgnoringLauncher implements TaskLauncher {
         @Override
-        public void start(Allocation booking) {}
+        public void start(Allocation allocation) {}
 
         @Override
-        public void stop(Allocation booking, double graceS, StopReason reason) {}
+        public void stop(Allocation allocation, double graceS, StopReason reason) {}
     }
 
-    private Machine up(int number) {
+    private Machine idleMachine(int number) {
         Machine machine = new Machine("i-" + number, TYPE, "a", false, 0, 0);
         cluster.add(machine);
-        hear(machine);
+        heartbeat(machine);
         return machine;
     }
 
-    private void hear(Machine machine) {
-        machine.liveness().recordHeartbeat(1, kernel.nowMs() + 1, kernel.nowMs());
+    private void heartbeat(Machine machine) {
+        machine.liveness().recordHeartbeat(1, eventLoop.nowMs() + 1, eventLoop.nowMs());
         machine.markUp();
     }
 
-    private Job job(int tasks) {
+    private Job jobOfOneGpuTasks(int tasks) {
         JobSpec spec = JobSpecs.named("j-1")
                 .team("team")
                 .tasks(tasks)
@@ -63,68 +63,68 @@
         return cluster.add(new OpenJob(spec, 1, 0));
     }
 
-    private void pass(long ms) {
-        kernel.processBatch(List.of(), new ClockReading(ms, ms));
+    private void advanceTo(long ms) {
+        eventLoop.processBatch(List.of(), new ClockReading(ms, ms));
     }
 
-    private long leaving() {
+    private long drainingMachines() {
         return cluster.machines().stream()
                 .filter(machine -> machine.status() == Machine.Status.DRAINING)
                 .count();
     }
 
     @Test
-    void idleMachinesAreReturnedWhenAllTasksAreAccountedFor() {
+    void idleMachinesAreDrainedWhenNoTaskIsUnaccounted() {
         for (int i = 0; i < 5; i++) {
-            up(i);
+            idleMachine(i);
         }
-        pass(90_000);
-        retirement.drainUnneeded(5 * 16);
-        assertEquals(5, leaving());
+        advanceTo(90_000);
+        scaleInPolicy.drainUnneeded(5 * 16);
+        assertEquals(5, drainingMachines());
     }
 
-    // Guards a takeover beside silent machines: what is unaccounted takes room when their reservation ends.
+    // Guards a takeover beside silent machines: unaccounted tasks need capacity when the reservations expire.
     @Test
-    void roomIsKeptForUnaccountedTasksInEveryDimension() {
+    void idleMachinesStayForUnaccountedTasksInEveryResourceDimension() {
         for (int i = 0; i < 5; i++) {
-            up(i);
+            idleMachine(i);
         }
-        Job job = job(6);
+        Job job = jobOfOneGpuTasks(6);
         job.recordedStartLimit(6);
         cluster.markUnaccounted(job);
-        pass(90_000);
-        retirement.drainUnneeded(5 * 16);
-        assertEquals(2, leaving(), "six tasks of one GPU need three machines of two");
+        advanceTo(90_000);
+        scaleInPolicy.drainUnneeded(5 * 16);
+        assertEquals(2, drainingMachines(), "six tasks of one GPU need three machines of two");
         cluster.resolveUnaccounted(job);
-        retirement.drainUnneeded(3 * 16);
-        assertEquals(5, leaving());
+        scaleInPolicy.drainUnneeded(3 * 16);
+        assertEquals(5, drainingMachines());
     }
 
     @Test
-    void roomIsKeptForTasksOnASilentMachine() {
-        Machine silent = up(0);
-        Job job = job(2);
+    void idleMachinesStayForTasksOnASilentMachine() {
+        Machine silent = idleMachine(0);
+        Job job = jobOfOneGpuTasks(2);
         cluster.allocate(job, 0, silent, 1);
         cluster.allocate(job, 1, silent, 2);
-        up(1);
-        up(2);
-        pass(90_000);
-        retirement.drainUnneeded(3 * 16);
-        assertEquals(1, leaving());
-        hear(silent);
-        retirement.drainUnneeded(2 * 16);
-        assertEquals(2, leaving());
+        idleMachine(1);
+        idleMachine(2);
+        advanceTo(90_000);
+        scaleInPolicy.drainUnneeded(3 * 16);
+        assertEquals(1, drainingMachines());
+        heartbeat(silent);
+        scaleInPolicy.drainUnneeded(2 * 16);
+        assertEquals(2, drainingMachines());
     }
 
-    // Guards the bill and the count of machines: one that does not come up is not waited for for ever.
+    // Guards against paying forever for a machine that does not boot.
     @Test
-    void aMachineThatNeverComesUpIsReturned() {
+    void machineThatNeverBootsIsDrainedAfterThreeBootTimes() {
         cluster.add(new Machine("i-9", TYPE, "a", false, 0, 0));
-        pass(59_000);
-        retirement.drainUnneeded(16);
-        assertEquals(0, leaving());
-        pass(61_000);
-        retirement.drainUnneeded(16);
-        assertEquals(1, leaving());
+        advanceTo(59_000);
+        scaleInPolicy.drainUnneeded(16);
+        assertEquals(0, drainingMachines());
+        advanceTo(61_000);
+        scaleInPolicy.drainUnneeded(16);
+        assertEquals(1, drainingMachines());
     }
 }
