--- a/src/main/java/io/quartzgw/model/JobShape.java
+++ b/src/main/java/io/quartzgw/model/JobShape.java
@@ -1,10 +1,10 @@
 package io.quartzgw.model;
 
-/** What kind of work a job is. */
+/** How the tasks of a job run. */
 public enum JobShape {
-    /** Independent tasks, each of which runs to completion. */
+    /** Independent batch tasks, each of which runs to completion. */
     ARRAY,
-    /** Tasks that run only together: all start at once, and one that is lost takes the others along. */
+    /** Tasks that run only together: all start at once, and when one is lost, the gang restarts as a whole. */
     GANG,
     /** Replicas that run until the job is cancelled. */
     SERVICE
--- a/src/main/java/io/quartzgw/model/JobSpec.java
+++ b/src/main/java/io/quartzgw/model/JobSpec.java
@@ -3,16 +3,22 @@
 import java.util.Set;
 
 /**
- * A job as its owner described it.
+ * The specification of a job, as its owner submitted it.
  *
+ * @param jobClass the class of jobs whose service-level objectives apply
+ * @param tasks the number of tasks, which are alike
+ * @param demand the resources that each task needs
+ * @param image the name of the image that tasks run from
+ * @param imageGb size of the image
  * @param machineTypes allowed machine types, or null for any
- * @param zone the only allowed zone, or null
- * @param singleZone all tasks have to be in one zone
- * @param spread at most half of the tasks, rounded up, may be in one zone
+ * @param zone the only allowed zone, or null for any
+ * @param singleZone whether all tasks have to be in one zone
+ * @param spread whether at most half of the tasks, rounded up, may be in one zone
  * @param spotAllowed whether spot machines are allowed
- * @param estimateS the owner's guess of a task's run time; 0 for services
- * @param checkpointIntervalS progress after which a task saves by itself; 0: never saves
- * @param deadlineS when the job should be done, from its submission; null: no deadline
+ * @param estimateS the owner's estimate of a task's runtime; 0 for services
+ * @param checkpointIntervalS the interval at which a task saves a checkpoint; 0 for never
+ * @param checkpointGraceS how long a task may take to save a checkpoint when it is stopped
+ * @param deadlineS when the job should be done, from its submission; null for no deadline
  */
 public record JobSpec(
         String id,
@@ -34,25 +40,27 @@
         double checkpointGraceS,
         Double deadlineS) {
 
+    /** Whether the tasks are replicas of a service. */
     public boolean service() {
         return shape == JobShape.SERVICE;
     }
 
+    /** Whether the tasks are members of a gang. */
     public boolean gang() {
         return shape == JobShape.GANG;
     }
 
-    /** What the job has to hold at once to get anywhere: an array can run one task after the other. */
+    /** The least resources that the job needs at once: an array can run one task after the other. */
     public Resources neededAtOnce() {
         return shape == JobShape.ARRAY ? demand : demand.times(tasks);
     }
 
-    /** How many of the tasks may be in one zone. */
+    /** The largest number of tasks that may be in one zone. */
     public int tasksPerZone() {
         return spread ? (tasks + 1) / 2 : tasks;
     }
 
-    /** Whether a machine of this kind may run a task of the job, its other tasks aside. */
+    /** Whether a machine of this type, zone and kind may run a task of the job, leaving its other tasks aside. */
     public boolean allows(String machineType, String inZone, boolean onSpot) {
         return (machineTypes == null || machineTypes.contains(machineType))
                 && (zone == null || zone.equals(inZone))
--- a/src/main/java/io/quartzgw/model/Resources.java
+++ b/src/main/java/io/quartzgw/model/Resources.java
@@ -1,19 +1,23 @@
 package io.quartzgw.model;
 
-/** Amounts of CPUs, GPUs and memory. */
+/** Amounts of CPUs, GPUs and memory: a demand, a capacity or a usage. */
 public record Resources(double cpus, double gpus, double memoryGb) {
+    /** Nothing of any resource. */
     public static final Resources NONE = new Resources(0, 0, 0);
-    /** Guards against sums of decimals that miss a whole number by a rounding error. */
+    /** Tolerance for sums of decimals that miss a whole number by a rounding error. */
     private static final double EPSILON = 1e-6;
 
+    /** The sum. */
     public Resources plus(Resources other) {
         return new Resources(cpus + other.cpus, gpus + other.gpus, memoryGb + other.memoryGb);
     }
 
+    /** The difference. */
     public Resources minus(Resources other) {
         return new Resources(cpus - other.cpus, gpus - other.gpus, memoryGb - other.memoryGb);
     }
 
+    /** Each amount times a factor. */
     public Resources times(double factor) {
         return new Resources(cpus * factor, gpus * factor, memoryGb * factor);
     }
@@ -24,7 +28,10 @@
                 Math.min(cpus, other.cpus), Math.min(gpus, other.gpus), Math.min(memoryGb, other.memoryGb));
     }
 
-    public boolean fitsIn(Resources room) {
-        return cpus <= room.cpus + EPSILON && gpus <= room.gpus + EPSILON && memoryGb <= room.memoryGb + EPSILON;
+    /** Whether a demand of this size fits in the capacity. */
+    public boolean fitsIn(Resources capacity) {
+        return cpus <= capacity.cpus + EPSILON
+                && gpus <= capacity.gpus + EPSILON
+                && memoryGb <= capacity.memoryGb + EPSILON;
     }
 }
--- a/src/main/java/io/quartzgw/model/TeamQuota.java
+++ b/src/main/java/io/quartzgw/model/TeamQuota.java
@@ -1,32 +1,45 @@
 package io.quartzgw.model;
 
-/** A team's guarantee and limit; 0 means none. */
+/**
+ * A team's quota. A limit of 0 means unlimited, a guarantee of 0 that nothing is guaranteed.
+ *
+ * @param guaranteedCpus CPUs up to which the team's jobs are scheduled before others of the same priority
+ * @param maxCpus CPUs that the team's tasks never exceed together
+ * @param guaranteedGpus as for CPUs
+ * @param maxGpus as for CPUs
+ */
 public record TeamQuota(String name, double guaranteedCpus, double maxCpus, double guaranteedGpus, double maxGpus) {
+    /** Tolerance for sums of decimals that miss a whole number by a rounding error. */
     private static final double EPSILON = 1e-6;
 
-    public boolean withinLimit(Resources used) {
-        return within(used.cpus(), maxCpus) && within(used.gpus(), maxGpus);
+    /** Whether the usage is within the limit. */
+    public boolean withinLimit(Resources usage) {
+        return within(usage.cpus(), maxCpus) && within(usage.gpus(), maxGpus);
     }
 
-    /** Whether so much lies inside the team's guarantee; a team without one has nothing inside it. */
-    public boolean withinGuarantee(Resources used) {
-        return used.cpus() <= guaranteedCpus + EPSILON && used.gpus() <= guaranteedGpus + EPSILON;
+    /** Whether the usage is within the guarantee; without a guarantee, no usage is. */
+    public boolean withinGuarantee(Resources usage) {
+        return usage.cpus() <= guaranteedCpus + EPSILON && usage.gpus() <= guaranteedGpus + EPSILON;
     }
 
-    private static boolean within(double used, double limit) {
-        return limit == 0 || used <= limit + EPSILON;
+    private static boolean within(double usage, double limit) {
+        return limit == 0 || usage <= limit + EPSILON;
     }
 
     /**
-     * How many more tasks fit the limit, up to a number. Halves the range at each step: arrays have up to 100,000
-     * tasks, and this is asked at each pass.
+     * The number of further tasks that the limit allows, by binary search: arrays have up to 100,000 tasks, and this is
+     * called in each scheduling pass.
+     *
+     * @param usage what the team uses now
+     * @param demand of each task
+     * @param maxCount the result is at most this
      */
-    public int tasksWithinLimit(Resources use, Resources demand, int most) {
+    public int tasksWithinLimit(Resources usage, Resources demand, int maxCount) {
         int fits = 0;
-        int tooMany = most + 1;
+        int tooMany = maxCount + 1;
         while (tooMany - fits > 1) {
             int middle = (fits + tooMany) / 2;
-            if (withinLimit(use.plus(demand.times(middle)))) {
+            if (withinLimit(usage.plus(demand.times(middle)))) {
                 fits = middle;
             } else {
                 tooMany = middle;
