--- a/src/main/java/io/quartzgw/fleet/CloudClient.java
+++ b/src/main/java/io/quartzgw/fleet/CloudClient.java
@@ -1,20 +1,20 @@
 package io.quartzgw.fleet;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quartzgw.eventloop.CoalescedTask;
 import io.quartzgw.eventloop.EventLoop;
 import io.quartzgw.http.Call;
 import io.quartzgw.http.Endpoint;
-import io.quartzgw.http.Json;
 import io.quartzgw.http.Reply;
+import io.quartzgw.model.MachineType;
 import io.quartzgw.store.TokenBucket;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Deque;
 import java.util.List;
+import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
 
 /** Client of the cloud that keeps to its request limit; calls beyond it wait in order. */
@@ -36,9 +36,20 @@
 
     private record QueuedCall(Call call, Consumer<Reply> callback) {}
 
-    /** A machine as the cloud lists it. */
+    /**
+     * A machine as the cloud lists it.
+     *
+     * @param phase the cloud's name of the machine's state
+     * @param ageS time since its rental
+     */
     public record ListedMachine(
-            String id, String address, String type, String zone, boolean spot, String phase, double ageS) {}
+            String id, String address, String type, String zone, boolean spot, String phase, double ageS) {
+
+        /** Whether the machine has stopped by itself. */
+        boolean failed() {
+            return phase.equals("failed");
+        }
+    }
 
     /** The result of a rental request. */
     public sealed interface RentalResult {
@@ -60,71 +71,56 @@
         this.budget = new TokenBucket(limits.requestsPerS() * USED_FRACTION, eventLoop.nowMs());
     }
 
-    /** The table as the cloud sends it, or null. */
-    public void machineTypes(Consumer<JsonNode> then) {
+    /** Reads the machine types by name; the callback gets none when the cloud did not respond. */
+    public void machineTypes(Consumer<Map<String, MachineType>> callback) {
         submit(
                 Call.get(endpoint, "/machine_types", TIMEOUT_MS),
-                reply -> then.accept(reply.ok() ? reply.json() : null));
+                reply -> callback.accept(reply.ok() ? MachineTypeCodec.decodeTable(reply.json()) : Map.of()));
     }
 
     /** Requests machines; a request name must never be used for a second, different request. */
-    public void rent(String request, String type, String zone, boolean spot, int count, Consumer<RentalResult> then) {
-        ObjectNode body = Json.object()
-                .put("hire", request)
-                .put("host_type", type)
-                .put("yard", zone)
-                .put("loaner", spot)
-                .put("number", Math.min(count, MAX_RENTAL));
-        submit(Call.post(endpoint, "/rentals", body, TIMEOUT_MS), reply -> then.accept(rentalResult(reply)));
+    void rent(String request, MachineOffer offer, int count, Consumer<RentalResult> callback) {
+        ObjectNode body = CloudCodec.encodeRental(request, offer, Math.min(count, MAX_RENTAL));
+        submit(Call.post(endpoint, "/rentals", body, TIMEOUT_MS), reply -> callback.accept(rentalResult(reply)));
     }
 
     private static RentalResult rentalResult(Reply reply) {
         if (reply.ok()) {
-            List<String> ids = new ArrayList<>();
-            reply.json().path("hosts").forEach(id -> ids.add(id.asText()));
-            return new RentalResult.Machines(ids);
+            return new RentalResult.Machines(CloudCodec.decodeRentedIds(reply.json()));
         }
-        boolean noCapacity =
-                reply.status() == 503 && reply.json().path("error").asText().equals("no capacity");
+        boolean noCapacity = reply.status() == 503 && CloudCodec.isNoCapacity(reply.json());
         return noCapacity ? new RentalResult.NoCapacity() : new RentalResult.Unknown();
     }
 
-    /** Deletes machines; the callback learns whether they certainly no longer exist. */
-    public void delete(Collection<String> ids, Consumer<Boolean> then) {
-        ObjectNode body = Json.object();
-        ArrayNode hosts = body.putArray("hosts");
-        ids.stream().limit(MAX_DELETE).forEach(hosts::add);
-        submit(Call.post(endpoint, "/rentals/delete", body, TIMEOUT_MS), reply -> then.accept(reply.ok()));
+    /** Deletes at most {@link #MAX_DELETE} machines; the callback learns whether they certainly no longer exist. */
+    public void delete(Collection<String> ids, Consumer<Boolean> callback) {
+        ObjectNode body = CloudCodec.encodeDeletion(ids);
+        submit(Call.post(endpoint, "/rentals/delete", body, TIMEOUT_MS), reply -> callback.accept(reply.ok()));
     }
 
-    /** Every listed machine, or null when the list could not be read whole. */
-    public void list(Consumer<List<ListedMachine>> then) {
-        readPage("", new ArrayList<>(), then);
+    /** Reads the whole machine list; the callback gets nothing when one of its pages could not be read. */
+    public void list(Consumer<Optional<List<ListedMachine>>> callback) {
+        readPage("", new ArrayList<>(), callback);
     }
 
-    private void readPage(String afterId, List<ListedMachine> machines, Consumer<List<ListedMachine>> then) {
+    private void readPage(
+            String afterId, List<ListedMachine> machines, Consumer<Optional<List<ListedMachine>>> callback) {
         String path = "/rentals?since=" + afterId + "&most=" + LIST_PAGE_SIZE;
-        submit(Call.get(endpoint, path, TIMEOUT_MS), reply -> {
-            if (!reply.ok()) {
-                then.accept(null);
-                return;
-            }
-            reply.json()
-                    .path("hosts")
-                    .forEach(node -> machines.add(new ListedMachine(
-                            node.path("id").asText(),
-                            node.path("address").asText(),
-                            node.path("host_type").asText(),
-                            node.path("yard").asText(),
-                            node.path("loaner").asBoolean(),
-                            node.path("phase").asText(),
-                            node.path("held_s").asDouble())));
-            if (reply.json().path("more").asBoolean() && !machines.isEmpty()) {
-                readPage(machines.get(machines.size() - 1).id(), machines, then);
-            } else {
-                then.accept(machines);
-            }
-        });
+        submit(Call.get(endpoint, path, TIMEOUT_MS), reply -> onPage(reply, machines, callback));
+    }
+
+    private void onPage(Reply reply, List<ListedMachine> machines, Consumer<Optional<List<ListedMachine>>> callback) {
+        if (!reply.ok()) {
+            callback.accept(Optional.empty());
+            return;
+        }
+        CloudCodec.ListPage page = CloudCodec.decodeListPage(reply.json());
+        machines.addAll(page.machines());
+        if (page.more() && !machines.isEmpty()) {
+            readPage(machines.get(machines.size() - 1).id(), machines, callback);
+        } else {
+            callback.accept(Optional.of(machines));
+        }
     }
 
     /** Whether a call would be sent at once. */
--- a/src/main/java/io/quartzgw/fleet/FleetManager.java
+++ b/src/main/java/io/quartzgw/fleet/FleetManager.java
@@ -30,7 +30,7 @@
     private final ScaleOutRequests scaleOutRequests;
     private final ScaleInPolicy scaleInPolicy;
     private final ScaleInRequests scaleInRequests;
-    private final Consumer<Machine> gone;
+    private final Consumer<Machine> removed;
     private final double reservedCpus;
 
     /**
@@ -53,28 +53,38 @@
         }
     }
 
-    /** @param gone is notified when a machine certainly no longer exists */
+    /** @param removed is notified when a machine certainly no longer exists */
+    public FleetManager(
+            FleetContext context,
+            MachineTypes machineTypes,
+            MachineRecords records,
+            Consolidation consolidation,
+            Consumer<Machine> removed) {
+        this.eventLoop = context.eventLoop();
+        this.term = context.term();
+        this.cluster = context.cluster();
+        this.reservedCpus = context.policy().reservedCpus();
+        this.records = records;
+        this.removed = removed;
+        this.planner = new ScaleOutPlanner(machineTypes);
+        this.inventory = new InventoryReconciler(context, machineTypes, this::remove);
+        this.scaleOutRequests = new ScaleOutRequests(context, records);
+        this.scaleInPolicy = new ScaleInPolicy(eventLoop, cluster, consolidation, context.policy());
+        this.scaleInRequests = new ScaleInRequests(context, this::remove);
+    }
+
+    /** The former constructor; prefer the one with a {@link FleetContext}. */
     public FleetManager(
             EventLoop eventLoop,
             CloudClient cloud,
             LeaderTerm term,
             ClusterState cluster,
-            MachineTypes types,
+            MachineTypes machineTypes,
             MachineRecords records,
             Consolidation consolidation,
             Policy policy,
-            Consumer<Machine> gone) {
-        this.eventLoop = eventLoop;
-        this.term = term;
-        this.cluster = cluster;
-        this.records = records;
-        this.reservedCpus = policy.reservedCpus();
-        this.gone = gone;
-        this.planner = new ScaleOutPlanner(types);
-        this.inventory = new InventoryReconciler(eventLoop, cloud, term, cluster, types, policy, this::remove);
-        this.scaleOutRequests = new ScaleOutRequests(eventLoop, cloud, term, cluster, records);
-        this.scaleInPolicy = new ScaleInPolicy(eventLoop, cluster, consolidation, policy);
-        this.scaleInRequests = new ScaleInRequests(eventLoop, cloud, term, cluster, this::remove);
+            Consumer<Machine> removed) {
+        this(new FleetContext(eventLoop, cloud, term, cluster, policy), machineTypes, records, consolidation, removed);
     }
 
     /** Starts to read the cloud's machine list; nothing is rented or deleted before it is known. */
@@ -86,7 +96,7 @@
         cluster.remove(machine);
         records.drop(machine);
         inventory.forget(machine);
-        gone.accept(machine);
+        removed.accept(machine);
     }
 
     /**
--- a/src/main/java/io/quartzgw/fleet/InventoryReconciler.java
+++ b/src/main/java/io/quartzgw/fleet/InventoryReconciler.java
@@ -37,20 +37,13 @@
     private boolean inventoryKnown;
 
     /** @param removed is notified when a machine certainly no longer exists */
-    InventoryReconciler(
-            EventLoop eventLoop,
-            CloudClient cloud,
-            LeaderTerm term,
-            ClusterState cluster,
-            MachineTypes types,
-            FleetManager.Policy policy,
-            Consumer<Machine> removed) {
-        this.eventLoop = eventLoop;
-        this.cloud = cloud;
-        this.term = term;
-        this.cluster = cluster;
+    InventoryReconciler(FleetContext context, MachineTypes types, Consumer<Machine> removed) {
+        this.eventLoop = context.eventLoop();
+        this.cloud = context.cloud();
+        this.term = context.term();
+        this.cluster = context.cluster();
+        this.policy = context.policy();
         this.types = types;
-        this.policy = policy;
         this.removed = removed;
     }
 
@@ -74,18 +67,22 @@
             return;
         }
         long requestedAt = eventLoop.nowMs();
-        cloud.list(machines -> {
-            if (!term.isCurrent()) {
-                return;
-            }
-            if (machines != null) {
-                inventoryKnown = true;
-                machines.forEach(machine -> reconcile(machine, requestedAt));
-                removeAbsent(machines, requestedAt);
-                cluster.markChanged();
-            }
-            eventLoop.after(Math.max(MIN_LIST_MS, (long) (LIST_EVERY_LAGS * policy.listLagMs())), this::read);
-        });
+        cloud.list(machines -> onList(machines, requestedAt));
+    }
+
+    private void onList(Optional<List<CloudClient.ListedMachine>> list, long requestedAt) {
+        if (!term.isCurrent()) {
+            return;
+        }
+        list.ifPresent(machines -> reconcileAll(machines, requestedAt));
+        eventLoop.after(Math.max(MIN_LIST_MS, (long) (LIST_EVERY_LAGS * policy.listLagMs())), this::read);
+    }
+
+    private void reconcileAll(List<CloudClient.ListedMachine> machines, long requestedAt) {
+        inventoryKnown = true;
+        machines.forEach(machine -> reconcile(machine, requestedAt));
+        removeAbsent(machines, requestedAt);
+        cluster.markChanged();
     }
 
     private void reconcile(CloudClient.ListedMachine entry, long requestedAt) {
@@ -104,7 +101,7 @@
         if (machine.address() == null) {
             machine.address(Endpoint.parse(entry.address()));
         }
-        if (entry.phase().equals("failed") && !policy.hasRecentHeartbeat(machine, eventLoop.nowMs())) {
+        if (entry.failed() && !policy.hasRecentHeartbeat(machine, eventLoop.nowMs())) {
             // It has stopped by itself, and its tasks with it.
             LOG.atInfo().addKeyValue("machine", entry.id()).log("machine failed");
             machine.allocationsSnapshot().forEach(cluster::release);
--- a/src/main/java/io/quartzgw/fleet/MachineCatalog.java
+++ b/src/main/java/io/quartzgw/fleet/MachineCatalog.java
@@ -1,13 +1,14 @@
 package io.quartzgw.fleet;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import io.quartzgw.eventloop.EventLoop;
 import io.quartzgw.model.MachineType;
 import io.quartzgw.model.MachineTypes;
+import io.quartzgw.store.KeyValue;
 import io.quartzgw.store.RequestUrgency;
 import io.quartzgw.store.StoreClient;
 import io.quartzgw.store.Transaction;
 import java.util.Collection;
+import java.util.List;
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.BooleanSupplier;
@@ -68,33 +69,33 @@
     }
 
     private void readStored() {
-        store.get(KEY, found -> {
-            if (found != null && !found.isEmpty()) {
-                update(found.get(0).value());
-            } else if (!isKnown()) {
-                fetchFromCloud();
+        store.get(KEY, this::onStoredTable);
+    }
+
+    /** Takes the stored table; the records are null when the state service did not respond. */
+    private void onStoredTable(List<KeyValue> records) {
+        if (records != null && !records.isEmpty()) {
+            Map<String, MachineType> stored =
+                    MachineTypeCodec.decodeTable(records.get(0).value());
+            if (!stored.isEmpty()) {
+                types = stored;
             }
-        });
+        } else if (!isKnown()) {
+            fetchFromCloud();
+        }
     }
 
     private void fetchFromCloud() {
-        cloud.machineTypes(table -> {
-            if (table != null && MachineTypeCodec.hasMachineTypes(table)) {
-                update(table);
-                store.commit(
-                        new Transaction().put(KEY, MachineTypeCodec.encodeTable(types.values())),
-                        RequestUrgency.NORMAL,
-                        outcome -> {});
-            } else if (!isKnown()) {
-                eventLoop.after(RETRY_MS, this::readStored);
-            }
-        });
+        cloud.machineTypes(this::onCloudTable);
     }
 
-    private void update(JsonNode table) {
-        Map<String, MachineType> decoded = MachineTypeCodec.decodeTable(table);
-        if (!decoded.isEmpty()) {
-            types = decoded;
+    private void onCloudTable(Map<String, MachineType> offered) {
+        if (!offered.isEmpty()) {
+            types = offered;
+            Transaction transaction = new Transaction().put(KEY, MachineTypeCodec.encodeTable(types.values()));
+            store.commit(transaction, RequestUrgency.NORMAL, outcome -> {});
+        } else if (!isKnown()) {
+            eventLoop.after(RETRY_MS, this::readStored);
         }
     }
 }
--- a/src/main/java/io/quartzgw/fleet/MachineRecords.java
+++ b/src/main/java/io/quartzgw/fleet/MachineRecords.java
@@ -1,12 +1,8 @@
 package io.quartzgw.fleet;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.TextNode;
 import io.quartzgw.eventloop.CoalescedTask;
 import io.quartzgw.eventloop.EventLoop;
-import io.quartzgw.http.Endpoint;
-import io.quartzgw.http.Json;
 import io.quartzgw.leadership.LeaderTerm;
 import io.quartzgw.leadership.Leadership;
 import io.quartzgw.model.MachineType;
@@ -91,34 +87,34 @@
             List<KeyValue> described, List<KeyValue> marked, MachineTypes types, long now, Consumer<Machine> found) {
         Map<String, Machine> machines = new LinkedHashMap<>();
         descriptions.load(described, (id, record) -> {
-            types.find(record.path(0).asText()).ifPresent(type -> machines.put(id, decode(id, type, record, now)));
-        });
-        marks.load(marked, (id, address) -> {
-            Machine machine = machines.get(id);
-            if (machine == null) {
-                marks.removeLazily(id);
-                return;
-            }
-            machine.address(Endpoint.parse(address.asText()));
-            machine.markHasRunTasks();
+            MachineRecordCodec.Description description = MachineRecordCodec.decodeDescription(record);
+            types.find(description.type()).ifPresent(type -> machines.put(id, machine(id, type, description, now)));
         });
+        marks.load(marked, (id, mark) -> loadMark(id, mark, machines));
         machines.values().forEach(found);
     }
 
-    private Machine decode(String id, MachineType type, JsonNode record, long now) {
+    private Machine machine(String id, MachineType type, MachineRecordCodec.Description description, long now) {
         // Never earlier than the actual rental: a machine that is too new for the cloud's list must not be removed.
-        long ageMs = Math.max(0, eventLoop.wallClockMs() - record.path(3).asLong() * 1000 - maxClockSkewMs);
-        return new Machine(id, type, record.path(1).asText(), record.path(2).asBoolean(), now - ageMs, now);
+        long ageMs = Math.max(0, eventLoop.wallClockMs() - description.rentedAtS() * 1000 - maxClockSkewMs);
+        return new Machine(id, type, description.zone(), description.spot(), now - ageMs, now);
+    }
+
+    private void loadMark(String id, JsonNode mark, Map<String, Machine> machines) {
+        Machine machine = machines.get(id);
+        if (machine == null) {
+            marks.removeLazily(id);
+            return;
+        }
+        machine.address(MachineRecordCodec.decodeMark(mark));
+        machine.markHasRunTasks();
     }
 
     /** Schedules the description of a rented machine; the first start on it waits for that too. */
     public void describe(Machine machine) {
-        ArrayNode description = Json.array()
-                .add(machine.type().name())
-                .add(machine.zone())
-                .add(machine.spot())
-                .add((eventLoop.wallClockMs() - (eventLoop.nowMs() - machine.rentedAt())) / 1000 + 1);
-        descriptions.put(machine.id(), description, 0);
+        long rentedAtMs = eventLoop.wallClockMs() - (eventLoop.nowMs() - machine.rentedAt());
+        // Rounded up, so that the recorded age is never above the actual one.
+        descriptions.put(machine.id(), MachineRecordCodec.encodeDescription(machine, rentedAtMs / 1000 + 1), 0);
         dirty = true;
     }
 
@@ -129,7 +125,7 @@
                 // It was not rented by this leader, as far as it knows.
                 describe(machine);
             }
-            marks.put(machine.id(), TextNode.valueOf(machine.address().toString()), 0);
+            marks.put(machine.id(), MachineRecordCodec.encodeMark(machine.address()), 0);
             dirty = true;
         }
     }
--- a/src/main/java/io/quartzgw/fleet/MachineTypeCodec.java
+++ b/src/main/java/io/quartzgw/fleet/MachineTypeCodec.java
@@ -19,11 +19,6 @@
 
     private MachineTypeCodec() {}
 
-    /** Whether a table received from the cloud holds any machine type. */
-    static boolean hasMachineTypes(JsonNode table) {
-        return table.path(MACHINE_TYPES).size() > 0;
-    }
-
     /** Encodes a table of machine types. */
     static ObjectNode encodeTable(Collection<MachineType> types) {
         ObjectNode table = Json.object();
--- a/src/main/java/io/quartzgw/fleet/ScaleInRequests.java
+++ b/src/main/java/io/quartzgw/fleet/ScaleInRequests.java
@@ -23,12 +23,11 @@
     private final Set<String> deleting = new HashSet<>();
 
     /** @param removed is notified when a machine certainly no longer exists */
-    ScaleInRequests(
-            EventLoop eventLoop, CloudClient cloud, LeaderTerm term, ClusterState cluster, Consumer<Machine> removed) {
-        this.eventLoop = eventLoop;
-        this.cloud = cloud;
-        this.term = term;
-        this.cluster = cluster;
+    ScaleInRequests(FleetContext context, Consumer<Machine> removed) {
+        this.eventLoop = context.eventLoop();
+        this.cloud = context.cloud();
+        this.term = context.term();
+        this.cluster = context.cluster();
         this.removed = removed;
     }
 
--- a/src/main/java/io/quartzgw/fleet/ScaleOutRequests.java
+++ b/src/main/java/io/quartzgw/fleet/ScaleOutRequests.java
@@ -30,12 +30,11 @@
     /** A rental request without a definite result yet. */
     private record PendingRental(String request, MachineOffer offer, int count) {}
 
-    ScaleOutRequests(
-            EventLoop eventLoop, CloudClient cloud, LeaderTerm term, ClusterState cluster, MachineRecords records) {
-        this.eventLoop = eventLoop;
-        this.cloud = cloud;
-        this.term = term;
-        this.cluster = cluster;
+    ScaleOutRequests(FleetContext context, MachineRecords records) {
+        this.eventLoop = context.eventLoop();
+        this.cloud = context.cloud();
+        this.term = context.term();
+        this.cluster = context.cluster();
         this.records = records;
     }
 
@@ -87,14 +86,7 @@
     }
 
     private void send(PendingRental rental) {
-        MachineOffer offer = rental.offer();
-        cloud.rent(
-                rental.request(),
-                offer.type().name(),
-                offer.zone(),
-                offer.spot(),
-                rental.count(),
-                result -> onResult(rental, result));
+        cloud.rent(rental.request(), rental.offer(), rental.count(), result -> onResult(rental, result));
     }
 
     private void onResult(PendingRental rental, CloudClient.RentalResult result) {
