--- a/src/main/java/io/quartzgw/fleet/InventoryReconciler.java
+++ b/src/main/java/io/quartzgw/fleet/InventoryReconciler.java
@@ -90,14 +90,10 @@
             return;
         }
         lastListedAt.put(entry.id(), requestedAt);
-        Machine machine = cluster.machine(entry.id());
-        if (machine == null) {
-            Optional<Machine> adopted = adoptUnknown(entry);
-            if (adopted.isEmpty()) {
-                return;
-            }
-            machine = adopted.get();
-        }
+        cluster.findMachine(entry.id()).or(() -> adoptUnknown(entry)).ifPresent(machine -> update(machine, entry));
+    }
+
+    private void update(Machine machine, CloudClient.ListedMachine entry) {
         if (machine.address() == null) {
             machine.address(Endpoint.parse(entry.address()));
         }
--- a/src/main/java/io/quartzgw/fleet/ScaleInRequests.java
+++ b/src/main/java/io/quartzgw/fleet/ScaleInRequests.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
-import java.util.Objects;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
 
@@ -61,6 +61,6 @@
             eventLoop.after(RETRY_MS, cluster::markChanged);
             return;
         }
-        ids.stream().map(cluster::machine).filter(Objects::nonNull).forEach(removed);
+        ids.stream().map(cluster::findMachine).flatMap(Optional::stream).forEach(removed);
     }
 }
--- a/src/main/java/io/quartzgw/fleet/ScaleOutRequests.java
+++ b/src/main/java/io/quartzgw/fleet/ScaleOutRequests.java
@@ -108,7 +108,7 @@
     }
 
     private void addMachine(String id, MachineOffer offer) {
-        if (cluster.machine(id) == null && !cluster.wasRemoved(id)) {
+        if (cluster.findMachine(id).isEmpty() && !cluster.wasRemoved(id)) {
             Machine machine =
                     new Machine(id, offer.type(), offer.zone(), offer.spot(), eventLoop.nowMs(), eventLoop.nowMs());
             cluster.add(machine);
--- a/src/main/java/io/quartzgw/scheduling/Allocation.java
+++ b/src/main/java/io/quartzgw/scheduling/Allocation.java
@@ -39,30 +39,37 @@
         this.allocatedAt = now;
     }
 
+    /** The job of the task. */
     public Job job() {
         return job;
     }
 
+    /** The task's index in its job. */
     public int index() {
         return index;
     }
 
+    /** The attempt number, unique across leaders. */
     public long attempt() {
         return attempt;
     }
 
+    /** The machine that the task is allocated to. */
     public Machine machine() {
         return machine;
     }
 
+    /** The resources that the task reserves. */
     public Resources demand() {
         return job.spec().demand();
     }
 
+    /** The task's name, unique across jobs. */
     public String task() {
         return job.task(index);
     }
 
+    /** The last known phase. */
     public Phase phase() {
         return phase;
     }
@@ -86,6 +93,7 @@
         phase = Phase.ASSIGNED;
     }
 
+    /** When the task was allocated, on the steady clock. */
     public long allocatedAt() {
         return allocatedAt;
     }
@@ -100,6 +108,7 @@
         return startSent;
     }
 
+    /** Records that a start command was sent. */
     public void markStartSent() {
         startSent = true;
     }
@@ -113,6 +122,7 @@
         return job.spec().service() || remainingMs > machine.reclaimAt() - now;
     }
 
+    /** Whether the task was asked to stop. */
     public boolean stopping() {
         return stopping;
     }
@@ -123,6 +133,7 @@
         stopGraceS = graceS;
     }
 
+    /** How long the task may take to save a checkpoint when it is stopped. */
     public double stopGraceS() {
         return stopGraceS;
     }
--- a/src/main/java/io/quartzgw/scheduling/ClusterState.java
+++ b/src/main/java/io/quartzgw/scheduling/ClusterState.java
@@ -7,6 +7,7 @@
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Consumer;
@@ -41,6 +42,7 @@
     private long attempts;
     private boolean changed = true;
 
+    /** @param term of this leader, part of all attempt numbers */
     public ClusterState(EventLoop eventLoop, long term) {
         this.eventLoop = eventLoop;
         this.term = term;
@@ -48,6 +50,7 @@
 
     // ---- jobs
 
+    /** All jobs by id, including terminal ones that still have allocations. */
     public Collection<Job> jobs() {
         return jobs.values();
     }
@@ -57,6 +60,12 @@
         return jobs.tailMap(id, false).values();
     }
 
+    /** The job with this id, if it is open or still has allocations. */
+    public Optional<Job> findJob(String id) {
+        return Optional.ofNullable(jobs.get(id));
+    }
+
+    /** The job or null; prefer {@link #findJob}. */
     public Job job(String id) {
         return jobs.get(id);
     }
@@ -133,14 +142,22 @@
 
     // ---- machines
 
+    /** All machines by id. */
     public Collection<Machine> machines() {
         return machines.values();
     }
 
+    /** The machine with this id, if it is known. */
+    public Optional<Machine> findMachine(String id) {
+        return Optional.ofNullable(machines.get(id));
+    }
+
+    /** The machine or null; prefer {@link #findMachine}. */
     public Machine machine(String id) {
         return machines.get(id);
     }
 
+    /** Adds a machine. */
     public void add(Machine machine) {
         changed = true;
         machines.put(machine.id(), machine);
--- a/src/main/java/io/quartzgw/scheduling/Job.java
+++ b/src/main/java/io/quartzgw/scheduling/Job.java
@@ -33,22 +33,27 @@
         pending.set(0, open.spec().tasks());
     }
 
+    /** The specification that was submitted. */
     public JobSpec spec() {
         return open.spec();
     }
 
+    /** The record in the state service. */
     public OpenJob open() {
         return open;
     }
 
+    /** The job id. */
     public String id() {
         return open.spec().id();
     }
 
+    /** The name of a task, unique across jobs. */
     public String task(int index) {
         return id() + "/" + index;
     }
 
+    /** When the job was accepted. */
     public long submittedAt() {
         return submittedAt;
     }
@@ -61,30 +66,37 @@
 
     // ---- tasks
 
+    /** Whether the task is done. */
     public boolean isDone(int index) {
         return done.get(index);
     }
 
+    /** The indexes of done tasks; not to be modified. */
     public BitSet done() {
         return done;
     }
 
+    /** The number of done tasks. */
     public int doneCount() {
         return done.cardinality();
     }
 
+    /** Whether all tasks are done; a service never is. */
     public boolean complete() {
         return !spec().service() && done.cardinality() == spec().tasks();
     }
 
+    /** The allocation of a task, or null if it has none. */
     public Allocation allocation(int index) {
         return allocations.get(index);
     }
 
+    /** A live view of the allocations. */
     public Collection<Allocation> allocations() {
         return allocations.values();
     }
 
+    /** A copy of the allocations, for callers that release some. */
     public List<Allocation> allocationsSnapshot() {
         return new ArrayList<>(allocations.values());
     }
@@ -96,14 +108,17 @@
                 .count();
     }
 
+    /** The indexes of pending tasks; not to be modified. */
     public BitSet pending() {
         return pending;
     }
 
+    /** The lowest index of a pending task, or -1. */
     public int nextPending() {
         return pending.nextSetBit(0);
     }
 
+    /** The indexes of unaccounted tasks; not to be modified. */
     public BitSet unaccounted() {
         return unaccounted;
     }
@@ -128,6 +143,7 @@
         return recordedDone.get(index);
     }
 
+    /** The indexes of tasks that are recorded as done in the state service. */
     public BitSet recordedDone() {
         return recordedDone;
     }
@@ -191,12 +207,14 @@
         return unaccounted.isEmpty() && tasksPerZone.getOrDefault(zone, 0) == allocations.size();
     }
 
+    /** The number of allocated tasks in the zone. */
     public int tasksInZone(String zone) {
         return tasksPerZone.getOrDefault(zone, 0);
     }
 
     // ---- end and failures
 
+    /** Whether the job is cancelled or done. */
     public boolean isTerminal() {
         return isTerminal;
     }
--- a/src/main/java/io/quartzgw/scheduling/Machine.java
+++ b/src/main/java/io/quartzgw/scheduling/Machine.java
@@ -62,40 +62,49 @@
         this.emptySince = now;
     }
 
+    /** The cloud's id of the machine. */
     public String id() {
         return id;
     }
 
+    /** The machine type. */
     public MachineType type() {
         return type;
     }
 
+    /** The zone it is in. */
     public String zone() {
         return zone;
     }
 
+    /** Whether it is a spot machine, which the cloud may reclaim. */
     public boolean spot() {
         return spot;
     }
 
+    /** When it was rented, on the steady clock. */
     public long rentedAt() {
         return rentedAt;
     }
 
+    /** The address of its agent, or null before it is known. */
     public Endpoint address() {
         return address;
     }
 
+    /** Sets the address of its agent. */
     public void address(Endpoint address) {
         this.address = address;
     }
 
     // ---- state
 
+    /** The state in its lifecycle. */
     public Status status() {
         return status;
     }
 
+    /** Excludes it from new allocations, so that it can be deleted. */
     public void drain() {
         status = Status.DRAINING;
     }
@@ -105,6 +114,7 @@
         return hasRunTasks;
     }
 
+    /** Records that tasks may have been started on it. */
     public void markHasRunTasks() {
         hasRunTasks = true;
     }
@@ -135,6 +145,7 @@
         return reservationExpired;
     }
 
+    /** Ends the reservation of its capacity for tasks that may run on it. */
     public void expireReservation() {
         reservationExpired = true;
     }
@@ -144,32 +155,39 @@
         return reclaimAt;
     }
 
+    /** Sets when the cloud reclaims the machine. */
     public void reclaimAt(long reclaimAt) {
         this.reclaimAt = reclaimAt;
     }
 
+    /** Since when no task is allocated to it, if none is. */
     public long emptySince() {
         return emptySince;
     }
 
     // ---- allocations
 
+    /** The capacity that is not allocated. */
     public Resources freeCapacity() {
         return freeCapacity;
     }
 
+    /** Whether no task is allocated to it. */
     public boolean empty() {
         return allocations.isEmpty();
     }
 
+    /** The allocation of a task, or null if it is not allocated here. */
     public Allocation allocation(String task) {
         return allocations.get(task);
     }
 
+    /** A live view of the allocations. */
     public Collection<Allocation> allocations() {
         return allocations.values();
     }
 
+    /** A copy of the allocations, for callers that release some. */
     public List<Allocation> allocationsSnapshot() {
         return new ArrayList<>(allocations.values());
     }
@@ -204,6 +222,7 @@
 
     // ---- images
 
+    /** Whether the image is in its cache. */
     public boolean hasImage(String image) {
         return images.contains(image);
     }
@@ -252,6 +271,7 @@
         failedJobs.add(job);
     }
 
+    /** Records that a task completed here, which ends a row of failures. */
     public void jobSucceeded() {
         failedJobs.clear();
     }
--- a/src/main/java/io/quartzgw/scheduling/SchedulingQueue.java
+++ b/src/main/java/io/quartzgw/scheduling/SchedulingQueue.java
@@ -37,38 +37,42 @@
     }
 
     private record RankedJob(
-            Job job, boolean guaranteed, boolean starved, boolean late, double work, double teamShare) {}
+            Job job, boolean guaranteed, boolean starved, boolean late, double agedWork, double teamCpus) {}
 
     /** Jobs with a pending task whose retry delay is over, the most urgent first. */
     List<Job> order(long now) {
         List<RankedJob> ranked = new ArrayList<>();
         for (Job job : cluster.pendingJobs()) {
             if (job.retryAt() <= now) {
-                Resources use = cluster.usageByTeam(job.spec().team());
-                TeamQuota team = teams.get(job.spec().team());
-                boolean guaranteed =
-                        team != null && team.withinGuarantee(use.plus(job.spec().demand()));
-                long age = now - job.submittedAt();
-                boolean late = !objectives.isReachable(job, now) && age < LATENESS_EXPIRES_HEARTBEATS * heartbeatMs;
-                boolean starved = age >= STARVED_AFTER_HEARTBEATS * heartbeatMs
-                        && job.doneCount() == 0
-                        && job.possiblyRunning() == 0;
-                double weight = 1 + Math.max(0.0, age) / (AGEING_HEARTBEATS * heartbeatMs);
-                ranked.add(new RankedJob(
-                        job, guaranteed, starved, late, job.pendingWork() / (weight * weight), use.cpus()));
+                ranked.add(rank(job, now));
             }
         }
-        ranked.sort(Comparator.comparing((RankedJob r) -> r.job.spec().priority())
-                .thenComparing(r -> !r.guaranteed)
-                .thenComparing(r -> !r.starved)
-                .thenComparing(r -> r.late && !r.starved)
-                .thenComparing(r -> r.starved ? 0 : r.work)
-                .thenComparing(r -> r.starved ? 0 : r.teamShare)
-                .thenComparing(r -> r.job.submittedAt())
-                .thenComparing(r -> r.job.id()));
+        ranked.sort(
+                Comparator.comparing((RankedJob ranking) -> ranking.job.spec().priority())
+                        .thenComparing(ranking -> !ranking.guaranteed)
+                        .thenComparing(ranking -> !ranking.starved)
+                        .thenComparing(ranking -> ranking.late && !ranking.starved)
+                        .thenComparing(ranking -> ranking.starved ? 0 : ranking.agedWork)
+                        .thenComparing(ranking -> ranking.starved ? 0 : ranking.teamCpus)
+                        .thenComparing(ranking -> ranking.job.submittedAt())
+                        .thenComparing(ranking -> ranking.job.id()));
         return ranked.stream().map(RankedJob::job).toList();
     }
 
+    private RankedJob rank(Job job, long now) {
+        Resources usage = cluster.usageByTeam(job.spec().team());
+        TeamQuota team = teams.get(job.spec().team());
+        boolean guaranteed =
+                team != null && team.withinGuarantee(usage.plus(job.spec().demand()));
+        long ageMs = now - job.submittedAt();
+        boolean late = !objectives.isReachable(job, now) && ageMs < LATENESS_EXPIRES_HEARTBEATS * heartbeatMs;
+        boolean starved =
+                ageMs >= STARVED_AFTER_HEARTBEATS * heartbeatMs && job.doneCount() == 0 && job.possiblyRunning() == 0;
+        double ageDivisor = 1 + Math.max(0.0, ageMs) / (AGEING_HEARTBEATS * heartbeatMs);
+        double agedWork = job.pendingWork() / (ageDivisor * ageDivisor);
+        return new RankedJob(job, guaranteed, starved, late, agedWork, usage.cpus());
+    }
+
     /** When the next delayed job may be retried, or {@code Long.MAX_VALUE} if none is delayed. */
     long nextRetry(long now) {
         return cluster.pendingJobs().stream()
