--- a/src/main/java/io/quartzgw/fleet/MachineCatalog.java
+++ b/src/main/java/io/quartzgw/fleet/MachineCatalog.java
@@ -1,46 +1,45 @@
 package io.quartzgw.fleet;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quartzgw.eventloop.EventLoop;
-import io.quartzgw.http.Json;
 import io.quartzgw.model.MachineType;
+import io.quartzgw.model.MachineTypes;
+import io.quartzgw.store.KeyValue;
 import io.quartzgw.store.RequestUrgency;
 import io.quartzgw.store.StoreClient;
 import io.quartzgw.store.Transaction;
 import java.util.Collection;
-import java.util.LinkedHashMap;
+import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.BooleanSupplier;
 
 /**
- * The table of machine types, on every node. The last table is kept in the state service, so that a node that starts
- * during an outage of the cloud can decide on submissions.
+ * The table of machine types, on every controller. The last table is stored in the state service, so that a controller
+ * that starts during an outage of the cloud can decide on submissions.
  */
-public final class MachineCatalog {
+public final class MachineCatalog implements MachineTypes {
     private static final String KEY = "types";
     private static final int RETRY_MS = 500;
     private static final int REFRESH_MS = 60_000;
 
-    private final EventLoop kernel;
+    private final EventLoop eventLoop;
     private final StoreClient store;
     private final CloudClient cloud;
     private final BooleanSupplier leading;
     private Map<String, MachineType> types = Map.of();
 
-    /** @param leading whether this node leads: only the leader asks the cloud and writes the table */
-    public MachineCatalog(EventLoop kernel, StoreClient store, CloudClient cloud, BooleanSupplier leading) {
-        this.kernel = kernel;
+    /** @param leading whether this controller leads: only the leader asks the cloud and writes the table */
+    public MachineCatalog(EventLoop eventLoop, StoreClient store, CloudClient cloud, BooleanSupplier leading) {
+        this.eventLoop = eventLoop;
         this.store = store;
         this.cloud = cloud;
         this.leading = leading;
     }
 
-    /** Reads the stored table and begins to refresh it. */
+    /** Reads the stored table and starts to refresh it periodically. */
     public void start() {
         readStored();
-        kernel.every(REFRESH_MS, () -> {
+        eventLoop.every(REFRESH_MS, () -> {
             if (leading.getAsBoolean()) {
                 fetchFromCloud();
             } else {
@@ -49,55 +48,54 @@
         });
     }
 
+    @Override
     public boolean isKnown() {
         return !types.isEmpty();
     }
 
+    @Override
     public Collection<MachineType> all() {
         return types.values();
     }
 
-    /** The type, or null when the table doesn't have it. */
+    @Override
+    public Optional<MachineType> find(String name) {
+        return Optional.ofNullable(types.get(name));
+    }
+
+    /** The type, or null when the table doesn't have it; prefer {@link #find}. */
     public MachineType get(String name) {
         return types.get(name);
     }
 
     private void readStored() {
-        store.get(KEY, found -> {
-            if (found != null && !found.isEmpty()) {
-                update(found.get(0).value());
-            } else if (!isKnown()) {
-                fetchFromCloud();
-            }
-        });
+        store.get(KEY, this::onStoredTable);
     }
 
-    private void fetchFromCloud() {
-        cloud.machineTypes(table -> {
-            if (table != null && table.path("host_types").size() > 0) {
-                update(table);
-                store.commit(new Transaction().put(KEY, table()), RequestUrgency.NORMAL, outcome -> {});
-            } else if (!isKnown()) {
-                kernel.after(RETRY_MS, this::readStored);
+    /** Takes the stored table; the records are null when the state service did not respond. */
+    private void onStoredTable(List<KeyValue> records) {
+        if (records != null && !records.isEmpty()) {
+            Map<String, MachineType> stored =
+                    MachineTypeCodec.decodeTable(records.get(0).value());
+            if (!stored.isEmpty()) {
+                types = stored;
             }
-        });
+        } else if (!isKnown()) {
+            fetchFromCloud();
+        }
     }
 
-    private void update(JsonNode table) {
-        Map<String, MachineType> read = new LinkedHashMap<>();
-        table.path("host_types").forEach(node -> {
-            MachineType type = MachineType.fromJson(node);
-            read.put(type.name(), type);
-        });
-        if (!read.isEmpty()) {
-            types = read;
-        }
+    private void fetchFromCloud() {
+        cloud.machineTypes(this::onCloudTable);
     }
 
-    private ObjectNode table() {
-        ObjectNode table = Json.object();
-        ArrayNode list = table.putArray("host_types");
-        types.values().forEach(type -> list.add(type.toJson()));
-        return table;
+    private void onCloudTable(Map<String, MachineType> offered) {
+        if (!offered.isEmpty()) {
+            types = offered;
+            Transaction transaction = new Transaction().put(KEY, MachineTypeCodec.encodeTable(types.values()));
+            store.commit(transaction, RequestUrgency.NORMAL, outcome -> {});
+        } else if (!isKnown()) {
+            eventLoop.after(RETRY_MS, this::readStored);
+        }
     }
 }
--- a/src/main/java/io/quartzgw/scheduling/Allocation.java
+++ b/src/main/java/io/quartzgw/scheduling/Allocation.java
@@ -2,15 +2,21 @@
 
 import io.quartzgw.model.Resources;
 
-/** A task's place on a machine: it runs there, or may run there. */
+/**
+ * The assignment of one task attempt to a machine, whose resources it reserves until it is released: the task runs
+ * there, or may run there.
+ */
 public final class Allocation {
 
-    /** What is known of the attempt. */
+    /** The phase of the attempt, as far as its agent has reported it. */
     public enum Phase {
-        /** Booked, and not yet seen in a report. */
+        /** Allocated, and not yet seen in a heartbeat. */
         ASSIGNED,
+        /** The agent fetches the image. */
         FETCHING,
+        /** The task runs. */
         RUNNING,
+        /** The task saves a checkpoint before it stops. */
         CHECKPOINTING
     }
 
@@ -33,40 +39,47 @@
         this.allocatedAt = now;
     }
 
+    /** The job of the task. */
     public Job job() {
         return job;
     }
 
+    /** The task's index in its job. */
     public int index() {
         return index;
     }
 
+    /** The attempt number, unique across leaders. */
     public long attempt() {
         return attempt;
     }
 
+    /** The machine that the task is allocated to. */
     public Machine machine() {
         return machine;
     }
 
+    /** The resources that the task reserves. */
     public Resources demand() {
         return job.spec().demand();
     }
 
+    /** The task's name, unique across jobs. */
     public String task() {
         return job.task(index);
     }
 
+    /** The last known phase. */
     public Phase phase() {
         return phase;
     }
 
-    /** Whether a report has shown the attempt. */
+    /** Whether a heartbeat has shown the attempt. */
     public boolean observed() {
         return phase != Phase.ASSIGNED;
     }
 
-    /** Notes the phase that the worker reports for this attempt. */
+    /** Records the phase that the agent reports for this attempt. */
     public void observed(Phase reported, long now) {
         if (reported == Phase.RUNNING && phase != Phase.RUNNING) {
             runningSince = now;
@@ -75,50 +88,52 @@
         phase = reported;
     }
 
-    /** The worker that had shown the attempt is gone; its successor may be started with the same attempt. */
+    /** Records that the agent restarted: the same attempt may be started on its successor. */
     public void agentReplaced() {
         phase = Phase.ASSIGNED;
     }
 
+    /** When the task was allocated, on the steady clock. */
     public long allocatedAt() {
         return allocatedAt;
     }
 
-    /** How long the task has run on this machine, as far as this leader has seen. */
+    /** How long the task has run on this machine, as far as this leader has observed. */
     public long runtimeMs(long now) {
         return phase == Phase.RUNNING || phase == Phase.CHECKPOINTING ? now - runningSince : 0;
     }
 
-    /** Whether the start order has left this node at all. */
+    /** Whether a start command was sent to the agent at all. */
     public boolean startSent() {
         return startSent;
     }
 
+    /** Records that a start command was sent. */
     public void markStartSent() {
         startSent = true;
     }
 
-    /**
-     * Whether the cloud takes the machine away before the task can have ended there, as far as its owner's guess goes.
-     */
+    /** Whether the cloud reclaims the machine before the task can complete there, by its owner's runtime estimate. */
     boolean reclaimedBeforeEnd(long now) {
         if (stopping || !observed() || job.spec().gang()) {
             return false;
         }
-        long left = (long) (job.spec().estimateS() * 1000) - runtimeMs(now);
-        return job.spec().service() || left > machine.reclaimAt() - now;
+        long remainingMs = (long) (job.spec().estimateS() * 1000) - runtimeMs(now);
+        return job.spec().service() || remainingMs > machine.reclaimAt() - now;
     }
 
+    /** Whether the task was asked to stop. */
     public boolean stopping() {
         return stopping;
     }
 
-    /** Has the task stopped; it keeps its place until the machine says that it has ended. */
+    /** Marks the task to be stopped; its resources stay allocated until the agent reports that it has ended. */
     public void requestStop(double graceS) {
         stopping = true;
         stopGraceS = graceS;
     }
 
+    /** How long the task may take to save a checkpoint when it is stopped. */
     public double stopGraceS() {
         return stopGraceS;
     }
--- a/src/main/java/io/quartzgw/scheduling/Job.java
+++ b/src/main/java/io/quartzgw/scheduling/Job.java
@@ -6,14 +6,12 @@
 import java.util.BitSet;
 import java.util.Collection;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 
 /**
- * An open job as the leader sees it. Each task is in exactly one state: done, booked on a machine, unaccounted (it may
- * run on a machine that is silent since the takeover), or waiting for a place.
+ * An open job as the leader sees it. Each task is in exactly one state: done, allocated to a machine, unaccounted (it
+ * may run on a machine that has been silent since the takeover), or pending. All times are of this node's steady clock.
  */
 public final class Job {
     private final OpenJob open;
@@ -24,40 +22,43 @@
     private final BitSet unaccounted = new BitSet();
     private final Map<Integer, Allocation> allocations = new HashMap<>();
     private final Map<String, Integer> tasksPerZone = new HashMap<>();
-    private final Set<String> excludedMachines = new HashSet<>();
+    private final FailureHistory failureHistory = new FailureHistory();
     private int recordedStartLimit;
     private boolean isTerminal;
-    private int failures;
-    private long retryAt;
 
-    /** @param submittedAt when it was accepted, on this node's steady clock */
+    /** @param submittedAt when the job was accepted */
     Job(OpenJob open, long submittedAt) {
         this.open = open;
         this.submittedAt = submittedAt;
         pending.set(0, open.spec().tasks());
     }
 
+    /** The specification that was submitted. */
     public JobSpec spec() {
         return open.spec();
     }
 
+    /** The record in the state service. */
     public OpenJob open() {
         return open;
     }
 
+    /** The job id. */
     public String id() {
         return open.spec().id();
     }
 
+    /** The name of a task, unique across jobs. */
     public String task(int index) {
         return id() + "/" + index;
     }
 
+    /** When the job was accepted. */
     public long submittedAt() {
         return submittedAt;
     }
 
-    /** When the job should be done, on this node's steady clock; far away when it has no deadline. */
+    /** When the job should be done, or {@code Long.MAX_VALUE} if it has no deadline. */
     public long dueAt() {
         Double deadline = spec().deadlineS();
         return deadline == null ? Long.MAX_VALUE : submittedAt + (long) (deadline * 1000);
@@ -65,73 +66,84 @@
 
     // ---- tasks
 
+    /** Whether the task is done. */
     public boolean isDone(int index) {
         return done.get(index);
     }
 
+    /** The indexes of done tasks; not to be modified. */
     public BitSet done() {
         return done;
     }
 
+    /** The number of done tasks. */
     public int doneCount() {
         return done.cardinality();
     }
 
+    /** Whether all tasks are done; a service never is. */
     public boolean complete() {
         return !spec().service() && done.cardinality() == spec().tasks();
     }
 
+    /** The allocation of a task, or null if it has none. */
     public Allocation allocation(int index) {
         return allocations.get(index);
     }
 
+    /** A live view of the allocations. */
     public Collection<Allocation> allocations() {
         return allocations.values();
     }
 
+    /** A copy of the allocations, for callers that release some. */
     public List<Allocation> allocationsSnapshot() {
         return new ArrayList<>(allocations.values());
     }
 
-    /** The number of tasks that workers report as running. */
+    /** The number of tasks that agents report as running. */
     public int runningCount() {
         return (int) allocations.values().stream()
-                .filter(b -> b.phase() == Allocation.Phase.RUNNING)
+                .filter(allocation -> allocation.phase() == Allocation.Phase.RUNNING)
                 .count();
     }
 
+    /** The indexes of pending tasks; not to be modified. */
     public BitSet pending() {
         return pending;
     }
 
+    /** The lowest index of a pending task, or -1. */
     public int nextPending() {
         return pending.nextSetBit(0);
     }
 
+    /** The indexes of unaccounted tasks; not to be modified. */
     public BitSet unaccounted() {
         return unaccounted;
     }
 
-    void addAllocation(Allocation booking) {
-        pending.clear(booking.index());
-        unaccounted.clear(booking.index());
-        allocations.put(booking.index(), booking);
-        tasksPerZone.merge(booking.machine().zone(), 1, Integer::sum);
+    void addAllocation(Allocation allocation) {
+        pending.clear(allocation.index());
+        unaccounted.clear(allocation.index());
+        allocations.put(allocation.index(), allocation);
+        tasksPerZone.merge(allocation.machine().zone(), 1, Integer::sum);
     }
 
-    void removeAllocation(Allocation booking) {
-        allocations.remove(booking.index());
-        tasksPerZone.merge(booking.machine().zone(), -1, Integer::sum);
-        if (!isTerminal && !done.get(booking.index())) {
-            pending.set(booking.index());
+    void removeAllocation(Allocation allocation) {
+        allocations.remove(allocation.index());
+        tasksPerZone.merge(allocation.machine().zone(), -1, Integer::sum);
+        if (!isTerminal && !done.get(allocation.index())) {
+            pending.set(allocation.index());
         }
     }
 
-    /** Whether the task's finish is in the state service. */
+    /** Whether the task is recorded as done in the state service. */
     public boolean recordedDone(int index) {
         return recordedDone.get(index);
     }
 
+    /** The indexes of tasks that are recorded as done in the state service. */
     public BitSet recordedDone() {
         return recordedDone;
     }
@@ -142,13 +154,14 @@
         unaccounted.clear(index);
     }
 
-    /** Tasks from this one on have never been started by anyone, as the state service tells. */
+    /** Tasks with this index or a higher one were never started by any leader, according to the state service. */
     public int recordedStartLimit() {
         return recordedStartLimit;
     }
 
-    public void recordedStartLimit(int recorded) {
-        recordedStartLimit = Math.max(recordedStartLimit, recorded);
+    /** Raises the recorded start limit; it never decreases. */
+    public void recordedStartLimit(int startLimit) {
+        recordedStartLimit = Math.max(recordedStartLimit, startLimit);
     }
 
     void markStartedUnaccounted() {
@@ -164,24 +177,24 @@
         unaccounted.clear();
     }
 
-    /** Whether a gang has lost a member while others still have their places: it restarts whole. */
+    /** Whether a gang has lost a member while others are still allocated: it restarts as a whole. */
     public boolean isBrokenGang() {
         return spec().gang() && !pending.isEmpty() && !allocations.isEmpty();
     }
 
-    /** How many tasks are or may be running anywhere. */
+    /** The number of tasks that run or may run: allocated or unaccounted. */
     public int possiblyRunning() {
         return allocations.size() + unaccounted.cardinality();
     }
 
-    /** The CPU time that its waiting tasks will take, as far as its owner guesses. */
+    /** The CPU seconds that the pending tasks will take, by the owner's runtime estimate. */
     public double pendingWork() {
         return pending.cardinality() * spec().demand().cpus() * spec().estimateS();
     }
 
     // ---- zones
 
-    /** Whether one more task may start in the zone, given where the others are or may be. */
+    /** Whether the zone constraints allow one more task in the zone, given where the others run or may run. */
     public boolean zoneAllowed(String zone) {
         if (spec().spread()
                 && tasksPerZone.getOrDefault(zone, 0) + unaccounted.cardinality() >= spec().tasksPerZone()) {
@@ -190,16 +203,18 @@
         if (!spec().singleZone() || possiblyRunning() == 0) {
             return true;
         }
-        // An unaccounted task may be in any zone: until it is found, nothing else of the job starts.
+        // An unaccounted task may be in any zone: until it is found, no other task of the job starts.
         return unaccounted.isEmpty() && tasksPerZone.getOrDefault(zone, 0) == allocations.size();
     }
 
+    /** The number of allocated tasks in the zone. */
     public int tasksInZone(String zone) {
         return tasksPerZone.getOrDefault(zone, 0);
     }
 
     // ---- end and failures
 
+    /** Whether the job is cancelled or done. */
     public boolean isTerminal() {
         return isTerminal;
     }
@@ -210,31 +225,33 @@
         unaccounted.clear();
     }
 
-    /** Notes a failed attempt: the next one waits, longer each time, and avoids the machine. */
-    public void recordFailure(String machine, long now, long firstPauseMs) {
-        excludedMachines.add(machine);
-        failures++;
-        retryAt = now + (firstPauseMs << Math.min(failures - 1, 6));
+    /** Records a failed attempt: the job backs off exponentially and is not scheduled on the machine again. */
+    public void recordFailure(String machine, long now, long initialBackoffMs) {
+        failureHistory.recordFailure(machine, now, initialBackoffMs);
     }
 
+    /** Delays the next attempt at least until the given time. */
     public void delayRetry(long until) {
-        retryAt = Math.max(retryAt, until);
+        failureHistory.delayRetry(until);
     }
 
+    /** The number of failed attempts. */
     public int failures() {
-        return failures;
+        return failureHistory.failures();
     }
 
+    /** The time before which no task of the job is started. */
     public long retryAt() {
-        return retryAt;
+        return failureHistory.retryAt();
     }
 
+    /** Whether the job is not scheduled on the machine, since it failed there. */
     public boolean excludes(String machine) {
-        return excludedMachines.contains(machine);
+        return failureHistory.excludes(machine);
     }
 
-    /** Forgets which machines failed it, when there is no other left to try. */
+    /** Allows all machines again, when none is left on which the job has not failed. */
     public void clearExcludedMachines() {
-        excludedMachines.clear();
+        failureHistory.clearExcludedMachines();
     }
 }
--- a/src/main/java/io/quartzgw/scheduling/Machine.java
+++ b/src/main/java/io/quartzgw/scheduling/Machine.java
@@ -9,7 +9,6 @@
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.HashSet;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -17,13 +16,13 @@
 /** A rented machine as the leader sees it. */
 public final class Machine {
 
-    /** What the machine is good for. */
+    /** The lifecycle of a machine. */
     public enum Status {
-        /** Rented; its worker has not reported yet. */
+        /** Rented; its agent has not sent a heartbeat yet. */
         BOOTING,
-        /** Its worker reports. */
+        /** Its agent sends heartbeats. */
         UP,
-        /** Nothing is placed on it any more; it will be returned. */
+        /** No task is allocated to it any more; it will be deleted. */
         DRAINING
     }
 
@@ -36,14 +35,14 @@
     private Status status = Status.BOOTING;
     private boolean hasRunTasks;
     private final AgentLiveness liveness;
-    private boolean removeAllocation;
+    private boolean reservationExpired;
     private long reclaimAt = Long.MAX_VALUE;
     private long emptySince;
     private final Map<String, Allocation> allocations = new HashMap<>();
     private final int[] tasksPerPriority = new int[Priority.values().length];
     private Resources allocated = Resources.NONE;
     private Resources freeCapacity;
-    private final LinkedHashMap<String, Double> images = new LinkedHashMap<>(8, 0.75f, true);
+    private final ImageCache images;
     private final Set<String> failedJobs = new HashSet<>();
     private Set<String> refusedJobs = Set.of();
 
@@ -55,6 +54,7 @@
         this.id = id;
         this.type = type;
         this.freeCapacity = type.size();
+        this.images = new ImageCache(type.cacheGb());
         this.zone = zone;
         this.spot = spot;
         this.rentedAt = rentedAt;
@@ -62,40 +62,49 @@
         this.emptySince = now;
     }
 
+    /** The cloud's id of the machine. */
     public String id() {
         return id;
     }
 
+    /** The machine type. */
     public MachineType type() {
         return type;
     }
 
+    /** The zone it is in. */
     public String zone() {
         return zone;
     }
 
+    /** Whether it is a spot machine, which the cloud may reclaim. */
     public boolean spot() {
         return spot;
     }
 
+    /** When it was rented, on the steady clock. */
     public long rentedAt() {
         return rentedAt;
     }
 
+    /** The address of its agent, or null before it is known. */
     public Endpoint address() {
         return address;
     }
 
-    public void address(Endpoint reported) {
-        this.address = reported;
+    /** Sets the address of its agent. */
+    public void address(Endpoint address) {
+        this.address = address;
     }
 
     // ---- state
 
+    /** The state in its lifecycle. */
     public Status status() {
         return status;
     }
 
+    /** Excludes it from new allocations, so that it can be deleted. */
     public void drain() {
         status = Status.DRAINING;
     }
@@ -105,67 +114,85 @@
         return hasRunTasks;
     }
 
+    /** Records that tasks may have been started on it. */
     public void markHasRunTasks() {
         hasRunTasks = true;
     }
 
-    /** What was heard from its worker. */
+    /** The heartbeats of its agent. */
     public AgentLiveness liveness() {
         return liveness;
     }
 
-    /** A current report has told what is on it. */
+    /** Records that a current heartbeat has shown which tasks it runs. */
     public void markUp() {
-        removeAllocation = false;
+        reservationExpired = false;
         if (status == Status.BOOTING) {
             status = Status.UP;
         }
     }
 
-    /** Whether it was silent for its whole hold: what was on it has ended, and nothing is placed there. */
+    /**
+     * Whether it was silent for its whole reservation: its tasks have ended with their leases, and none is allocated to
+     * it until a current heartbeat arrives.
+     */
+    public boolean reservationExpired() {
+        return reservationExpired;
+    }
+
+    /** The former name of {@link #reservationExpired}. */
     public boolean removeAllocation() {
-        return removeAllocation;
+        return reservationExpired;
     }
 
+    /** Ends the reservation of its capacity for tasks that may run on it. */
     public void expireReservation() {
-        removeAllocation = true;
+        reservationExpired = true;
     }
 
+    /** When the cloud reclaims the machine, or {@code Long.MAX_VALUE} if it has announced nothing. */
     public long reclaimAt() {
         return reclaimAt;
     }
 
-    public void reclaimAt(long moment) {
-        reclaimAt = moment;
+    /** Sets when the cloud reclaims the machine. */
+    public void reclaimAt(long reclaimAt) {
+        this.reclaimAt = reclaimAt;
     }
 
+    /** Since when no task is allocated to it, if none is. */
     public long emptySince() {
         return emptySince;
     }
 
-    // ---- room
+    // ---- allocations
 
+    /** The capacity that is not allocated. */
     public Resources freeCapacity() {
         return freeCapacity;
     }
 
+    /** Whether no task is allocated to it. */
     public boolean empty() {
         return allocations.isEmpty();
     }
 
+    /** The allocation of a task, or null if it is not allocated here. */
     public Allocation allocation(String task) {
         return allocations.get(task);
     }
 
+    /** A live view of the allocations. */
     public Collection<Allocation> allocations() {
         return allocations.values();
     }
 
+    /** A copy of the allocations, for callers that release some. */
     public List<Allocation> allocationsSnapshot() {
         return new ArrayList<>(allocations.values());
     }
 
-    /** Whether it has a task of less priority. */
+    /** Whether it runs a task below the priority. */
     boolean runsBelow(Priority priority) {
         for (int lower = priority.ordinal() + 1; lower < tasksPerPriority.length; lower++) {
             if (tasksPerPriority[lower] > 0) {
@@ -175,18 +202,18 @@
         return false;
     }
 
-    void addAllocation(Allocation booking) {
-        allocations.put(booking.task(), booking);
-        tasksPerPriority[booking.job().spec().priority().ordinal()]++;
-        allocated = allocated.plus(booking.demand());
+    void addAllocation(Allocation allocation) {
+        allocations.put(allocation.task(), allocation);
+        tasksPerPriority[allocation.job().spec().priority().ordinal()]++;
+        allocated = allocated.plus(allocation.demand());
         freeCapacity = type.size().minus(allocated);
     }
 
-    void removeAllocation(Allocation booking, long now) {
-        allocations.remove(booking.task());
-        tasksPerPriority[booking.job().spec().priority().ordinal()]--;
-        // Summed anew when empty, so that rounding errors of decimals don't add up over a day.
-        allocated = allocations.isEmpty() ? Resources.NONE : allocated.minus(booking.demand());
+    void removeAllocation(Allocation allocation, long now) {
+        allocations.remove(allocation.task());
+        tasksPerPriority[allocation.job().spec().priority().ordinal()]--;
+        // Reset when empty, so that rounding errors of decimals don't add up over a day.
+        allocated = allocations.isEmpty() ? Resources.NONE : allocated.minus(allocation.demand());
         freeCapacity = type.size().minus(allocated);
         if (allocations.isEmpty()) {
             emptySince = now;
@@ -195,66 +222,61 @@
 
     // ---- images
 
+    /** Whether the image is in its cache. */
     public boolean hasImage(String image) {
-        return images.containsKey(image);
+        return images.contains(image);
     }
 
-    /** Notes that an image was fetched or used; the least recently used ones leave the cache. */
+    /** Records that an image was fetched or used here. */
     public void cacheImage(String image, double gb) {
         images.put(image, gb);
-        double held = images.values().stream().mapToDouble(Double::doubleValue).sum();
-        var oldest = images.entrySet().iterator();
-        while (held > type.cacheGb() && oldest.hasNext()) {
-            Map.Entry<String, Double> entry = oldest.next();
-            if (!entry.getKey().equals(image)) {
-                held -= entry.getValue();
-                oldest.remove();
-            }
-        }
     }
 
     /**
-     * How long a task would wait for its image here: not at all where it is held, less where it is being fetched
-     * already, and the longer the more others are fetched at the same time.
+     * The estimated time until a task has its image here: none if it is cached, the remaining time if it is being
+     * fetched already, and longer the more images are fetched at the same time.
      */
     public double fetchS(String image, double gb, long now) {
         if (hasImage(image)) {
             return 0;
         }
-        double alone = type.fetchGbPerS() > 0 ? gb / type.fetchGbPerS() : 0;
-        int others = 0;
-        for (Allocation booking : allocations.values()) {
-            String fetched = booking.job().spec().image();
-            if (booking.phase() == Allocation.Phase.ASSIGNED || booking.phase() == Allocation.Phase.FETCHING) {
-                if (fetched.equals(image)) {
-                    return Math.max(0, alone - (now - booking.allocatedAt()) / 1000.0);
+        double unsharedFetchS = type.fetchGbPerS() > 0 ? gb / type.fetchGbPerS() : 0;
+        int otherFetches = 0;
+        for (Allocation allocation : allocations.values()) {
+            String allocatedImage = allocation.job().spec().image();
+            if (allocation.phase() == Allocation.Phase.ASSIGNED || allocation.phase() == Allocation.Phase.FETCHING) {
+                if (allocatedImage.equals(image)) {
+                    return Math.max(0, unsharedFetchS - (now - allocation.allocatedAt()) / 1000.0);
                 }
-                others += hasImage(fetched) ? 0 : 1;
+                otherFetches += hasImage(allocatedImage) ? 0 : 1;
             }
         }
-        return alone * (1 + others);
+        return unsharedFetchS * (1 + otherFetches);
     }
 
-    // ---- trust
+    // ---- exclusions
 
-    /** Jobs of which the worker would refuse a task at present, since it still knows a former attempt of it. */
+    /** Jobs of which the agent would refuse a task at present, since it still has a former attempt of the task. */
     public Set<String> refusedJobs() {
         return refusedJobs;
     }
 
-    /** Says which jobs the worker would refuse. */
+    /** Sets the jobs of which the agent would refuse a task. */
     public void refuseJobs(Set<String> jobs) {
         refusedJobs = jobs;
     }
 
+    /** Records that a task of the job failed here. */
     public void jobFailed(String job) {
         failedJobs.add(job);
     }
 
+    /** Records that a task completed here, which ends a row of failures. */
     public void jobSucceeded() {
         failedJobs.clear();
     }
 
+    /** The number of different jobs that failed here since the last success. */
     public int failedJobs() {
         return failedJobs.size();
     }
