--- a/src/test/java/io/quartzgw/app/BadInputTest.java
+++ b/src/test/java/io/quartzgw/app/BadInputTest.java
@@ -30,24 +30,24 @@
 
     private final HttpClient http =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-    private LoopbackCluster world;
+    private LoopbackCluster cluster;
     private ControllerProcess service;
 
     @BeforeEach
     void start() throws Exception {
-        world = new LoopbackCluster(1);
-        service = new ControllerProcess(SettingsReader.read(world.settings(0, folder)), 100);
+        cluster = new LoopbackCluster(1);
+        service = new ControllerProcess(SettingsReader.read(cluster.settings(0, folder)), 100);
         service.start();
     }
 
     @AfterEach
     void stop() {
         service.stop();
-        world.close();
+        cluster.close();
     }
 
     private HttpResponse<String> ask(String method, String path, String body) throws Exception {
-        HttpRequest request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + world.clientPort(0) + path))
+        HttpRequest request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + cluster.clientPort(0) + path))
                 .method(method, HttpRequest.BodyPublishers.ofString(body))
                 .build();
         return http.send(request, HttpResponse.BodyHandlers.ofString());
@@ -119,7 +119,7 @@
     @Test
     void whatCannotBeDecidedGets503WithRetryAfter() throws Exception {
         untilReady();
-        world.storeOutage(true);
+        cluster.storeOutage(true);
         HttpResponse<String> refused = ask("POST", JOBS, job("j-000001").toString());
         for (int i = 0; i < TRIES && refused.statusCode() != 503; i++) {
             LoopbackCluster.pause(50);
--- a/src/test/java/io/quartzgw/app/CancellationTest.java
+++ b/src/test/java/io/quartzgw/app/CancellationTest.java
@@ -30,14 +30,14 @@
                 "a user was told");
     }
 
-    private static void assertGone(ClusterSimulation world) {
-        assertGone(world, JOB);
+    private static void assertGone(ClusterSimulation simulation) {
+        assertGone(simulation, JOB);
     }
 
-    private static void assertGone(ClusterSimulation world, String job) {
-        assertEquals(List.of(), world.invariants.broken());
-        assertTrue(world.invariants.runningTasks().stream().noneMatch(task -> task.startsWith(job + "/")));
-        assertEquals(0, world.failures());
+    private static void assertGone(ClusterSimulation simulation, String job) {
+        assertEquals(List.of(), simulation.invariants.violations());
+        assertTrue(simulation.invariants.runningTasks().stream().noneMatch(task -> task.startsWith(job + "/")));
+        assertEquals(0, simulation.failedCommands());
     }
 
     private static int other(int node, int by) {
@@ -46,32 +46,33 @@
 
     /** The state service refuses the leader alone, then something is done to the job, then it is out for all. */
     private ClusterSimulation gap(long refusedMs, BiConsumer<ClusterSimulation, Integer> cancelling) {
-        ClusterSimulation world = ScenarioTest.withServices();
-        int leader = world.leader();
-        world.refuse(leader, true);
-        world.run(200);
-        cancelling.accept(world, leader);
-        world.run(refusedMs - 200);
-        world.store.outage(true);
-        assertEquals(leader, world.leader(), "workers report to the old leader");
-        return world;
+        ClusterSimulation simulation = ScenarioTest.withServices();
+        int leader = simulation.leader();
+        simulation.setStoreRejects(leader, true);
+        simulation.runChecked(200);
+        cancelling.accept(simulation, leader);
+        simulation.runChecked(refusedMs - 200);
+        simulation.store.setOutage(true);
+        assertEquals(leader, simulation.leader(), "workers report to the old leader");
+        return simulation;
     }
 
-    private void afterOutage(ClusterSimulation world, int leader) {
-        world.run(OUTAGE_MS);
+    private void afterOutage(ClusterSimulation simulation, int leader) {
+        simulation.runChecked(OUTAGE_MS);
         assertTold();
-        assertGone(world);
-        world.refuse(leader, false);
-        world.store.outage(false);
-        world.run(40_000);
-        assertGone(world);
-        assertEquals(List.of(), world.invariants.missingReplicas(), "what was not cancelled runs");
+        assertGone(simulation);
+        simulation.setStoreRejects(leader, false);
+        simulation.store.setOutage(false);
+        simulation.runChecked(40_000);
+        assertGone(simulation);
+        assertEquals(List.of(), simulation.invariants.missingReplicas(), "what was not cancelled runs");
     }
 
     @Test
     void anotherControllerTellsTheUserAndThenNobodyReachesTheStateService() {
-        ClusterSimulation world = gap(2_000, (w, leader) -> w.abort(other(leader, 1), JOB, told::add));
-        afterOutage(world, world.leader());
+        ClusterSimulation simulation =
+                gap(2_000, (cluster, leader) -> cluster.cancelJob(other(leader, 1), JOB, told::add));
+        afterOutage(simulation, simulation.leader());
     }
 
     // Times around the lease, the grace and the cancel limit, machines that hang or hear nothing meanwhile, messages
@@ -83,49 +84,52 @@
         SplittableRandom random = new SplittableRandom(4);
         for (int i = 0; i < 40; i++) {
             told.clear();
-            ClusterSimulation world =
+            ClusterSimulation simulation =
                     ScenarioTest.withServices(new ClusterSimulation(i, 3, 12, 50, figures.get(i % 2)));
-            world.lateCopies(i % 3 == 0 ? 0.2 : 0);
-            int leader = world.leader();
-            List<String> some = world.machines().subList(0, 2);
-            world.refuse(leader, true);
-            long outageAt = world.now() + random.nextInt(5_000);
+            simulation.duplicateMessageShare(i % 3 == 0 ? 0.2 : 0);
+            int leader = simulation.leader();
+            List<String> some = simulation.machineIds().subList(0, 2);
+            simulation.setStoreRejects(leader, true);
+            long outageAt = simulation.now() + random.nextInt(5_000);
             long outageEnds = outageAt + 10_000 + random.nextInt(60_000);
-            world.at(outageAt, () -> world.store.outage(true));
-            world.at(outageEnds, () -> world.store.outage(false));
-            world.at(outageEnds + random.nextInt(4_000), () -> world.refuse(leader, false));
+            simulation.schedule(outageAt, () -> simulation.store.setOutage(true));
+            simulation.schedule(outageEnds, () -> simulation.store.setOutage(false));
+            simulation.schedule(outageEnds + random.nextInt(4_000), () -> simulation.setStoreRejects(leader, false));
             for (int job = 0; job < 4; job++) {
                 String id = "j-00000" + job;
                 int node = other(leader, 1 + job % 2);
-                world.at(world.now() + random.nextInt(5_000), () -> world.abort(node, id, told::add));
+                simulation.schedule(
+                        simulation.now() + random.nextInt(5_000), () -> simulation.cancelJob(node, id, told::add));
             }
-            long trouble = world.now() + random.nextInt(6_000);
+            long trouble = simulation.now() + random.nextInt(6_000);
             long lasts = 1_000 + random.nextInt(15_000);
             switch (i % 5) {
                 case 0 ->
                     some.forEach(machine -> {
-                        world.at(trouble, () -> world.hang(machine, true));
-                        world.at(trouble + lasts, () -> world.hang(machine, false));
+                        simulation.schedule(trouble, () -> simulation.setAgentHanging(machine, true));
+                        simulation.schedule(trouble + lasts, () -> simulation.setAgentHanging(machine, false));
                     });
                 case 1 ->
                     some.forEach(machine -> {
-                        world.at(trouble, () -> world.deafen(machine, true));
-                        world.at(trouble + lasts, () -> world.deafen(machine, false));
+                        simulation.schedule(trouble, () -> simulation.setInboundBlocked(machine, true));
+                        simulation.schedule(trouble + lasts, () -> simulation.setInboundBlocked(machine, false));
                     });
                 case 2 -> {
-                    world.at(trouble, () -> world.cut("rig-" + leader, "rig-" + other(leader, 1)));
-                    world.at(trouble + lasts, () -> world.heal("rig-" + leader, "rig-" + other(leader, 1)));
+                    simulation.schedule(
+                            trouble, () -> simulation.partition("rig-" + leader, "rig-" + other(leader, 1)));
+                    simulation.schedule(
+                            trouble + lasts, () -> simulation.heal("rig-" + leader, "rig-" + other(leader, 1)));
                 }
                 case 3 -> {
-                    world.at(trouble, () -> world.crash(other(leader, 1)));
-                    world.at(trouble + lasts, () -> world.start(other(leader, 1)));
+                    simulation.schedule(trouble, () -> simulation.crash(other(leader, 1)));
+                    simulation.schedule(trouble + lasts, () -> simulation.start(other(leader, 1)));
                 }
-                default -> world.heldOrders(0.5);
+                default -> simulation.delayCommandShare(0.5);
             }
-            world.run(150_000);
-            assertEquals(List.of(), world.invariants.broken(), "world " + i);
-            assertEquals(List.of(), world.invariants.missingReplicas(), "world " + i);
-            assertEquals(0, world.failures());
+            simulation.runChecked(150_000);
+            assertEquals(List.of(), simulation.invariants.violations(), "simulation " + i);
+            assertEquals(List.of(), simulation.invariants.missingReplicas(), "simulation " + i);
+            assertEquals(0, simulation.failedCommands());
         }
     }
 
@@ -134,31 +138,31 @@
     void theStateServiceAnswersSlowlyThenRefusesTheLeaderThenEverybody() {
         for (long mostMs : List.of(1_000L, 2_500L, 5_000L)) {
             told.clear();
-            ClusterSimulation world = ScenarioTest.withServices();
-            world.slowStore(mostMs);
+            ClusterSimulation simulation = ScenarioTest.withServices();
+            simulation.delayStoreUpTo(mostMs);
             for (int second = 0; second < 12; second++) {
                 for (int node = 0; node < 3; node++) {
-                    world.poll(node, "j-00000" + second % 3, reply -> {});
+                    simulation.queryJob(node, "j-00000" + second % 3, reply -> {});
                     if (second % 4 == 0) {
-                        world.abort(node, "j-00000" + second % 3, told::add);
+                        simulation.cancelJob(node, "j-00000" + second % 3, told::add);
                     }
                 }
-                world.run(1_000);
+                simulation.runChecked(1_000);
             }
-            int leader = Math.max(0, world.leader());
-            world.refuse(leader, true);
-            world.abort(other(leader, 1), "j-000002", told::add);
-            world.run(2_000);
-            world.store.outage(true);
-            world.run(OUTAGE_MS);
-            world.slowStore(0);
-            world.refuse(leader, false);
-            world.store.outage(false);
-            world.run(40_000);
+            int leader = Math.max(0, simulation.leader());
+            simulation.setStoreRejects(leader, true);
+            simulation.cancelJob(other(leader, 1), "j-000002", told::add);
+            simulation.runChecked(2_000);
+            simulation.store.setOutage(true);
+            simulation.runChecked(OUTAGE_MS);
+            simulation.delayStoreUpTo(0);
+            simulation.setStoreRejects(leader, false);
+            simulation.store.setOutage(false);
+            simulation.runChecked(40_000);
             assertTold();
-            assertEquals(List.of(), world.invariants.broken());
-            assertEquals(List.of(), world.invariants.missingReplicas());
-            assertEquals(0, world.failures());
+            assertEquals(List.of(), simulation.invariants.violations());
+            assertEquals(List.of(), simulation.invariants.missingReplicas());
+            assertEquals(0, simulation.failedCommands());
         }
     }
 
@@ -167,21 +171,21 @@
     @Test
     void theAnswerToTheAbortIsLostAndAnotherAnswerTellsTheUser() {
         List<BiConsumer<ClusterSimulation, Integer>> again = List.of(
-                (w, node) -> w.abort(node, JOB, told::add),
-                (w, node) -> w.poll(node, JOB, told::add),
-                (w, node) -> w.submit(node, w.submitted(JOB), told::add));
+                (cluster, node) -> cluster.cancelJob(node, JOB, told::add),
+                (cluster, node) -> cluster.queryJob(node, JOB, told::add),
+                (cluster, node) -> cluster.submitOnce(node, cluster.submittedSpec(JOB), told::add));
         for (BiConsumer<ClusterSimulation, Integer> ask : again) {
             for (int by = 1; by <= 2; by++) {
                 int teller = by;
                 told.clear();
-                ClusterSimulation world = gap(1_500, (w, leader) -> {
-                    w.lostAnswers(1);
-                    w.abort(other(leader, 1), JOB, reply -> {});
-                    w.run(300);
-                    w.lostAnswers(0);
-                    ask.accept(w, other(leader, teller));
+                ClusterSimulation simulation = gap(1_500, (cluster, leader) -> {
+                    cluster.loseTransactionResponses(1);
+                    cluster.cancelJob(other(leader, 1), JOB, reply -> {});
+                    cluster.runChecked(300);
+                    cluster.loseTransactionResponses(0);
+                    ask.accept(cluster, other(leader, teller));
                 });
-                afterOutage(world, world.leader());
+                afterOutage(simulation, simulation.leader());
             }
         }
     }
@@ -191,24 +195,24 @@
     void theControllerThatToldTheUserIsRestartedOnceOrTwice() {
         for (int restarts = 1; restarts <= 2; restarts++) {
             told.clear();
-            ClusterSimulation world = gap(2_000, (w, leader) -> {
+            ClusterSimulation simulation = gap(2_000, (cluster, leader) -> {
                 // Nothing that the teller says reaches the others before it ends.
-                w.cut("rig-" + other(leader, 1), "rig-" + leader);
-                w.cut("rig-" + other(leader, 1), "rig-" + other(leader, 2));
-                w.abort(other(leader, 1), JOB, told::add);
-                w.run(300);
-                w.crash(other(leader, 1));
-                w.drop("rig-" + other(leader, 1), "rig-" + leader);
-                w.drop("rig-" + other(leader, 1), "rig-" + other(leader, 2));
+                cluster.partition("rig-" + other(leader, 1), "rig-" + leader);
+                cluster.partition("rig-" + other(leader, 1), "rig-" + other(leader, 2));
+                cluster.cancelJob(other(leader, 1), JOB, told::add);
+                cluster.runChecked(300);
+                cluster.crash(other(leader, 1));
+                cluster.healDroppingPackets("rig-" + other(leader, 1), "rig-" + leader);
+                cluster.healDroppingPackets("rig-" + other(leader, 1), "rig-" + other(leader, 2));
             });
-            int leader = world.leader();
+            int leader = simulation.leader();
             for (int i = 0; i < restarts; i++) {
-                world.crash(other(leader, 1));
-                world.run(200);
-                world.start(other(leader, 1));
-                world.run(2_500);
+                simulation.crash(other(leader, 1));
+                simulation.runChecked(200);
+                simulation.start(other(leader, 1));
+                simulation.runChecked(2_500);
             }
-            afterOutage(world, leader);
+            afterOutage(simulation, leader);
         }
     }
 
@@ -219,16 +223,16 @@
         for (long silentMs = 28_000; silentMs <= 30_400; silentMs += 200) {
             told.clear();
             long cutMs = silentMs;
-            ClusterSimulation world = gap(2_000, (w, leader) -> {
-                w.cut("rig-" + other(leader, 1), "rig-" + leader);
-                w.cut("rig-" + other(leader, 1), "rig-" + other(leader, 2));
-                w.abort(other(leader, 1), JOB, told::add);
-                w.at(w.now() + cutMs, () -> {
-                    w.drop("rig-" + other(leader, 1), "rig-" + leader);
-                    w.drop("rig-" + other(leader, 1), "rig-" + other(leader, 2));
+            ClusterSimulation simulation = gap(2_000, (cluster, leader) -> {
+                cluster.partition("rig-" + other(leader, 1), "rig-" + leader);
+                cluster.partition("rig-" + other(leader, 1), "rig-" + other(leader, 2));
+                cluster.cancelJob(other(leader, 1), JOB, told::add);
+                cluster.schedule(cluster.now() + cutMs, () -> {
+                    cluster.healDroppingPackets("rig-" + other(leader, 1), "rig-" + leader);
+                    cluster.healDroppingPackets("rig-" + other(leader, 1), "rig-" + other(leader, 2));
                 });
             });
-            afterOutage(world, world.leader());
+            afterOutage(simulation, simulation.leader());
         }
     }
 
@@ -237,51 +241,51 @@
     void aNewLeaderIsElectedAndTheOutageKeepsItFromReading() {
         for (long seed = 5; seed < 13; seed++) {
             told.clear();
-            ClusterSimulation world = ScenarioTest.withServices(seed);
-            int former = world.leader();
-            world.cut("rig-" + former, "rig-" + other(former, 1));
+            ClusterSimulation simulation = ScenarioTest.withServices(seed);
+            int former = simulation.leader();
+            simulation.partition("rig-" + former, "rig-" + other(former, 1));
             if (seed % 2 == 0) {
                 // Nobody tells the former leader, which would stop the tasks: it is heard again once it is deposed.
-                world.cut("rig-" + former, "rig-" + other(former, 2));
+                simulation.partition("rig-" + former, "rig-" + other(former, 2));
             }
-            world.refuse(former, true);
-            world.run(200);
-            world.abort(other(former, 1), JOB, told::add);
-            world.runUntil(world.now() + 1_000);
-            while (world.leader() == former || world.leader() < 0) {
-                world.runUntil(world.now() + 1);
+            simulation.setStoreRejects(former, true);
+            simulation.runChecked(200);
+            simulation.cancelJob(other(former, 1), JOB, told::add);
+            simulation.runUntil(simulation.now() + 1_000);
+            while (simulation.leader() == former || simulation.leader() < 0) {
+                simulation.runUntil(simulation.now() + 1);
             }
-            world.store.outage(true);
-            world.drop("rig-" + former, "rig-" + other(former, 1));
-            world.drop("rig-" + former, "rig-" + other(former, 2));
-            afterOutage(world, former);
+            simulation.store.setOutage(true);
+            simulation.healDroppingPackets("rig-" + former, "rig-" + other(former, 1));
+            simulation.healDroppingPackets("rig-" + former, "rig-" + other(former, 2));
+            afterOutage(simulation, former);
         }
     }
 
     // Guards chains of leaders none of which reads: each renews leases with its first answers.
     @Test
     void leadersFollowEachOtherWithoutReadingAnything() {
-        ClusterSimulation world = ScenarioTest.withServices();
-        int first = world.leader();
-        world.crash(first);
-        world.abort(other(first, 1), JOB, told::add);
-        world.run(500);
-        world.start(first);
+        ClusterSimulation simulation = ScenarioTest.withServices();
+        int first = simulation.leader();
+        simulation.crash(first);
+        simulation.cancelJob(other(first, 1), JOB, told::add);
+        simulation.runChecked(500);
+        simulation.start(first);
         for (int change = 0; change < 10; change++) {
-            for (int ms = 0; world.leader() < 0 && ms < 10_000; ms++) {
-                world.runUntil(world.now() + 1);
+            for (int ms = 0; simulation.leader() < 0 && ms < 10_000; ms++) {
+                simulation.runUntil(simulation.now() + 1);
             }
-            int leader = world.leader();
+            int leader = simulation.leader();
             assertTrue(leader >= 0, "somebody is elected");
-            world.store.outage(true);
-            world.run(4_500);
-            world.crash(leader);
-            world.store.outage(false);
-            world.start(leader);
+            simulation.store.setOutage(true);
+            simulation.runChecked(4_500);
+            simulation.crash(leader);
+            simulation.store.setOutage(false);
+            simulation.start(leader);
         }
-        world.run(60_000);
+        simulation.runChecked(60_000);
         assertTold();
-        assertGone(world);
+        assertGone(simulation);
     }
 
     // Guards an acceptance that is told after the end, by a notice that was held up, while no follow tells of either.
@@ -289,24 +293,24 @@
     void anAcceptanceThatComesAfterTheCancellationStartsNothing() {
         for (long seed = 5; seed < 13; seed++) {
             told.clear();
-            ClusterSimulation world = ScenarioTest.withServices(seed);
-            int leader = world.leader();
+            ClusterSimulation simulation = ScenarioTest.withServices(seed);
+            int leader = simulation.leader();
             int teller = other(leader, 1);
-            world.store.holdFollows(true);
-            world.cut("rig-" + teller, "rig-" + leader);
-            world.submit(teller, FailureTest.job("j-000070", "blue", "daemon", 2, 2, 0), reply -> {});
-            world.run(400);
-            world.abort(teller, "j-000070", told::add);
-            world.run(300);
-            int before = world.invariants.started();
+            simulation.store.setWatchesPaused(true);
+            simulation.partition("rig-" + teller, "rig-" + leader);
+            simulation.submitOnce(teller, FailureTest.job("j-000070", "blue", "daemon", 2, 2, 0), reply -> {});
+            simulation.runChecked(400);
+            simulation.cancelJob(teller, "j-000070", told::add);
+            simulation.runChecked(300);
+            int before = simulation.invariants.startCount();
             // Held back, and delivered in any order now.
-            world.heal("rig-" + teller, "rig-" + leader);
-            world.run(10_000);
-            world.store.holdFollows(false);
-            world.run(30_000);
+            simulation.heal("rig-" + teller, "rig-" + leader);
+            simulation.runChecked(10_000);
+            simulation.store.setWatchesPaused(false);
+            simulation.runChecked(30_000);
             assertTold();
-            assertEquals(before, world.invariants.started(), "nothing starts after the confirmation");
-            assertGone(world, "j-000070");
+            assertEquals(before, simulation.invariants.startCount(), "nothing starts after the confirmation");
+            assertGone(simulation, "j-000070");
         }
     }
 }
--- a/src/test/java/io/quartzgw/app/ConcurrentFaultsTest.java
+++ b/src/test/java/io/quartzgw/app/ConcurrentFaultsTest.java
@@ -18,24 +18,25 @@
     // Guards against a leader that falls behind: every job costs an acceptance, a start, an end and questions.
     @Test
     void oneTaskJobsFourASecondWithAQuarterCancelled() {
-        ClusterSimulation world = ScenarioTest.withServices();
+        ClusterSimulation simulation = ScenarioTest.withServices();
         List<String> jobs = new ArrayList<>();
         for (int i = 0; i < 240; i++) {
             String id = String.format("j-%06d", 1_000 + i);
             boolean cancelled = i % 4 == 0;
-            world.at(
-                    world.now() + 250L * i,
-                    () -> world.job(
-                            FailureTest.job(id, "blue", "array", 1, 1, 2), cancelled ? world.now() + 1_500 : null));
+            simulation.schedule(
+                    simulation.now() + 250L * i,
+                    () -> simulation.submitUntilAccepted(
+                            FailureTest.job(id, "blue", "array", 1, 1, 2),
+                            cancelled ? simulation.now() + 1_500 : null));
             jobs.add(id);
         }
-        world.run(60_000);
-        world.crash(Math.max(0, world.leader()), 5_000);
-        world.run(90_000);
-        assertAllWell(world);
-        assertAllEnded(world, jobs);
+        simulation.runChecked(60_000);
+        simulation.crash(Math.max(0, simulation.leader()), 5_000);
+        simulation.runChecked(90_000);
+        assertAllWell(simulation);
+        assertAllEnded(simulation, jobs);
         assertTrue(
-                jobs.stream().anyMatch(id -> "withdrawn".equals(world.invariants.finalPhase(id))),
+                jobs.stream().anyMatch(id -> "withdrawn".equals(simulation.invariants.finalPhase(id))),
                 "some are cancelled before their end");
     }
 
@@ -43,87 +44,87 @@
     // submission is repeated and some users cancel.
     @Test
     void usersAskAllControllersWithinMillisecondsOfEachChange() {
-        ClusterSimulation world = ScenarioTest.withServices();
-        List<String> jobs = arrays(world, 9, 2, 3, "blue");
+        ClusterSimulation simulation = ScenarioTest.withServices();
+        List<String> jobs = arrays(simulation, 9, 2, 3, "blue");
         for (int step = 0; step < 900; step++) {
             String id = jobs.get(step % jobs.size());
-            world.runUntil(world.now() + 15);
-            if (world.submitted(id) == null) {
+            simulation.runUntil(simulation.now() + 15);
+            if (simulation.submittedSpec(id) == null) {
                 continue;
             }
             for (int node = 0; node < 3; node++) {
-                world.poll(node, id, reply -> {});
+                simulation.queryJob(node, id, reply -> {});
             }
-            world.submit(step % 3, world.submitted(id), reply -> {});
+            simulation.submitOnce(step % 3, simulation.submittedSpec(id), reply -> {});
             if (step % 97 == 0) {
-                world.abort(step % 3, id, reply -> {});
+                simulation.cancelJob(step % 3, id, reply -> {});
             }
         }
-        world.run(40_000);
-        assertAllWell(world);
-        assertAllEnded(world, jobs);
+        simulation.runChecked(40_000);
+        assertAllWell(simulation);
+        assertAllEnded(simulation, jobs);
     }
 
     // Guards cancellations that fall between two leaders: neither may start or go on with what is called off.
     @Test
     void jobsAreCancelledAsWorkChangesHands() {
         for (long crashAfterMs : List.of(-400L, -50L, 0L, 100L, 700L, 2_000L)) {
-            ClusterSimulation world = ScenarioTest.withServices();
-            List<String> jobs = arrays(world, 8, 4, 30, "red");
-            world.run(9_000);
-            int leader = world.leader();
-            world.at(world.now() + 500, () -> world.cancelNow(6, 0));
-            world.at(world.now() + 500 + crashAfterMs, () -> world.crash(leader, 5_000));
-            world.run(120_000);
-            assertAllWell(world);
-            assertAllEnded(world, jobs);
+            ClusterSimulation simulation = ScenarioTest.withServices();
+            List<String> jobs = arrays(simulation, 8, 4, 30, "red");
+            simulation.runChecked(9_000);
+            int leader = simulation.leader();
+            simulation.schedule(simulation.now() + 500, () -> simulation.cancelRunningJobs(6, 0));
+            simulation.schedule(simulation.now() + 500 + crashAfterMs, () -> simulation.crash(leader, 5_000));
+            simulation.runChecked(120_000);
+            assertAllWell(simulation);
+            assertAllEnded(simulation, jobs);
         }
     }
 
     // Guards what other controllers read of a transaction whose own answer got lost.
     @Test
     void answersOfTransactionsAreLostWhileOthersReadWhatTheyWrote() {
-        ClusterSimulation world = ScenarioTest.withServices();
-        world.lostAnswers(0.4);
-        List<String> jobs = arrays(world, 10, 3, 5, "blue");
+        ClusterSimulation simulation = ScenarioTest.withServices();
+        simulation.loseTransactionResponses(0.4);
+        List<String> jobs = arrays(simulation, 10, 3, 5, "blue");
         for (int step = 0; step < 400; step++) {
-            world.runUntil(world.now() + 50);
+            simulation.runUntil(simulation.now() + 50);
             String id = jobs.get(step % jobs.size());
-            if (world.submitted(id) != null) {
-                world.poll(step % 3, id, reply -> {});
+            if (simulation.submittedSpec(id) != null) {
+                simulation.queryJob(step % 3, id, reply -> {});
                 if (step % 61 == 0) {
-                    world.abort((step + 1) % 3, id, reply -> {});
+                    simulation.cancelJob((step + 1) % 3, id, reply -> {});
                 }
             }
         }
-        world.crash(Math.max(0, world.leader()), 5_000);
-        world.run(10_000);
-        world.lostAnswers(0);
-        world.run(80_000);
-        assertAllWell(world);
-        assertAllEnded(world, jobs);
+        simulation.crash(Math.max(0, simulation.leader()), 5_000);
+        simulation.runChecked(10_000);
+        simulation.loseTransactionResponses(0);
+        simulation.runChecked(80_000);
+        assertAllWell(simulation);
+        assertAllEnded(simulation, jobs);
     }
 
     // Guards the fence of workers: an order of a leader that has ended or was deposed comes after its successor's.
     @Test
     void ordersOfAFormerLeaderArriveAfterItsSuccessors() {
         for (boolean ends : List.of(true, false)) {
-            ClusterSimulation world = ScenarioTest.withServices();
-            List<String> jobs = arrays(world, 8, 4, 15, "red");
-            world.heldOrders(0.9);
-            world.run(3_000);
-            int leader = world.leader();
+            ClusterSimulation simulation = ScenarioTest.withServices();
+            List<String> jobs = arrays(simulation, 8, 4, 15, "red");
+            simulation.delayCommandShare(0.9);
+            simulation.runChecked(3_000);
+            int leader = simulation.leader();
             if (ends) {
-                world.crash(leader, 5_000);
+                simulation.crash(leader, 5_000);
             } else {
-                world.freeze(leader, 12_000);
+                simulation.pauseController(leader, 12_000);
             }
-            world.run(6_000);
-            world.heldOrders(0);
-            world.cancelNow(3, 0);
-            world.run(120_000);
-            assertAllWell(world);
-            assertAllEnded(world, jobs);
+            simulation.runChecked(6_000);
+            simulation.delayCommandShare(0);
+            simulation.cancelRunningJobs(3, 0);
+            simulation.runChecked(120_000);
+            assertAllWell(simulation);
+            assertAllEnded(simulation, jobs);
         }
     }
 
@@ -131,42 +132,42 @@
     @Test
     void everyTeamIsAtItsLimitWhileJobsAreCancelledOnMachinesThatAreCutOffOrHang() {
         for (long hangMs : List.of(0L, 10_000L)) {
-            ClusterSimulation world = ScenarioTest.withServices();
-            List<String> jobs = new ArrayList<>(arrays(world, 4, 6, 25, "green"));
+            ClusterSimulation simulation = ScenarioTest.withServices();
+            List<String> jobs = new ArrayList<>(arrays(simulation, 4, 6, 25, "green"));
             for (int i = 0; i < 4; i++) {
                 String id = "j-00050" + i;
-                world.job(FailureTest.job(id, "red", "array", 6, 4, 25), null);
+                simulation.submitUntilAccepted(FailureTest.job(id, "red", "array", 6, 4, 25), null);
                 jobs.add(id);
             }
-            world.run(20_000);
-            List<String> cutOff = firstHalf(world.machines());
-            cutOff.forEach(machine -> world.cut(machine, "*"));
-            world.cancelNow(5, hangMs);
-            world.run(400);
-            world.crash(Math.max(0, world.leader()), 5_000);
-            world.run(LEASE_MS - 3_000);
-            cutOff.forEach(machine -> world.heal(machine, "*"));
-            world.run(250_000);
-            assertAllWell(world);
-            assertAllEnded(world, jobs);
+            simulation.runChecked(20_000);
+            List<String> cutOff = firstHalf(simulation.machineIds());
+            cutOff.forEach(machine -> simulation.partition(machine, "*"));
+            simulation.cancelRunningJobs(5, hangMs);
+            simulation.runChecked(400);
+            simulation.crash(Math.max(0, simulation.leader()), 5_000);
+            simulation.runChecked(LEASE_MS - 3_000);
+            cutOff.forEach(machine -> simulation.heal(machine, "*"));
+            simulation.runChecked(250_000);
+            assertAllWell(simulation);
+            assertAllEnded(simulation, jobs);
         }
     }
 
     // Guards a new leader against word from before its term, which comes to every controller just as it begins.
     @Test
     void copiesOfOldReportsReachEveryControllerAtATakeover() {
-        ClusterSimulation world = ScenarioTest.withServices();
-        List<String> jobs = arrays(world, 6, 4, 12, "red");
-        world.lateCopies(0.8);
-        world.run(15_000);
+        ClusterSimulation simulation = ScenarioTest.withServices();
+        List<String> jobs = arrays(simulation, 6, 4, 12, "red");
+        simulation.duplicateMessageShare(0.8);
+        simulation.runChecked(15_000);
         for (int change = 0; change < 3; change++) {
-            world.crash(Math.max(0, world.leader()), 5_000);
-            world.run(9_000);
+            simulation.crash(Math.max(0, simulation.leader()), 5_000);
+            simulation.runChecked(9_000);
         }
-        world.lateCopies(0);
-        world.run(120_000);
-        assertAllWell(world);
-        assertDone(world, jobs);
+        simulation.duplicateMessageShare(0);
+        simulation.runChecked(120_000);
+        assertAllWell(simulation);
+        assertDone(simulation, jobs);
     }
 
     // Guards machines that get work at once: their mark and the starts are written before, also where writes lag and
@@ -174,17 +175,17 @@
     @Test
     void newMachinesGetWorkAtOnceWhileWritesLagAndTheLeaderEnds() {
         for (long crashAfterMs : List.of(500L, 1_500L, 3_000L)) {
-            ClusterSimulation world = ScenarioTest.withServices();
-            world.slowStore(900);
-            world.cloud.bootMs(1_000);
-            List<String> jobs = arrays(world, 8, 5, 10, "red");
-            world.run(crashAfterMs);
-            world.crash(Math.max(0, world.leader()), 700);
-            world.run(20_000);
-            world.slowStore(0);
-            world.run(100_000);
-            assertAllWell(world);
-            assertDone(world, jobs);
+            ClusterSimulation simulation = ScenarioTest.withServices();
+            simulation.delayStoreUpTo(900);
+            simulation.cloud.setBootMs(1_000);
+            List<String> jobs = arrays(simulation, 8, 5, 10, "red");
+            simulation.runChecked(crashAfterMs);
+            simulation.crash(Math.max(0, simulation.leader()), 700);
+            simulation.runChecked(20_000);
+            simulation.delayStoreUpTo(0);
+            simulation.runChecked(100_000);
+            assertAllWell(simulation);
+            assertDone(simulation, jobs);
         }
     }
 }
--- a/src/test/java/io/quartzgw/app/DecisionDigestTest.java
+++ b/src/test/java/io/quartzgw/app/DecisionDigestTest.java
@@ -23,7 +23,7 @@
     void controllersDecideAsBeforeThroughSingleFailures(long seed, String expected) {
         ClusterSimulation world = new ClusterSimulation(seed, 3);
         FailureTest.runSingleFailures(world, seed);
-        assertEquals(expected, world.decisions());
+        assertEquals(expected, world.messageDigest());
     }
 
     @ParameterizedTest
@@ -36,6 +36,6 @@
     void controllersDecideAsBeforeUnderConcurrentFaults(long seed, String expected) {
         ClusterSimulation world = new ClusterSimulation(seed, 3);
         FailureTest.runConcurrentFaults(world, seed);
-        assertEquals(expected, world.decisions());
+        assertEquals(expected, world.messageDigest());
     }
 }
--- a/src/test/java/io/quartzgw/app/DelayedCommandsTest.java
+++ b/src/test/java/io/quartzgw/app/DelayedCommandsTest.java
@@ -74,51 +74,51 @@
      */
     @Test
     void aStartOfAFormerSessionRunsOnNoWorkerThatCountsItsSessionsAnew() {
-        ClusterSimulation world = ScenarioTest.withServices();
+        ClusterSimulation simulation = ScenarioTest.withServices();
         ObjectNode filling = FailureTest.job("j-000700", "blue", "array", 4, 4, 90);
-        world.job(filling, null);
-        world.run(30_000);
-        String machine = world.machines().get(world.machines().size() - 1);
-        world.deafen(machine, true);
-        world.job(FailureTest.job("j-000701", "blue", "array", 4, 2, 60), null);
-        world.run(LEASE_MS + 8_000);
-        world.reboot(machine, false);
-        world.deafen(machine, false);
-        world.run(120_000);
-        assertEquals(List.of(), world.invariants.broken());
+        simulation.submitUntilAccepted(filling, null);
+        simulation.runChecked(30_000);
+        String machine = simulation.machineIds().get(simulation.machineIds().size() - 1);
+        simulation.setInboundBlocked(machine, true);
+        simulation.submitUntilAccepted(FailureTest.job("j-000701", "blue", "array", 4, 2, 60), null);
+        simulation.runChecked(LEASE_MS + 8_000);
+        simulation.rebootMachine(machine, false);
+        simulation.setInboundBlocked(machine, false);
+        simulation.runChecked(120_000);
+        assertEquals(List.of(), simulation.invariants.violations());
     }
 
     private static void play(long seed, boolean reboots) {
-        ClusterSimulation world = new ClusterSimulation(seed, 3, CAPACITY, STEP_MS, TIMES);
+        ClusterSimulation simulation = new ClusterSimulation(seed, 3, CAPACITY, STEP_MS, TIMES);
         SplittableRandom random = new SplittableRandom(seed);
-        world.batches(1 + random.nextInt(MOST_BATCH_MS));
-        world.lateOrders(MOST_LATE_MS);
-        world.slowLinks(random.nextInt(MOST_SLOW_LINK_MS));
-        world.lateCopies(LATE_COPIES);
-        List<String> arrays = load(world, random);
-        faults(world, random, reboots);
-        world.run(FAULTS_END);
-        world.lateOrders(0);
-        world.slowLinks(0);
-        world.invariants.troublesOver(world.now());
-        while (world.now() < END) {
-            world.run(1_000);
-            world.sweepWaiting();
+        simulation.batchCommandsUpTo(1 + random.nextInt(MOST_BATCH_MS));
+        simulation.delayCommandsUpTo(MOST_LATE_MS);
+        simulation.delayLinksUpTo(random.nextInt(MOST_SLOW_LINK_MS));
+        simulation.duplicateMessageShare(LATE_COPIES);
+        List<String> arrays = load(simulation, random);
+        faults(simulation, random, reboots);
+        simulation.runChecked(FAULTS_END);
+        simulation.delayCommandsUpTo(0);
+        simulation.delayLinksUpTo(0);
+        simulation.invariants.faultsOver(simulation.now());
+        while (simulation.now() < END) {
+            simulation.runChecked(1_000);
+            simulation.checkWaitingJobs();
         }
-        assertEquals(List.of(), world.invariants.broken());
-        assertEquals(0, world.failures(), "commands that failed inside a node");
-        assertEquals(List.of(), world.invariants.missingReplicas(), "every service runs");
+        assertEquals(List.of(), simulation.invariants.violations());
+        assertEquals(0, simulation.failedCommands(), "commands that failed inside a node");
+        assertEquals(List.of(), simulation.invariants.missingReplicas(), "every service runs");
         assertEquals(
                 List.of(),
                 arrays.stream()
-                        .filter(id -> world.invariants.finalPhase(id) == null)
+                        .filter(id -> simulation.invariants.finalPhase(id) == null)
                         .toList(),
                 "every array is over, long after the last failure");
-        assertTrue(world.invariants.started() > 20, "tasks were started");
+        assertTrue(simulation.invariants.startCount() > 20, "tasks were started");
     }
 
     /** Low work that urgent work stops, jobs that fail at their start until they are cancelled, and cancellations. */
-    private static List<String> load(ClusterSimulation world, SplittableRandom random) {
+    private static List<String> load(ClusterSimulation simulation, SplittableRandom random) {
         List<String> arrays = new ArrayList<>();
         for (int i = 0; i < 24; i++) {
             String id = String.format("j-%06d", 3000 + i);
@@ -137,35 +137,36 @@
             }
             long at = random.nextInt(90_000);
             Long abort = faulty || random.nextInt(4) == 0 ? (Long) (at + 2_000 + random.nextInt(25_000)) : null;
-            world.at(at, () -> world.job(spec, abort));
+            simulation.schedule(at, () -> simulation.submitUntilAccepted(spec, abort));
         }
         return arrays;
     }
 
-    private static void faults(ClusterSimulation world, SplittableRandom random, boolean reboots) {
+    private static void faults(ClusterSimulation simulation, SplittableRandom random, boolean reboots) {
         for (long at = 15_000; at < FAULTS_END - 20_000; at += 1_000 + random.nextInt(6_000)) {
             int kind = random.nextInt(10);
             int pick = random.nextInt(1_000);
-            world.at(at, () -> {
-                List<String> machines = world.machines();
+            simulation.schedule(at, () -> {
+                List<String> machines = simulation.machineIds();
                 if (kind == 0 || machines.isEmpty()) {
-                    world.crash(Math.max(0, world.leader()), 200 + 5L * pick);
+                    simulation.crash(Math.max(0, simulation.leader()), 200 + 5L * pick);
                     return;
                 }
                 String machine = machines.get(pick % machines.size());
                 switch (kind) {
-                    case 1 -> world.cancelNow(1, 0);
-                    case 2 -> world.cloud.fail(machine, world.now());
+                    case 1 -> simulation.cancelRunningJobs(1, 0);
+                    case 2 -> simulation.cloud.fail(machine, simulation.now());
                     case 3 -> {
                         if (reboots) {
-                            world.reboot(machine, pick % 2 == 0);
+                            simulation.rebootMachine(machine, pick % 2 == 0);
                         }
                     }
                     case 4 -> {
-                        world.hang(machine, true);
-                        world.at(world.now() + 5L * pick, () -> world.hang(machine, false));
+                        simulation.setAgentHanging(machine, true);
+                        simulation.schedule(
+                                simulation.now() + 5L * pick, () -> simulation.setAgentHanging(machine, false));
                     }
-                    default -> world.reclaim(machine, 4_000 + 12L * pick);
+                    default -> simulation.reclaimMachine(machine, 4_000 + 12L * pick);
                 }
             });
         }
--- a/src/test/java/io/quartzgw/app/EndToEndTest.java
+++ b/src/test/java/io/quartzgw/app/EndToEndTest.java
@@ -20,41 +20,41 @@
     @Test
     @Timeout(120)
     void jobsRunThroughTheLossOfANode(@TempDir Path folder) throws Exception {
-        try (LoopbackCluster world = new LoopbackCluster(3)) {
+        try (LoopbackCluster cluster = new LoopbackCluster(3)) {
             ControllerProcess[] services = new ControllerProcess[3];
             for (int i = 0; i < 3; i++) {
-                services[i] = new ControllerProcess(SettingsReader.read(world.settings(i, folder)), 100 + i);
+                services[i] = new ControllerProcess(SettingsReader.read(cluster.settings(i, folder)), 100 + i);
                 services[i].start();
             }
             ObjectNode array = FailureTest.job("j-000001", "blue", "array", 3, 2, 0.3);
-            until(() -> world.submit(0, array).status() / 100 == 2);
-            until(() -> phase(world, 1, "j-000001").equals("done"));
+            until(() -> cluster.submit(0, array).status() / 100 == 2);
+            until(() -> phase(cluster, 1, "j-000001").equals("done"));
 
-            until(() -> world.submit(1, FailureTest.job("j-000002", "blue", "daemon", 2, 2, 0))
+            until(() -> cluster.submit(1, FailureTest.job("j-000002", "blue", "daemon", 2, 2, 0))
                                     .status()
                             / 100
                     == 2);
-            until(() -> phase(world, 2, "j-000002").equals("running"));
+            until(() -> phase(cluster, 2, "j-000002").equals("running"));
             services[0].stop();
-            until(() -> world.submit(1, FailureTest.job("j-000003", "blue", "array", 2, 2, 0.3))
+            until(() -> cluster.submit(1, FailureTest.job("j-000003", "blue", "array", 2, 2, 0.3))
                                     .status()
                             / 100
                     == 2);
-            until(() -> phase(world, 2, "j-000003").equals("done"));
-            Reply aborted = world.request(2, "POST", "/submissions/j-000002/abort", Json.object());
+            until(() -> phase(cluster, 2, "j-000003").equals("done"));
+            Reply aborted = cluster.request(2, "POST", "/submissions/j-000002/abort", Json.object());
             assertEquals(200, aborted.status());
             assertEquals("withdrawn", aborted.json().path("phase").asText());
 
-            assertEquals(200, world.request(1, "GET", "/ready", null).status());
+            assertEquals(200, cluster.request(1, "GET", "/ready", null).status());
             assertEquals(
                     400,
-                    world.raw(1, "POST", "/submissions", HttpRequest.BodyPublishers.ofString("{"))
+                    cluster.raw(1, "POST", "/submissions", HttpRequest.BodyPublishers.ofString("{"))
                             .status());
             assertEquals(
                     413,
-                    world.raw(1, "POST", "/submissions", HttpRequest.BodyPublishers.ofByteArray(new byte[70_000]))
+                    cluster.raw(1, "POST", "/submissions", HttpRequest.BodyPublishers.ofByteArray(new byte[70_000]))
                             .status());
-            Reply figures = world.peer(1, "/metrics");
+            Reply figures = cluster.peer(1, "/metrics");
             assertEquals(200, figures.status());
             assertEquals(0, figures.json().path("counts").path("failures").asLong(-1));
             assertTrue(figures.json().path("counts").path("store.requests").asLong() > 0);
@@ -70,8 +70,8 @@
         }
     }
 
-    private static String phase(LoopbackCluster world, int node, String job) {
-        return world.request(node, "GET", "/submissions/" + job, null)
+    private static String phase(LoopbackCluster cluster, int node, String job) {
+        return cluster.request(node, "GET", "/submissions/" + job, null)
                 .json()
                 .path("phase")
                 .asText();
--- a/src/test/java/io/quartzgw/app/FailureTest.java
+++ b/src/test/java/io/quartzgw/app/FailureTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.slf4j.LoggerFactory;
 
-/** Three cores in a simulated world, through failures; every rule of the protocol is watched. */
+/** Three cores in a simulated simulation, through failures; every rule of the protocol is watched. */
 class FailureTest {
     private static final long END = 420_000;
     private static final long TROUBLES_END = 215_000;
@@ -46,7 +46,7 @@
         return job;
     }
 
-    private static List<String> load(ClusterSimulation world, SplittableRandom random) {
+    private static List<String> load(ClusterSimulation simulation, SplittableRandom random) {
         List<String> arrays = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
             String id = String.format("j-%06d", 1000 + i);
@@ -63,12 +63,12 @@
             }
             long at = random.nextInt(150_000);
             Long abort = service && i % 2 == 0 || i % 10 == 1 ? (Long) (at + 5_000 + random.nextInt(60_000)) : null;
-            world.at(at, () -> world.job(spec, abort));
+            simulation.schedule(at, () -> simulation.submitUntilAccepted(spec, abort));
         }
         return arrays;
     }
 
-    private static void faults(ClusterSimulation world, SplittableRandom random) {
+    private static void faults(ClusterSimulation simulation, SplittableRandom random) {
         for (long at = 20_000; at < 180_000; at += 8_000 + random.nextInt(12_000)) {
             long lasts = 2_000 + random.nextInt(28_000);
             int node = random.nextInt(3);
@@ -76,65 +76,66 @@
                     .get(random.nextInt(6));
             int kind = random.nextInt(12);
             long start = at;
-            world.at(start, () -> {
-                LoggerFactory.getLogger("world")
+            simulation.schedule(start, () -> {
+                LoggerFactory.getLogger(FailureTest.class)
                         .info("{} ms: failure {} of node {} or {} for {} ms", start, kind, node, other, lasts);
-                List<String> machines = world.machines();
+                List<String> machines = simulation.machineIds();
                 String machine = machines.isEmpty() ? null : machines.get((int) (start % machines.size()));
                 switch (kind) {
-                    case 0 -> world.crash(node, 5_000);
+                    case 0 -> simulation.crash(node, 5_000);
                     case 1 -> {
                         for (int i = 0; i < 3; i++) {
-                            world.crash(i, 4_000 + 700L * i);
+                            simulation.crash(i, 4_000 + 700L * i);
                         }
                     }
                     case 2 -> {
-                        world.store.outage(true);
-                        world.at(start + lasts, () -> world.store.outage(false));
+                        simulation.store.setOutage(true);
+                        simulation.schedule(start + lasts, () -> simulation.store.setOutage(false));
                     }
                     case 3 -> {
-                        world.cut("rig-" + node, other);
-                        world.at(start + lasts, () -> world.heal("rig-" + node, other));
+                        simulation.partition("rig-" + node, other);
+                        simulation.schedule(start + lasts, () -> simulation.heal("rig-" + node, other));
                     }
                     case 4 -> {
                         if (machine != null) {
-                            world.cut(machine, "*");
-                            world.at(start + lasts, () -> world.heal(machine, "*"));
+                            simulation.partition(machine, "*");
+                            simulation.schedule(start + lasts, () -> simulation.heal(machine, "*"));
                         }
                     }
                     case 5 -> {
                         if (machine != null) {
-                            world.hang(machine, true);
-                            world.at(start + lasts, () -> world.hang(machine, false));
+                            simulation.setAgentHanging(machine, true);
+                            simulation.schedule(start + lasts, () -> simulation.setAgentHanging(machine, false));
                         }
                     }
                     case 6 -> {
                         if (machine != null) {
-                            world.cloud.fail(machine, start);
+                            simulation.cloud.fail(machine, start);
                         }
                     }
                     case 7 -> {
                         for (String deaf : machines.subList(0, (machines.size() + 1) / 2)) {
-                            world.deafen(deaf, true);
-                            world.at(start + lasts, () -> world.deafen(deaf, false));
+                            simulation.setInboundBlocked(deaf, true);
+                            simulation.schedule(start + lasts, () -> simulation.setInboundBlocked(deaf, false));
                         }
                     }
-                    case 8 -> world.crash(node, 100 + lasts % 400);
+                    case 8 -> simulation.crash(node, 100 + lasts % 400);
                     case 9 -> {
                         // The leader goes, and the one that stands for it is back in the middle of the election.
-                        world.crash(node, 200);
-                        world.at(start + 3_900 + lasts % 300, () -> world.crash((node + 1) % 3, 100 + lasts % 200));
+                        simulation.crash(node, 200);
+                        simulation.schedule(
+                                start + 3_900 + lasts % 300, () -> simulation.crash((node + 1) % 3, 100 + lasts % 200));
                     }
                     case 10 -> {
                         if (machine != null) {
-                            world.reboot(machine, lasts % 2 == 0);
+                            simulation.rebootMachine(machine, lasts % 2 == 0);
                         }
                     }
                     default -> {
                         for (String far : List.of("rig-0", "rig-1", "rig-2", ClusterSimulation.STORE)) {
                             if (!far.equals("rig-" + node)) {
-                                world.cut("rig-" + node, far);
-                                world.at(start + lasts, () -> world.heal("rig-" + node, far));
+                                simulation.partition("rig-" + node, far);
+                                simulation.schedule(start + lasts, () -> simulation.heal("rig-" + node, far));
                             }
                         }
                     }
@@ -146,7 +147,7 @@
     /**
      * Jobs of two or three tasks that end far apart, jobs bound to a zone, teams at their limit, more work than room.
      */
-    private static List<String> moreLoad(ClusterSimulation world, SplittableRandom random) {
+    private static List<String> moreLoad(ClusterSimulation simulation, SplittableRandom random) {
         List<String> arrays = new ArrayList<>();
         for (int i = 0; i < 24; i++) {
             String id = String.format("j-%06d", 2000 + i);
@@ -173,7 +174,7 @@
             }
             long at = random.nextInt(150_000);
             Long abort = random.nextInt(4) == 0 ? (Long) (at + 5_000 + random.nextInt(80_000)) : null;
-            world.at(at, () -> world.job(spec, abort));
+            simulation.schedule(at, () -> simulation.submitUntilAccepted(spec, abort));
         }
         return arrays;
     }
@@ -182,91 +183,95 @@
      * The troubles that operators saw meet, in any order and over each other; those of {@link #faults} go on beside
      * them.
      */
-    private static void concurrentFaults(ClusterSimulation world, SplittableRandom random) {
+    private static void concurrentFaults(ClusterSimulation simulation, SplittableRandom random) {
         for (long at = 15_000; at < 180_000; at += 3_000 + random.nextInt(14_000)) {
             long start = at;
             long lasts = Math.min(2_000 + random.nextInt(58_000), TROUBLES_END - at);
             int kind = random.nextInt(15);
             int pick = random.nextInt(1_000);
-            world.at(start, () -> {
-                LoggerFactory.getLogger("world").info("{} ms: concurrent fault {} for {} ms", start, kind, lasts);
-                int leader = Math.max(0, world.leader());
-                List<String> machines = world.machines();
+            simulation.schedule(start, () -> {
+                LoggerFactory.getLogger(FailureTest.class)
+                        .info("{} ms: concurrent fault {} for {} ms", start, kind, lasts);
+                int leader = Math.max(0, simulation.leader());
+                List<String> machines = simulation.machineIds();
                 String machine = machines.isEmpty() ? null : machines.get(pick % machines.size());
                 long end = start + lasts;
                 switch (kind) {
                     case 0 -> {
-                        refuse(world, leader, end);
-                        world.at(start + pick * 4L, () -> outage(world, end));
-                        world.at(start + pick * 2L, () -> world.cancelNow(4, 0));
+                        refuse(simulation, leader, end);
+                        simulation.schedule(start + pick * 4L, () -> outage(simulation, end));
+                        simulation.schedule(start + pick * 2L, () -> simulation.cancelRunningJobs(4, 0));
                     }
                     case 1 -> {
-                        world.slowStore(4 * pick);
-                        world.at(end, () -> world.slowStore(0));
+                        simulation.delayStoreUpTo(4 * pick);
+                        simulation.schedule(end, () -> simulation.delayStoreUpTo(0));
                     }
                     case 2 -> {
-                        world.lostAnswers(0.3);
-                        world.at(end, () -> world.lostAnswers(0));
-                        world.at(start + pick, () -> world.cancelNow(6, 0));
+                        simulation.loseTransactionResponses(0.3);
+                        simulation.schedule(end, () -> simulation.loseTransactionResponses(0));
+                        simulation.schedule(start + pick, () -> simulation.cancelRunningJobs(6, 0));
                     }
                     case 3 -> {
                         for (String some : machines.subList(0, (machines.size() + 1) / 2)) {
-                            world.mute(some, true);
-                            world.at(end, () -> world.mute(some, false));
+                            simulation.setHeartbeatsBlocked(some, true);
+                            simulation.schedule(end, () -> simulation.setHeartbeatsBlocked(some, false));
                         }
                     }
                     case 4 -> {
-                        world.heldOrders(0.4);
-                        world.at(end, () -> world.heldOrders(0));
+                        simulation.delayCommandShare(0.4);
+                        simulation.schedule(end, () -> simulation.delayCommandShare(0));
                     }
-                    case 5 -> world.cancelNow(8, pick * 25L);
+                    case 5 -> simulation.cancelRunningJobs(8, pick * 25L);
                     case 6 -> {
-                        world.cancelAtEnd(0.5);
-                        world.at(end, () -> world.cancelAtEnd(0));
+                        simulation.cancelJobsAtLastTaskEnd(0.5);
+                        simulation.schedule(end, () -> simulation.cancelJobsAtLastTaskEnd(0));
                     }
-                    case 7 -> world.oddRequests();
+                    case 7 -> simulation.sendInvalidRequests();
                     case 8 -> {
                         // Leaders change again and again, also inside an outage.
                         for (long change = start; change < Math.min(start + 40_000, end); change += 4_000) {
-                            world.at(change, () -> world.crash(Math.max(0, world.leader()), 200 + pick % 3_000));
+                            simulation.schedule(
+                                    change,
+                                    () -> simulation.crash(Math.max(0, simulation.leader()), 200 + pick % 3_000));
                         }
                         if (pick % 3 == 0) {
-                            world.at(start + 10_000, () -> outage(world, Math.min(start + 25_000, end)));
+                            simulation.schedule(
+                                    start + 10_000, () -> outage(simulation, Math.min(start + 25_000, end)));
                         }
                     }
                     case 9 -> {
                         for (int i = 0; i < 3; i++) {
-                            world.crash(i, lasts + 300L * i);
+                            simulation.crash(i, lasts + 300L * i);
                         }
                     }
-                    case 10 -> refuse(world, leader, end);
+                    case 10 -> refuse(simulation, leader, end);
                     case 11 -> {
                         for (String far : List.of("rig-0", "rig-1", "rig-2", ClusterSimulation.STORE)) {
                             if (!far.equals("rig-" + leader)) {
-                                world.cut("rig-" + leader, far);
-                                world.at(end, () -> world.heal("rig-" + leader, far));
+                                simulation.partition("rig-" + leader, far);
+                                simulation.schedule(end, () -> simulation.heal("rig-" + leader, far));
                             }
                         }
-                        world.at(start + 5_000 + pick, () -> world.cancelNow(4, 0));
+                        simulation.schedule(start + 5_000 + pick, () -> simulation.cancelRunningJobs(4, 0));
                     }
                     case 14 -> {
-                        world.freeze(pick % 2 == 0 ? leader : pick % 3, lasts);
-                        world.at(start + lasts / 2, () -> world.cancelNow(4, 0));
+                        simulation.pauseController(pick % 2 == 0 ? leader : pick % 3, lasts);
+                        simulation.schedule(start + lasts / 2, () -> simulation.cancelRunningJobs(4, 0));
                     }
                     case 12 -> {
                         // A leader ends while machines can't be reached, and something is called off meanwhile.
                         for (String some : machines.subList(0, (machines.size() + 2) / 3)) {
-                            world.cut(some, "*");
-                            world.at(end, () -> world.heal(some, "*"));
+                            simulation.partition(some, "*");
+                            simulation.schedule(end, () -> simulation.heal(some, "*"));
                         }
-                        world.at(start + pick, () -> world.crash(leader, 1_000));
-                        world.at(start + 2L * pick, () -> world.cancelNow(4, 0));
+                        simulation.schedule(start + pick, () -> simulation.crash(leader, 1_000));
+                        simulation.schedule(start + 2L * pick, () -> simulation.cancelRunningJobs(4, 0));
                     }
                     default -> {
                         if (machine != null) {
-                            world.deafen(machine, true);
-                            world.at(end, () -> world.deafen(machine, false));
-                            world.at(start + pick, () -> world.crash(leader, pick));
+                            simulation.setInboundBlocked(machine, true);
+                            simulation.schedule(end, () -> simulation.setInboundBlocked(machine, false));
+                            simulation.schedule(start + pick, () -> simulation.crash(leader, pick));
                         }
                     }
                 }
@@ -274,33 +279,33 @@
         }
     }
 
-    private static void refuse(ClusterSimulation world, int node, long until) {
-        world.refuse(node, true);
-        world.at(until, () -> world.refuse(node, false));
+    private static void refuse(ClusterSimulation simulation, int node, long until) {
+        simulation.setStoreRejects(node, true);
+        simulation.schedule(until, () -> simulation.setStoreRejects(node, false));
     }
 
-    private static void outage(ClusterSimulation world, long until) {
-        world.store.outage(true);
-        world.at(until, () -> world.store.outage(false));
+    private static void outage(ClusterSimulation simulation, long until) {
+        simulation.store.setOutage(true);
+        simulation.schedule(until, () -> simulation.store.setOutage(false));
     }
 
-    private static void assertAllWell(ClusterSimulation world, List<String> arrays) {
-        assertEquals(List.of(), world.invariants.broken());
-        assertEquals(0, world.failures(), "commands that failed inside a node");
-        assertEquals(List.of(), world.invariants.missingReplicas(), "every service runs");
+    private static void assertAllWell(ClusterSimulation simulation, List<String> arrays) {
+        assertEquals(List.of(), simulation.invariants.violations());
+        assertEquals(0, simulation.failedCommands(), "commands that failed inside a node");
+        assertEquals(List.of(), simulation.invariants.missingReplicas(), "every service runs");
         List<String> unfinished = arrays.stream()
-                .filter(id -> world.invariants.finalPhase(id) == null)
+                .filter(id -> simulation.invariants.finalPhase(id) == null)
                 .toList();
         assertEquals(List.of(), unfinished, "every array is over, long after the last failure");
     }
 
     @Test
     void aQuietDayEndsWithEveryArrayDone() {
-        ClusterSimulation world = new ClusterSimulation(1, 3);
-        List<String> arrays = load(world, new SplittableRandom(1));
-        world.run(END);
-        assertEquals(List.of(), world.invariants.broken());
-        assertTrue(arrays.stream().allMatch(id -> world.invariants.finalPhase(id) != null), "every array is over");
+        ClusterSimulation simulation = new ClusterSimulation(1, 3);
+        List<String> arrays = load(simulation, new SplittableRandom(1));
+        simulation.runChecked(END);
+        assertEquals(List.of(), simulation.invariants.violations());
+        assertTrue(arrays.stream().allMatch(id -> simulation.invariants.finalPhase(id) != null), "every array is over");
     }
 
     static LongStream seeds() {
@@ -321,21 +326,21 @@
     @ParameterizedTest
     @MethodSource("seeds")
     void rulesHoldThroughRandomFailures(long seed) {
-        ClusterSimulation world = new ClusterSimulation(seed, 3);
-        List<String> arrays = runSingleFailures(world, seed);
-        assertAllWell(world, arrays);
-        assertTrue(world.invariants.started() > 50, "tasks were started");
+        ClusterSimulation simulation = new ClusterSimulation(seed, 3);
+        List<String> arrays = runSingleFailures(simulation, seed);
+        assertAllWell(simulation, arrays);
+        assertTrue(simulation.invariants.startCount() > 50, "tasks were started");
     }
 
     /** Runs random failures, one after the other, and returns the arrays that were submitted. */
-    static List<String> runSingleFailures(ClusterSimulation world, long seed) {
-        world.lateTransactions(0.01);
-        world.lateCopies(0.02);
+    static List<String> runSingleFailures(ClusterSimulation simulation, long seed) {
+        simulation.delayTransactionShare(0.01);
+        simulation.duplicateMessageShare(0.02);
         SplittableRandom random = new SplittableRandom(seed);
-        List<String> arrays = load(world, random);
-        faults(world, random);
-        world.at(TROUBLES_END, () -> world.invariants.troublesOver(TROUBLES_END));
-        world.run(END);
+        List<String> arrays = load(simulation, random);
+        faults(simulation, random);
+        simulation.schedule(TROUBLES_END, () -> simulation.invariants.faultsOver(TROUBLES_END));
+        simulation.runChecked(END);
         return arrays;
     }
 
@@ -346,29 +351,29 @@
     @ParameterizedTest
     @MethodSource("concurrentSeeds")
     void rulesHoldUnderConcurrentFaults(long seed) {
-        ClusterSimulation world = new ClusterSimulation(seed, 3);
-        List<String> arrays = runConcurrentFaults(world, seed);
-        assertAllWell(world, arrays);
+        ClusterSimulation simulation = new ClusterSimulation(seed, 3);
+        List<String> arrays = runConcurrentFaults(simulation, seed);
+        assertAllWell(simulation, arrays);
     }
 
     /** Runs random faults over each other, and returns the arrays that were submitted. */
-    static List<String> runConcurrentFaults(ClusterSimulation world, long seed) {
-        world.lateTransactions(0.01);
-        world.lateCopies(0.02);
+    static List<String> runConcurrentFaults(ClusterSimulation simulation, long seed) {
+        simulation.delayTransactionShare(0.01);
+        simulation.duplicateMessageShare(0.02);
         SplittableRandom random = new SplittableRandom(seed);
-        List<String> arrays = moreLoad(world, random);
+        List<String> arrays = moreLoad(simulation, random);
         if (random.nextBoolean()) {
-            arrays.addAll(load(world, random));
+            arrays.addAll(load(simulation, random));
         }
-        concurrentFaults(world, random);
+        concurrentFaults(simulation, random);
         if (random.nextInt(3) == 0) {
-            faults(world, random);
+            faults(simulation, random);
         }
-        world.at(TROUBLES_END, () -> world.invariants.troublesOver(TROUBLES_END));
-        world.run(TROUBLES_END);
-        while (world.now() < LONG_END) {
-            world.run(1_000);
-            world.sweepWaiting();
+        simulation.schedule(TROUBLES_END, () -> simulation.invariants.faultsOver(TROUBLES_END));
+        simulation.runChecked(TROUBLES_END);
+        while (simulation.now() < LONG_END) {
+            simulation.runChecked(1_000);
+            simulation.checkWaitingJobs();
         }
         return arrays;
     }
--- a/src/test/java/io/quartzgw/app/FiveControllersTest.java
+++ b/src/test/java/io/quartzgw/app/FiveControllersTest.java
@@ -19,41 +19,43 @@
     private static final AgentTiming TIMES = new AgentTiming(2_500, 14_000, 44_000);
     private static final StoreLimits LIMITS = new StoreLimits(100, 15, 4096, 12);
 
-    private static ClusterSimulation world(long seed) {
+    private static ClusterSimulation simulation(long seed) {
         return new ClusterSimulation(seed, CONTROLLERS, 40, 100, TIMES, LIMITS);
     }
 
     /** Five services at once, and arrays one after the other. */
-    private static List<String> load(ClusterSimulation world, int arrayCount, int tasks, long pauseMs) {
+    private static List<String> load(ClusterSimulation simulation, int arrayCount, int tasks, long pauseMs) {
         List<String> arrays = new ArrayList<>();
         for (int i = 0; i < arrayCount; i++) {
             ObjectNode spec = FailureTest.job(String.format("j-%06d", 100 + i), "blue", "array", tasks, 4, 8);
             arrays.add(spec.path("id").asText());
-            world.at(5_000 + pauseMs * i, () -> world.job(spec, null));
+            simulation.schedule(5_000 + pauseMs * i, () -> simulation.submitUntilAccepted(spec, null));
         }
         for (int i = 0; i < ScenarioTest.SERVICES; i++) {
             ObjectNode spec = FailureTest.job("j-00000" + i, "blue", "daemon", 2, 2, 0);
-            world.at(1_000, () -> world.job(spec, null));
+            simulation.schedule(1_000, () -> simulation.submitUntilAccepted(spec, null));
         }
         return arrays;
     }
 
-    private static void assertServed(ClusterSimulation world, List<String> arrays) {
-        assertEquals(List.of(), world.invariants.broken());
-        arrays.forEach(id -> assertEquals("done", world.invariants.finalPhase(id), id));
+    private static void assertServed(ClusterSimulation simulation, List<String> arrays) {
+        assertEquals(List.of(), simulation.invariants.violations());
+        arrays.forEach(id -> assertEquals("done", simulation.invariants.finalPhase(id), id));
         assertEquals(
-                ScenarioTest.SERVICES * 2, world.invariants.runningTasks().size(), "replicas run, and nothing else");
-        assertEquals(0, world.failures());
+                ScenarioTest.SERVICES * 2,
+                simulation.invariants.runningTasks().size(),
+                "replicas run, and nothing else");
+        assertEquals(0, simulation.failedCommands());
     }
 
     // Guards the limit of changes that all controllers share, and what has to be done within it.
     @Test
     void aSmallStateServiceRefusesNothingAndAllIsDone() {
-        ClusterSimulation world = world(1);
-        List<String> arrays = load(world, 200, 2, 20);
-        world.run(120_000);
-        assertEquals(0, world.store.refusedWrites(), "together they stay within the limit");
-        assertServed(world, arrays);
+        ClusterSimulation simulation = simulation(1);
+        List<String> arrays = load(simulation, 200, 2, 20);
+        simulation.runChecked(120_000);
+        assertEquals(0, simulation.store.rejectedTransactions(), "together they stay within the limit");
+        assertServed(simulation, arrays);
     }
 
     // Guards what waits for every other controller: with one or two of them away all goes on, also through the loss of
@@ -61,35 +63,35 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 2})
     void allGoesOnWithControllersAway(int away) {
-        ClusterSimulation world = world(10 + away);
-        List<String> arrays = load(world, 30, 10, 2_000);
-        world.run(30_000);
+        ClusterSimulation simulation = simulation(10 + away);
+        List<String> arrays = load(simulation, 30, 10, 2_000);
+        simulation.runChecked(30_000);
         for (int i = 0; i < away; i++) {
-            world.crash((world.leader() + 1 + i) % CONTROLLERS);
+            simulation.crash((simulation.leader() + 1 + i) % CONTROLLERS);
         }
-        world.run(20_000);
-        world.crash(world.leader(), 6_000);
-        world.run(110_000);
-        assertServed(world, arrays);
+        simulation.runChecked(20_000);
+        simulation.crash(simulation.leader(), 6_000);
+        simulation.runChecked(110_000);
+        assertServed(simulation, arrays);
     }
 
     // The same with controllers that run and reach nobody.
     @ParameterizedTest
     @ValueSource(ints = {1, 2})
     void allGoesOnWithControllersCutOff(int away) {
-        ClusterSimulation world = world(20 + away);
-        List<String> arrays = load(world, 30, 10, 2_000);
-        world.run(30_000);
-        int leader = world.leader();
+        ClusterSimulation simulation = simulation(20 + away);
+        List<String> arrays = load(simulation, 30, 10, 2_000);
+        simulation.runChecked(30_000);
+        int leader = simulation.leader();
         List<Integer> cutOff = new ArrayList<>();
         for (int i = 0; i < away; i++) {
             // The leader itself is one of them.
             cutOff.add((leader + i) % CONTROLLERS);
         }
-        cutOff.forEach(node -> world.cut("rig-" + node, "*"));
-        world.run(40_000);
-        assertTrue(world.leader() >= 0 && !cutOff.contains(world.leader()), "another one leads");
-        world.run(90_000);
-        assertServed(world, arrays);
+        cutOff.forEach(node -> simulation.partition("rig-" + node, "*"));
+        simulation.runChecked(40_000);
+        assertTrue(simulation.leader() >= 0 && !cutOff.contains(simulation.leader()), "another one leads");
+        simulation.runChecked(90_000);
+        assertServed(simulation, arrays);
     }
 }
--- a/src/test/java/io/quartzgw/app/LoneController.java
+++ b/src/test/java/io/quartzgw/app/LoneController.java
@@ -119,8 +119,8 @@
     void run(long ms) {
         for (long end = now + ms; now < end; ) {
             now += STEP_MS;
-            store.tick(now);
-            workers.values().forEach(worker -> worker.tick(now));
+            store.advanceTo(now);
+            workers.values().forEach(worker -> worker.advanceTo(now));
             if (now % REPORT_MS == 0) {
                 List.copyOf(reporting).forEach(this::hello);
             }
@@ -167,10 +167,10 @@
 
     private Reply order(SimulatedAgent worker, Call call) {
         if (call.path().equals("/show")) {
-            return new Reply(200, bytes(worker.report(now).toString()));
+            return new Reply(200, bytes(worker.heartbeat(now).toString()));
         }
         noteStarts(worker, json(call.body()));
-        return worker.orders(json(call.body()), now);
+        return worker.receiveCommands(json(call.body()), now);
     }
 
     private void noteStarts(SimulatedAgent worker, JsonNode message) {
@@ -265,13 +265,13 @@
     }
 
     Response hello(SimulatedAgent worker) {
-        long session = worker.session();
+        long session = worker.epoch();
         long sentAt = now;
         Response response =
-                ask(ListenerKind.CLIENT, "POST", "/hello", worker.report(now).toString());
+                ask(ListenerKind.CLIENT, "POST", "/hello", worker.heartbeat(now).toString());
         if (response.status() == 200) {
             noteStarts(worker, json(response.body()));
-            worker.answered(new Reply(200, response.body()), session, sentAt, now);
+            worker.receiveHeartbeatResponse(new Reply(200, response.body()), session, sentAt, now);
         }
         return response;
     }
--- a/src/test/java/io/quartzgw/app/PairedFaultsTest.java
+++ b/src/test/java/io/quartzgw/app/PairedFaultsTest.java
@@ -14,35 +14,35 @@
 class PairedFaultsTest {
     static final long LEASE_MS = 16_000;
 
-    static void assertAllWell(ClusterSimulation world) {
-        assertEquals(List.of(), world.invariants.broken());
-        assertEquals(List.of(), world.invariants.missingReplicas());
-        assertEquals(0, world.failures());
+    static void assertAllWell(ClusterSimulation simulation) {
+        assertEquals(List.of(), simulation.invariants.violations());
+        assertEquals(List.of(), simulation.invariants.missingReplicas());
+        assertEquals(0, simulation.failedCommands());
     }
 
-    static List<String> arrays(ClusterSimulation world, int jobs, int tasks, double runS, String crew) {
+    static List<String> arrays(ClusterSimulation simulation, int jobs, int tasks, double runS, String crew) {
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < jobs; i++) {
             String id = String.format("j-%06d", 300 + i);
             ids.add(id);
-            world.job(FailureTest.job(id, crew, "array", tasks, 4, runS), null);
+            simulation.submitUntilAccepted(FailureTest.job(id, crew, "array", tasks, 4, runS), null);
         }
         return ids;
     }
 
-    static void assertAllEnded(ClusterSimulation world, List<String> jobs) {
+    static void assertAllEnded(ClusterSimulation simulation, List<String> jobs) {
         assertEquals(
                 List.of(),
                 jobs.stream()
-                        .filter(id -> world.invariants.finalPhase(id) == null)
+                        .filter(id -> simulation.invariants.finalPhase(id) == null)
                         .toList());
     }
 
-    static void assertDone(ClusterSimulation world, List<String> jobs) {
+    static void assertDone(ClusterSimulation simulation, List<String> jobs) {
         assertEquals(
                 List.of(),
                 jobs.stream()
-                        .filter(id -> !"done".equals(world.invariants.finalPhase(id)))
+                        .filter(id -> !"done".equals(simulation.invariants.finalPhase(id)))
                         .toList());
     }
 
@@ -52,208 +52,212 @@
 
     @Test
     void allControllersAreAwayForLongerThanALease() {
-        ClusterSimulation world = ScenarioTest.withServices();
-        List<String> jobs = arrays(world, 4, 5, 25, "red");
-        world.run(10_000);
-        IntStream.range(0, 3).forEach(world::crash);
-        world.run(LEASE_MS + 9_000);
-        IntStream.range(0, 3).forEach(world::start);
-        world.run(30_000);
-        assertAllWell(world);
-        world.run(90_000);
-        assertDone(world, jobs);
+        ClusterSimulation simulation = ScenarioTest.withServices();
+        List<String> jobs = arrays(simulation, 4, 5, 25, "red");
+        simulation.runChecked(10_000);
+        IntStream.range(0, 3).forEach(simulation::crash);
+        simulation.runChecked(LEASE_MS + 9_000);
+        IntStream.range(0, 3).forEach(simulation::start);
+        simulation.runChecked(30_000);
+        assertAllWell(simulation);
+        simulation.runChecked(90_000);
+        assertDone(simulation, jobs);
     }
 
     // Guards ends that are in nobody's record yet: a worker tells of them until they are, whoever leads.
     @Test
     void tasksOfOneJobEndFarApartAcrossAChangeOfLeader() {
         for (long crashAt = 4_000; crashAt <= 40_000; crashAt += 2_000) {
-            ClusterSimulation world = ScenarioTest.withServices();
+            ClusterSimulation simulation = ScenarioTest.withServices();
             List<String> jobs = new ArrayList<>();
             for (int i = 0; i < 6; i++) {
                 ObjectNode spec = FailureTest.job("j-00040" + i, "blue", "array", 2 + i % 2, 4, 3);
-                world.job(spec.put("each_longer_s", 10 + 2 * i), null);
+                simulation.submitUntilAccepted(spec.put("each_longer_s", 10 + 2 * i), null);
                 jobs.add("j-00040" + i);
             }
-            world.run(crashAt);
-            world.crash(world.leader(), 5_000);
-            world.run(75_000);
-            assertAllWell(world);
-            assertDone(world, jobs);
+            simulation.runChecked(crashAt);
+            simulation.crash(simulation.leader(), 5_000);
+            simulation.runChecked(75_000);
+            assertAllWell(simulation);
+            assertDone(simulation, jobs);
         }
     }
 
     @Test
     void jobsBoundToAZoneLoseMachines() {
-        ClusterSimulation world = ScenarioTest.withServices();
+        ClusterSimulation simulation = ScenarioTest.withServices();
         List<String> jobs = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             ObjectNode spec = FailureTest.job("j-00040" + i, "blue", "array", 4 + i, 4, 15);
-            world.job(i % 2 == 0 ? spec.put("yard", i % 4 == 0 ? "a" : "b") : spec.put("together", true), null);
+            simulation.submitUntilAccepted(
+                    i % 2 == 0 ? spec.put("yard", i % 4 == 0 ? "a" : "b") : spec.put("together", true), null);
             jobs.add("j-00040" + i);
         }
-        world.job(FailureTest.job("j-000410", "blue", "daemon", 3, 2, 0).put("yard", "a"), null);
-        world.run(14_000);
-        List<String> lost = world.machines();
+        simulation.submitUntilAccepted(
+                FailureTest.job("j-000410", "blue", "daemon", 3, 2, 0).put("yard", "a"), null);
+        simulation.runChecked(14_000);
+        List<String> lost = simulation.machineIds();
         for (int i = 0; i < lost.size(); i += 2) {
             String machine = lost.get(i);
             if (i % 4 == 0) {
-                world.cloud.fail(machine, world.now());
+                simulation.cloud.fail(machine, simulation.now());
             } else {
-                world.cut(machine, "*");
-                world.at(world.now() + 2 * LEASE_MS, () -> world.heal(machine, "*"));
+                simulation.partition(machine, "*");
+                simulation.schedule(simulation.now() + 2 * LEASE_MS, () -> simulation.heal(machine, "*"));
             }
             if (i == 4) {
-                world.crash(world.leader());
+                simulation.crash(simulation.leader());
             }
         }
-        world.run(10_000);
-        IntStream.range(0, 3).filter(node -> !world.isUp(node)).forEach(world::start);
-        world.run(120_000);
-        assertAllWell(world);
-        assertDone(world, jobs);
+        simulation.runChecked(10_000);
+        IntStream.range(0, 3).filter(node -> !simulation.isUp(node)).forEach(simulation::start);
+        simulation.runChecked(120_000);
+        assertAllWell(simulation);
+        assertDone(simulation, jobs);
     }
 
     // Guards leases that end while every order is answered: what was on such a machine runs elsewhere, once.
     @Test
     void workersThatReachNoControllerStillTakeOrders() {
         for (boolean leaderEnds : List.of(false, true)) {
-            ClusterSimulation world = ScenarioTest.withServices();
-            List<String> jobs = arrays(world, 5, 4, 30, "red");
-            world.run(8_000);
-            List<String> mute = firstHalf(world.machines());
-            mute.forEach(machine -> world.mute(machine, true));
-            world.cancelNow(2, 0);
+            ClusterSimulation simulation = ScenarioTest.withServices();
+            List<String> jobs = arrays(simulation, 5, 4, 30, "red");
+            simulation.runChecked(8_000);
+            List<String> mute = firstHalf(simulation.machineIds());
+            mute.forEach(machine -> simulation.setHeartbeatsBlocked(machine, true));
+            simulation.cancelRunningJobs(2, 0);
             if (leaderEnds) {
-                world.run(1_000);
-                world.crash(world.leader(), 5_000);
+                simulation.runChecked(1_000);
+                simulation.crash(simulation.leader(), 5_000);
             }
-            world.run(3 * LEASE_MS);
-            assertEquals(List.of(), world.invariants.missingReplicas(), "replicas run where reports arrive");
-            mute.forEach(machine -> world.mute(machine, false));
-            world.run(90_000);
-            assertAllWell(world);
-            assertAllEnded(world, jobs);
+            simulation.runChecked(3 * LEASE_MS);
+            assertEquals(List.of(), simulation.invariants.missingReplicas(), "replicas run where reports arrive");
+            mute.forEach(machine -> simulation.setHeartbeatsBlocked(machine, false));
+            simulation.runChecked(90_000);
+            assertAllWell(simulation);
+            assertAllEnded(simulation, jobs);
         }
     }
 
     @Test
     void transactionsAreCarriedOutLateAfterNewerOnes() {
-        ClusterSimulation world = ScenarioTest.withServices();
-        world.lateTransactions(0.3);
-        List<String> jobs = arrays(world, 8, 5, 6, "red");
-        world.run(8_000);
-        world.crash(world.leader(), 700);
-        world.run(10_000);
-        world.cancelNow(2, 0);
-        world.run(20_000);
-        world.lateTransactions(0);
-        world.run(100_000);
-        assertAllWell(world);
-        assertAllEnded(world, jobs);
+        ClusterSimulation simulation = ScenarioTest.withServices();
+        simulation.delayTransactionShare(0.3);
+        List<String> jobs = arrays(simulation, 8, 5, 6, "red");
+        simulation.runChecked(8_000);
+        simulation.crash(simulation.leader(), 700);
+        simulation.runChecked(10_000);
+        simulation.cancelRunningJobs(2, 0);
+        simulation.runChecked(20_000);
+        simulation.delayTransactionShare(0);
+        simulation.runChecked(100_000);
+        assertAllWell(simulation);
+        assertAllEnded(simulation, jobs);
     }
 
     // Guards the first end: whatever meets the last task's end is told the same by every controller from then on.
     @Test
     void cancellationsQuestionsAndRepeatsMeetTheEndOfTheLastTask() {
-        ClusterSimulation world = ScenarioTest.withServices();
-        world.cancelAtEnd(1);
+        ClusterSimulation simulation = ScenarioTest.withServices();
+        simulation.cancelJobsAtLastTaskEnd(1);
         List<String> jobs = new ArrayList<>();
         for (int i = 0; i < 24; i++) {
             String id = String.format("j-%06d", 500 + i);
             int tasks = i % 3;
-            world.at(
-                    world.now() + 700L * i,
-                    () -> world.job(FailureTest.job(id, "blue", "array", 1 + tasks, 2, 4), null));
+            simulation.schedule(
+                    simulation.now() + 700L * i,
+                    () -> simulation.submitUntilAccepted(FailureTest.job(id, "blue", "array", 1 + tasks, 2, 4), null));
             jobs.add(id);
         }
         for (int step = 0; step < 1_500; step++) {
-            world.runUntil(world.now() + 20);
+            simulation.runUntil(simulation.now() + 20);
             String id = jobs.get(step % jobs.size());
-            if (world.submitted(id) != null) {
-                world.poll(step % 3, id, reply -> {});
+            if (simulation.submittedSpec(id) != null) {
+                simulation.queryJob(step % 3, id, reply -> {});
                 if (step % 7 == 0) {
-                    world.submit((step + 1) % 3, world.submitted(id), reply -> {});
+                    simulation.submitOnce((step + 1) % 3, simulation.submittedSpec(id), reply -> {});
                 }
             }
         }
-        world.run(60_000);
-        assertAllWell(world);
-        assertTrue(jobs.stream().allMatch(id -> world.invariants.finalPhase(id) != null), "every end is told");
+        simulation.runChecked(60_000);
+        assertAllWell(simulation);
+        assertTrue(jobs.stream().allMatch(id -> simulation.invariants.finalPhase(id) != null), "every end is told");
         assertTrue(
-                jobs.stream().anyMatch(id -> "withdrawn".equals(world.invariants.finalPhase(id))),
+                jobs.stream().anyMatch(id -> "withdrawn".equals(simulation.invariants.finalPhase(id))),
                 "some were called off in time");
-        assertTrue(jobs.stream().anyMatch(id -> "done".equals(world.invariants.finalPhase(id))), "some were not");
+        assertTrue(jobs.stream().anyMatch(id -> "done".equals(simulation.invariants.finalPhase(id))), "some were not");
     }
 
     @Test
     void ordersAndTheirAnswersAreHeldUpAndTheMachinesGoOn() {
-        ClusterSimulation world = ScenarioTest.withServices();
-        world.heldOrders(0.5);
-        List<String> jobs = arrays(world, 8, 4, 8, "red");
-        world.run(12_000);
-        world.cancelNow(3, 3_000);
-        world.run(8_000);
-        world.crash(world.leader(), 5_000);
-        world.run(30_000);
-        world.heldOrders(0);
-        world.run(90_000);
-        assertAllWell(world);
-        assertAllEnded(world, jobs);
+        ClusterSimulation simulation = ScenarioTest.withServices();
+        simulation.delayCommandShare(0.5);
+        List<String> jobs = arrays(simulation, 8, 4, 8, "red");
+        simulation.runChecked(12_000);
+        simulation.cancelRunningJobs(3, 3_000);
+        simulation.runChecked(8_000);
+        simulation.crash(simulation.leader(), 5_000);
+        simulation.runChecked(30_000);
+        simulation.delayCommandShare(0);
+        simulation.runChecked(90_000);
+        assertAllWell(simulation);
+        assertAllEnded(simulation, jobs);
     }
 
     // Guards the order of stops and starts where every message takes long.
     @Test
     void thereIsMoreWorkThanRoomUrgentAndNotOverSlowLinks() {
-        ClusterSimulation world = ScenarioTest.withServices();
-        world.slowLinks(600);
+        ClusterSimulation simulation = ScenarioTest.withServices();
+        simulation.delayLinksUpTo(600);
         List<String> jobs = new ArrayList<>();
         for (int i = 0; i < 24; i++) {
             String id = String.format("j-%06d", 500 + i);
             int level = i % 3;
             ObjectNode spec = FailureTest.job(id, i % 2 == 0 ? "blue" : "red", "array", 12, 4, 12);
-            world.at(
-                    world.now() + 900L * i,
-                    () -> world.job(
+            simulation.schedule(
+                    simulation.now() + 900L * i,
+                    () -> simulation.submitUntilAccepted(
                             spec.put(
                                     "urgency",
                                     List.of("low", "standard", "urgent").get(level)),
                             null));
             jobs.add(id);
         }
-        world.run(300_000);
+        simulation.runChecked(300_000);
         for (int second = 0; second < 100; second++) {
-            world.run(1_000);
-            world.sweepWaiting();
+            simulation.runChecked(1_000);
+            simulation.checkWaitingJobs();
         }
-        assertAllWell(world);
-        assertDone(world, jobs);
+        assertAllWell(simulation);
+        assertDone(simulation, jobs);
     }
 
     // Guards work that is placed twice or never: in each term something is accepted, started, stopped and ended.
     @Test
     void leadersChangeTenTimesInTwoMinutesAlsoInsideAnOutage() {
         for (boolean outage : List.of(false, true)) {
-            ClusterSimulation world = ScenarioTest.withServices();
+            ClusterSimulation simulation = ScenarioTest.withServices();
             List<String> jobs = new ArrayList<>();
             for (int change = 0; change < 10; change++) {
                 String id = "j-00060" + change;
-                world.job(FailureTest.job(id, "red", "array", 5, 4, 6), change % 4 == 3 ? world.now() + 9_000 : null);
+                simulation.submitUntilAccepted(
+                        FailureTest.job(id, "red", "array", 5, 4, 6),
+                        change % 4 == 3 ? simulation.now() + 9_000 : null);
                 jobs.add(id);
-                world.run(6_000);
+                simulation.runChecked(6_000);
                 if (outage && change == 4) {
-                    world.store.outage(true);
+                    simulation.store.setOutage(true);
                 } else if (outage && change == 7) {
-                    world.store.outage(false);
+                    simulation.store.setOutage(false);
                 }
-                int leader = Math.max(0, world.leader());
-                world.crash(leader);
-                world.run(change % 2 == 0 ? 300 : 6_000);
-                world.start(leader);
+                int leader = Math.max(0, simulation.leader());
+                simulation.crash(leader);
+                simulation.runChecked(change % 2 == 0 ? 300 : 6_000);
+                simulation.start(leader);
             }
-            world.run(100_000);
-            assertAllWell(world);
-            assertAllEnded(world, jobs);
+            simulation.runChecked(100_000);
+            assertAllWell(simulation);
+            assertAllEnded(simulation, jobs);
         }
     }
 
@@ -261,12 +265,12 @@
     @Test
     void aZoneWithWorkersAndAControllerIsCutOffForLongerThanALease() {
         for (boolean leads : List.of(true, false)) {
-            ClusterSimulation world = ScenarioTest.withServices();
-            List<String> jobs = arrays(world, 5, 4, 20, "red");
-            world.run(10_000);
-            int inside = leads ? world.leader() : (world.leader() + 1) % 3;
-            List<String> zone = firstHalf(world.machines());
-            List<String> outside = new ArrayList<>(world.machines());
+            ClusterSimulation simulation = ScenarioTest.withServices();
+            List<String> jobs = arrays(simulation, 5, 4, 20, "red");
+            simulation.runChecked(10_000);
+            int inside = leads ? simulation.leader() : (simulation.leader() + 1) % 3;
+            List<String> zone = firstHalf(simulation.machineIds());
+            List<String> outside = new ArrayList<>(simulation.machineIds());
             outside.removeAll(zone);
             outside.addAll(List.of(
                     "rig-" + (inside + 1) % 3,
@@ -274,19 +278,19 @@
                     ClusterSimulation.STORE,
                     ClusterSimulation.CLOUD));
             outside.forEach(far -> {
-                world.cut("rig-" + inside, far);
-                zone.forEach(machine -> world.cut(machine, far));
+                simulation.partition("rig-" + inside, far);
+                zone.forEach(machine -> simulation.partition(machine, far));
             });
-            world.run(3_000);
-            world.cancelNow(3, 0);
-            world.run(3 * LEASE_MS);
+            simulation.runChecked(3_000);
+            simulation.cancelRunningJobs(3, 0);
+            simulation.runChecked(3 * LEASE_MS);
             outside.forEach(far -> {
-                world.heal("rig-" + inside, far);
-                zone.forEach(machine -> world.heal(machine, far));
+                simulation.heal("rig-" + inside, far);
+                zone.forEach(machine -> simulation.heal(machine, far));
             });
-            world.run(120_000);
-            assertAllWell(world);
-            assertAllEnded(world, jobs);
+            simulation.runChecked(120_000);
+            assertAllWell(simulation);
+            assertAllEnded(simulation, jobs);
         }
     }
 
@@ -294,31 +298,31 @@
     void aLeaderEndsWhileMachinesWithLongTasksAreSilentOrDeaf() {
         for (boolean deaf : List.of(true, false)) {
             for (long goneMs : List.of(6_000L, 14_000L, 40_000L)) {
-                ClusterSimulation world = ScenarioTest.withServices();
-                List<String> jobs = arrays(world, 4, 4, 45, "red");
-                world.run(12_000);
-                List<String> some = firstHalf(world.machines());
-                int leader = world.leader();
+                ClusterSimulation simulation = ScenarioTest.withServices();
+                List<String> jobs = arrays(simulation, 4, 4, 45, "red");
+                simulation.runChecked(12_000);
+                List<String> some = firstHalf(simulation.machineIds());
+                int leader = simulation.leader();
                 some.forEach(machine -> {
                     if (deaf) {
-                        world.deafen(machine, true);
+                        simulation.setInboundBlocked(machine, true);
                     } else {
-                        world.cut(machine, "*");
+                        simulation.partition(machine, "*");
                     }
                 });
-                world.run(500);
-                world.crash(leader, 5_000);
-                world.run(goneMs);
+                simulation.runChecked(500);
+                simulation.crash(leader, 5_000);
+                simulation.runChecked(goneMs);
                 some.forEach(machine -> {
                     if (deaf) {
-                        world.deafen(machine, false);
+                        simulation.setInboundBlocked(machine, false);
                     } else {
-                        world.heal(machine, "*");
+                        simulation.heal(machine, "*");
                     }
                 });
-                world.run(150_000);
-                assertAllWell(world);
-                assertDone(world, jobs);
+                simulation.runChecked(150_000);
+                assertAllWell(simulation);
+                assertDone(simulation, jobs);
             }
         }
     }
@@ -327,20 +331,20 @@
     @Test
     void aTeamAtItsLimitLosesItsLeaderWhileMachinesAreSilentAndAJobIsCancelled() {
         for (long cancelAfterMs : List.of(-300L, 200L, 1_500L, 6_000L)) {
-            ClusterSimulation world = ScenarioTest.withServices();
-            List<String> jobs = arrays(world, 6, 5, 25, "green");
-            world.run(20_000);
-            List<String> silent = firstHalf(world.machines());
-            silent.forEach(machine -> world.cut(machine, "*"));
-            int leader = world.leader();
-            long crashAt = world.now() + 500;
-            world.at(crashAt + cancelAfterMs, () -> world.cancelNow(3, 0));
-            world.at(crashAt, () -> world.crash(leader, 5_000));
-            world.run(12_000);
-            silent.forEach(machine -> world.heal(machine, "*"));
-            world.run(250_000);
-            assertAllWell(world);
-            assertAllEnded(world, jobs);
+            ClusterSimulation simulation = ScenarioTest.withServices();
+            List<String> jobs = arrays(simulation, 6, 5, 25, "green");
+            simulation.runChecked(20_000);
+            List<String> silent = firstHalf(simulation.machineIds());
+            silent.forEach(machine -> simulation.partition(machine, "*"));
+            int leader = simulation.leader();
+            long crashAt = simulation.now() + 500;
+            simulation.schedule(crashAt + cancelAfterMs, () -> simulation.cancelRunningJobs(3, 0));
+            simulation.schedule(crashAt, () -> simulation.crash(leader, 5_000));
+            simulation.runChecked(12_000);
+            silent.forEach(machine -> simulation.heal(machine, "*"));
+            simulation.runChecked(250_000);
+            assertAllWell(simulation);
+            assertAllEnded(simulation, jobs);
         }
     }
 
@@ -348,20 +352,20 @@
     void controllersHandOverAndBackThenAllEndAndOneReturnsWithinASecond() {
         for (int returns = 0; returns < 3; returns++) {
             for (long downMs : List.of(50L, 400L, 900L)) {
-                ClusterSimulation world = ScenarioTest.withServices();
+                ClusterSimulation simulation = ScenarioTest.withServices();
                 int back = returns;
-                world.run(1_000);
+                simulation.runChecked(1_000);
                 for (int i = 0; i < 3; i++) {
-                    world.crash(Math.max(0, world.leader()), downMs);
-                    world.run(2_000);
+                    simulation.crash(Math.max(0, simulation.leader()), downMs);
+                    simulation.runChecked(2_000);
                 }
-                IntStream.range(0, 3).forEach(world::crash);
-                world.at(world.now() + downMs, () -> world.start(back));
-                world.run(10_000);
-                IntStream.range(0, 3).filter(node -> node != back).forEach(world::start);
-                world.run(60_000);
-                assertAllWell(world);
-                assertEquals(2 * ScenarioTest.SERVICES, world.invariants.started(), "nothing was started anew");
+                IntStream.range(0, 3).forEach(simulation::crash);
+                simulation.schedule(simulation.now() + downMs, () -> simulation.start(back));
+                simulation.runChecked(10_000);
+                IntStream.range(0, 3).filter(node -> node != back).forEach(simulation::start);
+                simulation.runChecked(60_000);
+                assertAllWell(simulation);
+                assertEquals(2 * ScenarioTest.SERVICES, simulation.invariants.startCount(), "nothing was started anew");
             }
         }
     }
@@ -371,19 +375,19 @@
     void aControllerStandsStillWhileJobsAreCancelledAndGoesOn() {
         for (boolean leads : List.of(true, false)) {
             for (long stillMs : List.of(3_000L, 9_000L, 20_000L, 70_000L)) {
-                ClusterSimulation world = ScenarioTest.withServices();
-                List<String> jobs = arrays(world, 4, 4, 12, "red");
-                world.run(5_000);
-                int node = leads ? world.leader() : (world.leader() + 1) % 3;
-                world.freeze(node, stillMs);
-                world.at(world.now() + stillMs / 2, () -> world.cancelNow(3, 2_000));
-                world.run(stillMs);
-                int leader = world.leader();
-                world.run(15_000);
-                assertTrue(leads || world.leader() == leader, "who wakes deposes nobody");
-                world.run(75_000);
-                assertAllWell(world);
-                assertAllEnded(world, jobs);
+                ClusterSimulation simulation = ScenarioTest.withServices();
+                List<String> jobs = arrays(simulation, 4, 4, 12, "red");
+                simulation.runChecked(5_000);
+                int node = leads ? simulation.leader() : (simulation.leader() + 1) % 3;
+                simulation.pauseController(node, stillMs);
+                simulation.schedule(simulation.now() + stillMs / 2, () -> simulation.cancelRunningJobs(3, 2_000));
+                simulation.runChecked(stillMs);
+                int leader = simulation.leader();
+                simulation.runChecked(15_000);
+                assertTrue(leads || simulation.leader() == leader, "who wakes deposes nobody");
+                simulation.runChecked(75_000);
+                assertAllWell(simulation);
+                assertAllEnded(simulation, jobs);
             }
         }
     }
--- a/src/test/java/io/quartzgw/app/ScenarioTest.java
+++ b/src/test/java/io/quartzgw/app/ScenarioTest.java
@@ -17,50 +17,50 @@
         return withServices(5);
     }
 
-    /** A world in which five services of two replicas each run. */
+    /** A simulation in which five services of two replicas each run. */
     static ClusterSimulation withServices(long seed) {
         return withServices(new ClusterSimulation(seed, 3));
     }
 
-    static ClusterSimulation withServices(ClusterSimulation world) {
+    static ClusterSimulation withServices(ClusterSimulation simulation) {
         for (int i = 0; i < SERVICES; i++) {
             ObjectNode spec = FailureTest.job("j-00000" + i, "blue", "daemon", 2, 2, 0);
-            world.at(1_000, () -> world.job(spec, null));
+            simulation.schedule(1_000, () -> simulation.submitUntilAccepted(spec, null));
         }
-        world.runUntil(60_000);
-        assertEquals(SERVICES * 2, world.invariants.runningTasks().size());
-        assertEquals(SERVICES * 2, world.invariants.started());
-        return world;
+        simulation.runUntil(60_000);
+        assertEquals(SERVICES * 2, simulation.invariants.runningTasks().size());
+        assertEquals(SERVICES * 2, simulation.invariants.startCount());
+        return simulation;
     }
 
-    private static void assertNothingRestarted(ClusterSimulation world) {
-        assertEquals(List.of(), world.invariants.broken());
-        assertEquals(SERVICES * 2, world.invariants.runningTasks().size());
-        assertEquals(SERVICES * 2, world.invariants.started(), "no replica was started anew");
+    private static void assertNothingRestarted(ClusterSimulation simulation) {
+        assertEquals(List.of(), simulation.invariants.violations());
+        assertEquals(SERVICES * 2, simulation.invariants.runningTasks().size());
+        assertEquals(SERVICES * 2, simulation.invariants.startCount(), "no replica was started anew");
     }
 
     @Test
     void aCrashOfTheLeaderRestartsNothing() {
-        ClusterSimulation world = withServices();
-        int leader = world.leader();
-        world.crash(leader);
-        world.runUntil(75_000);
-        assertTrue(world.leader() >= 0 && world.leader() != leader, "another node leads");
-        world.start(leader);
-        world.runUntil(120_000);
-        assertNothingRestarted(world);
+        ClusterSimulation simulation = withServices();
+        int leader = simulation.leader();
+        simulation.crash(leader);
+        simulation.runUntil(75_000);
+        assertTrue(simulation.leader() >= 0 && simulation.leader() != leader, "another node leads");
+        simulation.start(leader);
+        simulation.runUntil(120_000);
+        assertNothingRestarted(simulation);
     }
 
     @Test
     void aCrashOfAllControllersRestartsNothing() {
-        ClusterSimulation world = withServices();
+        ClusterSimulation simulation = withServices();
         for (int i = 0; i < 3; i++) {
-            world.crash(i);
+            simulation.crash(i);
             int node = i;
-            world.at(world.now() + 6_000 + 500L * i, () -> world.start(node));
+            simulation.schedule(simulation.now() + 6_000 + 500L * i, () -> simulation.start(node));
         }
-        world.runUntil(120_000);
-        assertNothingRestarted(world);
+        simulation.runUntil(120_000);
+        assertNothingRestarted(simulation);
     }
 
     // Guards healthy machines: a leader that stood still has heard none of them when it wakes, and may not have heard
@@ -68,132 +68,134 @@
     @Test
     void aLeaderThatStoodStillGivesUpNoMachine() {
         for (long stillMs : List.of(3_000L, 9_000L, 30_000L, 70_000L)) {
-            ClusterSimulation world = withServices();
-            String leader = "rig-" + world.leader();
-            world.freeze(world.leader(), stillMs);
-            world.cut(leader, "*");
-            world.runUntil(world.now() + stillMs + 2_000);
-            world.heal(leader, "*");
-            world.runUntil(world.now() + 30_000);
-            assertNothingRestarted(world);
-            assertEquals(0, world.counts().getOrDefault("machines.given_up", 0L));
+            ClusterSimulation simulation = withServices();
+            String leader = "rig-" + simulation.leader();
+            simulation.pauseController(simulation.leader(), stillMs);
+            simulation.partition(leader, "*");
+            simulation.runUntil(simulation.now() + stillMs + 2_000);
+            simulation.heal(leader, "*");
+            simulation.runUntil(simulation.now() + 30_000);
+            assertNothingRestarted(simulation);
+            assertEquals(0, simulation.counters().getOrDefault("machines.given_up", 0L));
         }
     }
 
     // Guards the grace: it counts from the moment up to which the leader knows all cancellations.
     @Test
     void anOutageLongerThanGraceAndLeaseRestartsNothing() {
-        ClusterSimulation world = withServices();
-        world.store.outage(true);
-        world.runUntil(world.now() + 60_000);
-        world.store.outage(false);
-        world.runUntil(world.now() + 30_000);
-        assertNothingRestarted(world);
+        ClusterSimulation simulation = withServices();
+        simulation.store.setOutage(true);
+        simulation.runUntil(simulation.now() + 60_000);
+        simulation.store.setOutage(false);
+        simulation.runUntil(simulation.now() + 30_000);
+        assertNothingRestarted(simulation);
     }
 
     // Guards against leadership that is judged by the state service alone.
     @Test
     void aLeaderCutFromTheWorkersHandsOver() {
-        ClusterSimulation world = withServices();
-        int leader = world.leader();
-        List<String> machines = world.machines();
-        machines.forEach(machine -> world.cut("rig-" + leader, machine));
-        world.runUntil(world.now() + 30_000);
-        assertTrue(world.leader() >= 0 && world.leader() != leader, "another node leads");
-        machines.forEach(machine -> world.heal("rig-" + leader, machine));
-        world.runUntil(world.now() + 30_000);
-        assertNothingRestarted(world);
+        ClusterSimulation simulation = withServices();
+        int leader = simulation.leader();
+        List<String> machines = simulation.machineIds();
+        machines.forEach(machine -> simulation.partition("rig-" + leader, machine));
+        simulation.runUntil(simulation.now() + 30_000);
+        assertTrue(simulation.leader() >= 0 && simulation.leader() != leader, "another node leads");
+        machines.forEach(machine -> simulation.heal("rig-" + leader, machine));
+        simulation.runUntil(simulation.now() + 30_000);
+        assertNothingRestarted(simulation);
     }
 
     // Guards a part of the workers: their leases count as much as a takeover of a second.
     @Test
     void aLeaderCutFromAPartOfTheWorkersHandsOver() {
-        ClusterSimulation world = withServices();
-        int leader = world.leader();
-        String machine = world.machines().get(0);
-        world.cut("rig-" + leader, machine);
-        world.runUntil(world.now() + 30_000);
-        assertTrue(world.leader() >= 0 && world.leader() != leader, "another node leads");
-        assertNothingRestarted(world);
+        ClusterSimulation simulation = withServices();
+        int leader = simulation.leader();
+        String machine = simulation.machineIds().get(0);
+        simulation.partition("rig-" + leader, machine);
+        simulation.runUntil(simulation.now() + 30_000);
+        assertTrue(simulation.leader() >= 0 && simulation.leader() != leader, "another node leads");
+        assertNothingRestarted(simulation);
     }
 
     @Test
     void aLeaderCutFromAllButItsWorkersStopsAnsweringThem() {
-        ClusterSimulation world = withServices();
-        int leader = world.leader();
+        ClusterSimulation simulation = withServices();
+        int leader = simulation.leader();
         for (String other : List.of("rig-0", "rig-1", "rig-2", ClusterSimulation.STORE)) {
-            world.cut("rig-" + leader, other);
+            simulation.partition("rig-" + leader, other);
         }
-        world.runUntil(world.now() + 30_000);
-        assertTrue(world.leader() >= 0 && world.leader() != leader, "another node leads");
-        assertNothingRestarted(world);
+        simulation.runUntil(simulation.now() + 30_000);
+        assertTrue(simulation.leader() >= 0 && simulation.leader() != leader, "another node leads");
+        assertNothingRestarted(simulation);
     }
 
     // Guards unaccounted tasks: a machine that is silent to the successor may be answered by the former leader for
     // longer than the window lasts, and its tasks run on.
     @Test
     void tasksThatOnlyTheFormerLeaderReachesRunNowhereElse() {
-        ClusterSimulation world = withServices();
-        int leader = world.leader();
-        String machine = world.machines().get(0);
+        ClusterSimulation simulation = withServices();
+        int leader = simulation.leader();
+        String machine = simulation.machineIds().get(0);
         for (String other : List.of("rig-0", "rig-1", "rig-2")) {
             if (!other.equals("rig-" + leader)) {
-                world.cut("rig-" + leader, other);
-                world.cut(machine, other);
+                simulation.partition("rig-" + leader, other);
+                simulation.partition(machine, other);
             }
         }
-        world.cut("rig-" + leader, ClusterSimulation.STORE);
+        simulation.partition("rig-" + leader, ClusterSimulation.STORE);
         // No other machine may show the former leader the new token.
-        world.machines().stream()
+        simulation.machineIds().stream()
                 .filter(other -> !other.equals(machine))
-                .forEach(other -> world.cut("rig-" + leader, other));
-        world.runUntil(world.now() + 90_000);
-        assertEquals(List.of(), world.invariants.broken());
-        assertEquals(SERVICES * 2, world.invariants.runningTasks().size(), "placed again after the hold");
+                .forEach(other -> simulation.partition("rig-" + leader, other));
+        simulation.runUntil(simulation.now() + 90_000);
+        assertEquals(List.of(), simulation.invariants.violations());
+        assertEquals(SERVICES * 2, simulation.invariants.runningTasks().size(), "placed again after the hold");
     }
 
     // Guards against a leader that takes machines which hear nobody for its own fault, and against renting anew
     // for them without bound: half of them hear nothing for several leases, while all their reports arrive.
     @Test
     void machinesThatHearNothingDeposeNobodyAndAreNotReplacedForEver() {
-        ClusterSimulation world = withServices();
-        int leader = world.leader();
-        int before = world.machines().size();
-        List<String> deaf = world.machines().subList(0, (before + 1) / 2);
-        deaf.forEach(machine -> world.deafen(machine, true));
+        ClusterSimulation simulation = withServices();
+        int leader = simulation.leader();
+        int before = simulation.machineIds().size();
+        List<String> deaf = simulation.machineIds().subList(0, (before + 1) / 2);
+        deaf.forEach(machine -> simulation.setInboundBlocked(machine, true));
         int most = before;
         for (int second = 0; second < 90; second++) {
             if (second == 40) {
                 // By now their leases are over, and they look empty.
-                world.job(FailureTest.job("j-000090", "blue", "daemon", 2, 2, 0), null);
+                simulation.submitUntilAccepted(FailureTest.job("j-000090", "blue", "daemon", 2, 2, 0), null);
             }
-            world.runUntil(world.now() + 1_000);
-            most = Math.max(most, world.machines().size());
+            simulation.runUntil(simulation.now() + 1_000);
+            most = Math.max(most, simulation.machineIds().size());
             if (second == 60) {
-                assertTrue(world.invariants.runningTasks().contains("j-000090/0"), "not placed where nothing arrives");
+                assertTrue(
+                        simulation.invariants.runningTasks().contains("j-000090/0"),
+                        "not placed where nothing arrives");
             }
         }
-        assertEquals(leader, world.leader(), "the leader stays");
+        assertEquals(leader, simulation.leader(), "the leader stays");
         assertTrue(most <= 2 * before + 1, most + " machines where " + before + " do");
-        deaf.forEach(machine -> world.deafen(machine, false));
-        world.runUntil(world.now() + 40_000);
-        assertEquals(List.of(), world.invariants.broken());
-        assertEquals(List.of(), world.invariants.missingReplicas());
+        deaf.forEach(machine -> simulation.setInboundBlocked(machine, false));
+        simulation.runUntil(simulation.now() + 40_000);
+        assertEquals(List.of(), simulation.invariants.violations());
+        assertEquals(List.of(), simulation.invariants.missingReplicas());
     }
 
     // Guards the word of a former process: its hold still stands, and the others may not have noticed.
     @Test
     void aLeaderThatIsBackAtOnceRestartsNothing() {
         for (long downMs : List.of(50L, 200L, 600L)) {
-            ClusterSimulation world = withServices();
-            int leader = world.leader();
-            world.crash(leader);
-            world.runUntil(world.now() + downMs);
-            world.start(leader);
-            world.runUntil(world.now() + 8_000);
-            assertTrue(world.leader() >= 0, "somebody leads again");
-            world.runUntil(world.now() + 60_000);
-            assertNothingRestarted(world);
+            ClusterSimulation simulation = withServices();
+            int leader = simulation.leader();
+            simulation.crash(leader);
+            simulation.runUntil(simulation.now() + downMs);
+            simulation.start(leader);
+            simulation.runUntil(simulation.now() + 8_000);
+            assertTrue(simulation.leader() >= 0, "somebody leads again");
+            simulation.runUntil(simulation.now() + 60_000);
+            assertNothingRestarted(simulation);
         }
     }
 
@@ -202,117 +204,117 @@
     @Test
     void aMachineThatIsBackAtOnceRunsItsReplicasAgain() {
         for (boolean counting : List.of(true, false)) {
-            ClusterSimulation world = withServices();
-            String machine = world.machines().get(0);
-            world.reboot(machine, counting);
-            world.runUntil(world.now() + 15_000);
-            assertEquals(List.of(), world.invariants.broken());
-            assertEquals(List.of(), world.invariants.missingReplicas(), "long before a hold would have ended");
+            ClusterSimulation simulation = withServices();
+            String machine = simulation.machineIds().get(0);
+            simulation.rebootMachine(machine, counting);
+            simulation.runUntil(simulation.now() + 15_000);
+            assertEquals(List.of(), simulation.invariants.violations());
+            assertEquals(List.of(), simulation.invariants.missingReplicas(), "long before a hold would have ended");
         }
     }
 
     // Guards the hold: late copies of a lost machine's reports must not show it as alive.
     @Test
     void lateCopiesDoNotHoldALostMachinesReplicas() {
-        ClusterSimulation world = withServices();
-        world.lateCopies(1);
-        world.runUntil(world.now() + 30_000);
-        String machine = world.machines().get(0);
-        world.cut(machine, "*");
-        world.runUntil(world.now() + 36_000);
-        assertEquals(List.of(), world.invariants.broken());
-        assertEquals(List.of(), world.invariants.missingReplicas(), "placed again when the hold has ended");
+        ClusterSimulation simulation = withServices();
+        simulation.duplicateMessageShare(1);
+        simulation.runUntil(simulation.now() + 30_000);
+        String machine = simulation.machineIds().get(0);
+        simulation.partition(machine, "*");
+        simulation.runUntil(simulation.now() + 36_000);
+        assertEquals(List.of(), simulation.invariants.violations());
+        assertEquals(List.of(), simulation.invariants.missingReplicas(), "placed again when the hold has ended");
     }
 
     // Guards the gather window: to a new leader a late copy looks like a machine's first word, and hides what
     // was started since. The machine itself is cut off for less than its lease, so all of that runs on.
     @Test
     void lateCopiesDoNotSpeakForAMachineToANewLeader() {
-        ClusterSimulation world = withServices();
-        world.lateCopies(1);
-        world.runUntil(world.now() + 20_000);
+        ClusterSimulation simulation = withServices();
+        simulation.duplicateMessageShare(1);
+        simulation.runUntil(simulation.now() + 20_000);
         for (int i = 0; i < 6; i++) {
             ObjectNode spec = FailureTest.job("j-00005" + i, "blue", "array", 4, 2, 60);
-            world.job(spec, null);
+            simulation.submitUntilAccepted(spec, null);
         }
-        world.runUntil(world.now() + 20_000);
-        int leader = world.leader();
-        world.crash(leader);
-        List<String> machines = world.machines();
-        machines.forEach(machine -> world.cut(machine, "*"));
-        world.runUntil(world.now() + 13_000);
-        machines.forEach(machine -> world.heal(machine, "*"));
-        world.start(leader);
-        world.runUntil(world.now() + 60_000);
-        assertEquals(List.of(), world.invariants.broken());
+        simulation.runUntil(simulation.now() + 20_000);
+        int leader = simulation.leader();
+        simulation.crash(leader);
+        List<String> machines = simulation.machineIds();
+        machines.forEach(machine -> simulation.partition(machine, "*"));
+        simulation.runUntil(simulation.now() + 13_000);
+        machines.forEach(machine -> simulation.heal(machine, "*"));
+        simulation.start(leader);
+        simulation.runUntil(simulation.now() + 60_000);
+        assertEquals(List.of(), simulation.invariants.violations());
     }
 
     // Guards cancellations that the leader can't hear of: it answers its workers for the grace at the most.
     @Test
     void aJobThatIsCancelledBehindACutOffLeadersBackEndsInTime() {
-        ClusterSimulation world = withServices();
-        int leader = world.leader();
+        ClusterSimulation simulation = withServices();
+        int leader = simulation.leader();
         for (String other : List.of("rig-0", "rig-1", "rig-2", ClusterSimulation.STORE)) {
-            world.cut("rig-" + leader, other);
+            simulation.partition("rig-" + leader, other);
         }
-        world.runUntil(world.now() + 1_000);
+        simulation.runUntil(simulation.now() + 1_000);
         int[] status = new int[1];
-        world.abort((leader + 1) % 3, "j-000001", reply -> status[0] = reply.status());
+        simulation.cancelJob((leader + 1) % 3, "j-000001", reply -> status[0] = reply.status());
         for (int second = 0; second < 60; second++) {
-            world.runUntil(world.now() + 1_000);
-            world.invariants.sweep(world.now());
+            simulation.runUntil(simulation.now() + 1_000);
+            simulation.invariants.checkDeadlines(simulation.now());
         }
         assertEquals(200, status[0]);
-        assertEquals(List.of(), world.invariants.broken());
-        assertTrue(world.invariants.runningTasks().stream().noneMatch(task -> task.startsWith("j-000001/")));
+        assertEquals(List.of(), simulation.invariants.violations());
+        assertTrue(simulation.invariants.runningTasks().stream().noneMatch(task -> task.startsWith("j-000001/")));
     }
 
     // Guards jobs that a leader hears of in no ordinary way: the notice is lost with a cut between controllers,
     // and the changes are gone from the state service before the leader can follow again.
     @Test
     void aJobThatNeitherNoticeNorFollowToldOfRuns() {
-        ClusterSimulation world = withServices();
-        int leader = world.leader();
+        ClusterSimulation simulation = withServices();
+        int leader = simulation.leader();
         for (int i = 0; i < 3; i++) {
             if (i != leader) {
-                world.cut("rig-" + leader, "rig-" + i);
+                simulation.partition("rig-" + leader, "rig-" + i);
             }
         }
-        world.store.breakFollows();
+        simulation.store.abortWatches();
         ObjectNode spec = FailureTest.job("j-000077", "blue", "array", 3, 2, 5);
         int[] status = new int[1];
-        world.user((leader + 1) % 3, "POST", "/submissions", spec, reply -> status[0] = reply.status());
-        world.job(spec, null);
-        world.runUntil(world.now() + 100);
-        world.store.forgetNews();
-        world.runUntil(world.now() + 60_000);
-        assertEquals("done", world.invariants.finalPhase("j-000077"));
-        assertEquals(List.of(), world.invariants.broken());
+        simulation.sendUserRequest((leader + 1) % 3, "POST", "/submissions", spec, reply -> status[0] = reply.status());
+        simulation.submitUntilAccepted(spec, null);
+        simulation.runUntil(simulation.now() + 100);
+        simulation.store.compactHistory();
+        simulation.runUntil(simulation.now() + 60_000);
+        assertEquals("done", simulation.invariants.finalPhase("j-000077"));
+        assertEquals(List.of(), simulation.invariants.violations());
     }
 
     @Test
     void aDeadMachinesReplicasMoveOnce() {
-        ClusterSimulation world = withServices();
-        String machine = world.machines().get(0);
-        world.cloud.fail(machine, world.now());
-        world.runUntil(world.now() + 60_000);
-        assertEquals(List.of(), world.invariants.broken());
-        assertEquals(SERVICES * 2, world.invariants.runningTasks().size());
+        ClusterSimulation simulation = withServices();
+        String machine = simulation.machineIds().get(0);
+        simulation.cloud.fail(machine, simulation.now());
+        simulation.runUntil(simulation.now() + 60_000);
+        assertEquals(List.of(), simulation.invariants.violations());
+        assertEquals(SERVICES * 2, simulation.invariants.runningTasks().size());
     }
 
     @Test
     void withoutTheStateServiceUsersAreToldAtOnce() {
-        ClusterSimulation world = withServices();
-        world.store.outage(true);
-        world.runUntil(world.now() + 2_000);
-        long asked = world.now();
+        ClusterSimulation simulation = withServices();
+        simulation.store.setOutage(true);
+        simulation.runUntil(simulation.now() + 2_000);
+        long asked = simulation.now();
         long[] answeredAt = new long[1];
         int[] status = new int[1];
-        world.user(0, "GET", "/submissions/" + "j-000001", null, reply -> {
-            answeredAt[0] = world.now();
+        simulation.sendUserRequest(0, "GET", "/submissions/" + "j-000001", null, reply -> {
+            answeredAt[0] = simulation.now();
             status[0] = reply.status();
         });
-        world.runUntil(asked + 1_000);
+        simulation.runUntil(asked + 1_000);
         assertEquals(503, status[0]);
         assertTrue(answeredAt[0] - asked < 10, "at once");
     }
@@ -320,41 +322,51 @@
     // Guards against a node that counts as unable because its users are quiet.
     @Test
     void aQuietNodeIsReady() {
-        ClusterSimulation world = new ClusterSimulation(7, 3);
-        world.runUntil(60_000);
+        ClusterSimulation simulation = new ClusterSimulation(7, 3);
+        simulation.runUntil(60_000);
         for (int i = 0; i < 3; i++) {
             int[] status = new int[1];
-            world.user(i, "GET", "/ready", null, reply -> status[0] = reply.status());
-            world.runUntil(world.now() + 100);
+            simulation.sendUserRequest(i, "GET", "/ready", null, reply -> status[0] = reply.status());
+            simulation.runUntil(simulation.now() + 100);
             assertEquals(200, status[0], "rig-" + i);
         }
     }
 
     @Test
     void badInputIsAnsweredAsTheProtocolSays() {
-        ClusterSimulation world = withServices();
+        ClusterSimulation simulation = withServices();
         ObjectNode good = FailureTest.job("j-000100", "blue", "array", 2, 2, 5);
-        assertEquals(400, status(world, "POST", "/submissions", Json.object().put("id", "j-000101")));
-        assertEquals(400, status(world, "POST", "/submissions", good.deepCopy().put("shards", 0)));
-        assertEquals(400, status(world, "POST", "/submissions", good.deepCopy().put("shards", 1.5)));
-        assertEquals(400, status(world, "POST", "/submissions", good.deepCopy().put("cpus", -1.0)));
-        assertEquals(400, status(world, "POST", "/submissions", good.deepCopy().put("id", "x")));
-        assertEquals(400, status(world, "POST", "/submissions", good.deepCopy().put("urgency", "soon")));
-        assertEquals(422, status(world, "POST", "/submissions", good.deepCopy().put("crew", "nobody")));
-        assertEquals(422, status(world, "POST", "/submissions", good.deepCopy().put("cpus", 99.0)));
         assertEquals(
-                422, status(world, "POST", "/submissions", FailureTest.job("j-000102", "red", "daemon", 30, 2, 0)));
-        assertEquals(404, status(world, "GET", "/submissions/j-999999", null));
-        assertEquals(404, status(world, "GET", "/nothing", null));
-        assertEquals(405, status(world, "DELETE", "/submissions", null));
-        assertEquals(201, status(world, "POST", "/submissions", good));
-        assertEquals(200, status(world, "POST", "/submissions", good.deepCopy().put("shards", "many")));
+                400, status(simulation, "POST", "/submissions", Json.object().put("id", "j-000101")));
+        assertEquals(
+                400, status(simulation, "POST", "/submissions", good.deepCopy().put("shards", 0)));
+        assertEquals(
+                400, status(simulation, "POST", "/submissions", good.deepCopy().put("shards", 1.5)));
+        assertEquals(
+                400, status(simulation, "POST", "/submissions", good.deepCopy().put("cpus", -1.0)));
+        assertEquals(
+                400, status(simulation, "POST", "/submissions", good.deepCopy().put("id", "x")));
+        assertEquals(
+                400, status(simulation, "POST", "/submissions", good.deepCopy().put("urgency", "soon")));
+        assertEquals(
+                422, status(simulation, "POST", "/submissions", good.deepCopy().put("crew", "nobody")));
+        assertEquals(
+                422, status(simulation, "POST", "/submissions", good.deepCopy().put("cpus", 99.0)));
+        assertEquals(
+                422,
+                status(simulation, "POST", "/submissions", FailureTest.job("j-000102", "red", "daemon", 30, 2, 0)));
+        assertEquals(404, status(simulation, "GET", "/submissions/j-999999", null));
+        assertEquals(404, status(simulation, "GET", "/nothing", null));
+        assertEquals(405, status(simulation, "DELETE", "/submissions", null));
+        assertEquals(201, status(simulation, "POST", "/submissions", good));
+        assertEquals(
+                200, status(simulation, "POST", "/submissions", good.deepCopy().put("shards", "many")));
     }
 
-    private static int status(ClusterSimulation world, String method, String path, ObjectNode body) {
+    private static int status(ClusterSimulation simulation, String method, String path, ObjectNode body) {
         int[] status = new int[1];
-        world.user(1, method, path, body, reply -> status[0] = reply.status());
-        world.runUntil(world.now() + 1_000);
+        simulation.sendUserRequest(1, method, path, body, reply -> status[0] = reply.status());
+        simulation.runUntil(simulation.now() + 1_000);
         return status[0];
     }
 }
--- a/src/test/java/io/quartzgw/app/StoredFormatTest.java
+++ b/src/test/java/io/quartzgw/app/StoredFormatTest.java
@@ -399,10 +399,10 @@
         world.start();
         SimulatedAgent worker = world.worker(2, "a", false);
         world.add(worker);
-        world.until(() -> worker.running().size() == 3, "tasks run");
+        world.until(() -> worker.runningTasks().size() == 3, "tasks run");
         world.message(cbor(peerMessage("\"cancelled\":{\"j-000001\":200}")));
         world.run(100);
-        assertEquals(List.of(), worker.running());
+        assertEquals(List.of(), worker.runningTasks());
     }
 
     @Test
@@ -412,7 +412,7 @@
         world.start();
         world.add(world.worker(1, "a", false));
         world.run(5_000);
-        world.store.holdFollows(true);
+        world.store.setWatchesPaused(true);
         String notice = "\"notice\":{\"revision\":99,\"accepted\":" + GANG + "}";
         world.message(cbor(peerMessage(notice)));
         world.run(1_000);
@@ -498,7 +498,7 @@
         world.start();
         SimulatedAgent worker = world.worker(2, "a", false);
         world.add(worker);
-        world.until(() -> worker.running().size() == 3, "the worker is known");
+        world.until(() -> worker.runningTasks().size() == 3, "the worker is known");
         world.silence(worker);
         world.run(8_000);
         assertEquals(turnedAway == 0, world.leads(42));
@@ -512,7 +512,7 @@
         world.start();
         world.run(2_000);
         assertEquals(200, world.ask(ListenerKind.CLIENT, "GET", "/ready", null).status());
-        world.store.outage(true);
+        world.store.setOutage(true);
         world.run(8_000);
         int expected = peerReachesStore ? 503 : 200;
         assertEquals(
@@ -537,7 +537,7 @@
         world.peer = asked -> peerMessage("\"sequence\":" + asked.path("sequence"));
         world.start();
         world.run(5_000);
-        world.store.outage(true);
+        world.store.setOutage(true);
         world.peer = asked -> peerMessage("\"sequence\":" + asked.path("sequence") + fieldsThen);
         world.run(25_000);
         return world.hello(world.worker(2, "a", false)).status();
--- a/src/test/java/io/quartzgw/simulation/ClassArchive.java
+++ b/src/test/java/io/quartzgw/simulation/ClassArchive.java
@@ -21,7 +21,7 @@
     /** @param args the jar, the archive to write, and the options of the JVM that will use it */
     public static void main(String[] args) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("quartzgw");
-        try (LoopbackCluster world = new LoopbackCluster(1)) {
+        try (LoopbackCluster cluster = new LoopbackCluster(1)) {
             List<String> command = new ArrayList<>();
             command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
             command.addAll(List.of(args).subList(2, args.length));
@@ -30,12 +30,12 @@
                     "-jar",
                     args[0],
                     "--config",
-                    world.settings(0, folder).toString()));
+                    cluster.settings(0, folder).toString()));
             Process process = new ProcessBuilder(command)
                     .redirectErrorStream(true)
                     .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                     .start();
-            work(world);
+            work(cluster);
             process.destroy();
             if (!process.waitFor(LIMIT_MS, TimeUnit.MILLISECONDS)) {
                 process.destroyForcibly();
@@ -45,7 +45,7 @@
         System.exit(0);
     }
 
-    private static void work(LoopbackCluster world) {
+    private static void work(LoopbackCluster cluster) {
         long end = System.currentTimeMillis() + LIMIT_MS;
         ObjectNode spec = Json.object()
                 .put("id", "j-000001")
@@ -65,11 +65,11 @@
                 .put("runtime_guess_s", 0.3)
                 .put("snapshot_every_s", 0.0)
                 .put("snapshot_cost_s", 0.0);
-        while (world.submit(0, spec).status() / 100 != 2 && System.currentTimeMillis() < end) {
+        while (cluster.submit(0, spec).status() / 100 != 2 && System.currentTimeMillis() < end) {
             LoopbackCluster.pause(200);
         }
-        world.request(0, "GET", "/ready", null);
-        while (!world.request(0, "GET", "/submissions/j-000001", null)
+        cluster.request(0, "GET", "/ready", null);
+        while (!cluster.request(0, "GET", "/submissions/j-000001", null)
                         .json()
                         .path("phase")
                         .asText()
@@ -77,9 +77,9 @@
                 && System.currentTimeMillis() < end) {
             LoopbackCluster.pause(200);
         }
-        world.submit(0, spec.put("id", "j-000002").put("shape", "daemon"));
+        cluster.submit(0, spec.put("id", "j-000002").put("shape", "daemon"));
         LoopbackCluster.pause(500);
-        world.request(0, "POST", "/submissions/j-000002/abort", Json.object());
+        cluster.request(0, "POST", "/submissions/j-000002/abort", Json.object());
         LoopbackCluster.pause(300);
     }
 }
--- a/src/test/java/io/quartzgw/simulation/ClusterSimulation.java
+++ b/src/test/java/io/quartzgw/simulation/ClusterSimulation.java
@@ -51,7 +51,7 @@
     private final MessageDigests sent = new MessageDigests();
     private final List<SimNode> nodes = new ArrayList<>();
     private final Map<String, SimWorker> workers = new TreeMap<>();
-    private final Map<String, JsonNode> submitted = new HashMap<>();
+    private final Map<String, JsonNode> submittedSpec = new HashMap<>();
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final NetworkPartitions partitions = new NetworkPartitions();
     /** Machines whose reports arrive, while answers and orders don't reach them. */
@@ -61,15 +61,15 @@
 
     private final Map<String, List<Runnable>> refusedWatches = new HashMap<>();
     /** Machines that can open no connection to a controller, while orders reach them. */
-    private final Set<String> mute = new HashSet<>();
+    private final Set<String> setHeartbeatsBlocked = new HashSet<>();
 
-    private double lateTransactions;
-    private double lostAnswers;
+    private double delayTransactionShare;
+    private double loseTransactionResponses;
     private long slowStoreMs;
     private long slowLinkMs;
     private long batchMs;
-    private double cancelAtEnd;
-    private double lateCopies;
+    private double cancelJobsAtLastTaskEnd;
+    private double duplicateMessageShare;
     private long now;
     private long sequence;
     private long processes;
@@ -150,7 +150,7 @@
             public void gone(String id) {
                 SimWorker gone = workers.remove(id);
                 if (gone != null) {
-                    gone.worker.die();
+                    gone.worker.stop();
                 }
             }
         });
@@ -160,11 +160,11 @@
         for (int i = 0; i < size; i++) {
             start(i);
         }
-        repeat(50, () -> store.tick(now));
-        repeat(200, () -> cloud.tick(now));
+        repeat(50, () -> store.advanceTo(now));
+        repeat(200, () -> cloud.advanceTo(now));
         invariants.lastTaskEnded(job -> {
-            if (cancelAtEnd > 0 && random.nextDouble() < cancelAtEnd) {
-                at(now + random.nextInt(CANCEL_AT_END_MS), () -> abort(job));
+            if (cancelJobsAtLastTaskEnd > 0 && random.nextDouble() < cancelJobsAtLastTaskEnd) {
+                schedule(now + random.nextInt(CANCEL_AT_END_MS), () -> cancelJob(job));
             }
         });
     }
@@ -175,12 +175,12 @@
         return now;
     }
 
-    public void at(long moment, Runnable run) {
+    public void schedule(long moment, Runnable run) {
         events.add(new Event(Math.max(now, moment), ++sequence, run));
     }
 
     private void repeat(long period, Runnable run) {
-        at(now + period, () -> {
+        schedule(now + period, () -> {
             run.run();
             repeat(period, run);
         });
@@ -197,10 +197,10 @@
     }
 
     /** Lets time pass, looking every half second for tasks and jobs that break a rule by being there. */
-    public void run(long ms) {
+    public void runChecked(long ms) {
         for (long end = now + ms; now < end; ) {
             runUntil(Math.min(end, now + SWEEP_MS));
-            invariants.sweep(now);
+            invariants.checkDeadlines(now);
         }
     }
 
@@ -236,14 +236,14 @@
     }
 
     /** A controller stands still while its clocks run; what came meanwhile is read when it goes on. */
-    public void freeze(int index, long ms) {
+    public void pauseController(int index, long ms) {
         SimNode sim = nodes.get(index);
         if (sim.node == null || sim.frozen) {
             return;
         }
         sim.frozen = true;
         long epoch = sim.epoch;
-        at(now + ms, () -> {
+        schedule(now + ms, () -> {
             if (sim.epoch == epoch) {
                 sim.frozen = false;
                 List<Command> batch = List.copyOf(sim.whileFrozen);
@@ -257,7 +257,7 @@
     public void crash(int index, long downMs) {
         if (isUp(index)) {
             crash(index);
-            at(now + downMs, () -> start(index));
+            schedule(now + downMs, () -> start(index));
         }
     }
 
@@ -266,7 +266,7 @@
     }
 
     /** Commands that failed inside a node, on all that are up. */
-    public long failures() {
+    public long failedCommands() {
         return nodes.stream()
                 .filter(sim -> sim.node != null)
                 .mapToLong(sim -> sim.kernel.failures())
@@ -274,7 +274,7 @@
     }
 
     /** What the nodes that are up have counted since they started, by name, all together. */
-    public Map<String, Long> counts() {
+    public Map<String, Long> counters() {
         Map<String, Long> counts = new TreeMap<>();
         nodes.stream()
                 .filter(sim -> sim.node != null)
@@ -283,7 +283,7 @@
     }
 
     /** A digest of all that the controllers have sent so far, to tell whether two versions decide alike. */
-    public String decisions() {
+    public String messageDigest() {
         return sent.summary();
     }
 
@@ -332,7 +332,7 @@
         if (due < sim.wake) {
             sim.wake = due;
             long epoch = sim.epoch;
-            at(due, () -> {
+            schedule(due, () -> {
                 if (sim.epoch == epoch && sim.node != null) {
                     sim.wake = Long.MAX_VALUE;
                     handle(sim, List.of());
@@ -350,7 +350,7 @@
         sim.batch.add(command);
         if (sim.batch.size() == 1) {
             long epoch = sim.epoch;
-            at(now + random.nextLong(batchMs), () -> {
+            schedule(now + random.nextLong(batchMs), () -> {
                 if (sim.epoch == epoch && sim.node != null) {
                     List<Command> batch = List.copyOf(sim.batch);
                     sim.batch.clear();
@@ -374,36 +374,36 @@
     // ---- network
 
     /** Cuts two hosts off from each other, or one from all with {@code "*"}; packets are held back. */
-    public void cut(String one, String other) {
+    public void partition(String one, String other) {
         partitions.cut(one, other);
     }
 
     /** Ends a cut between two hosts. */
     public void heal(String one, String other) {
-        partitions.heal(one, other).forEach(run -> at(now + 1 + random.nextInt(20), run));
+        partitions.heal(one, other).forEach(run -> schedule(now + 1 + random.nextInt(20), run));
     }
 
     /** Ends a cut whose packets are lost for good: both sides had given up and closed. */
-    public void drop(String one, String other) {
+    public void healDroppingPackets(String one, String other) {
         partitions.drop(one, other);
     }
 
-    public void lateTransactions(double share) {
-        lateTransactions = share;
+    public void delayTransactionShare(double share) {
+        delayTransactionShare = share;
     }
 
     /** The share of transactions that are carried out at once and whose answer is lost. */
-    public void lostAnswers(double share) {
-        lostAnswers = share;
+    public void loseTransactionResponses(double share) {
+        loseTransactionResponses = share;
     }
 
     /** The state service takes up to so long for each answer. */
-    public void slowStore(long mostMs) {
+    public void delayStoreUpTo(long mostMs) {
         slowStoreMs = mostMs;
     }
 
     /** Messages between controllers and machines take up to so long, each way. */
-    public void slowLinks(long mostMs) {
+    public void delayLinksUpTo(long mostMs) {
         slowLinkMs = mostMs;
     }
 
@@ -412,22 +412,22 @@
     }
 
     /** The share of direct orders that are held up for seconds, or whose answers are. */
-    public void heldOrders(double share) {
+    public void delayCommandShare(double share) {
         orderDelays.held(share);
     }
 
     /** Every direct order is carried out late, by up to so long, whether or not its sender still waits. */
-    public void lateOrders(long mostMs) {
+    public void delayCommandsUpTo(long mostMs) {
         orderDelays.upTo(mostMs);
     }
 
     /** Controllers that are busy: each applies what has come in batches, up to so far apart. */
-    public void batches(long mostMs) {
+    public void batchCommandsUpTo(long mostMs) {
         batchMs = mostMs;
     }
 
     /** The state service refuses one controller alone, whose leases run out; its open watches wait. */
-    public void refuse(int node, boolean on) {
+    public void setStoreRejects(int node, boolean on) {
         if (on) {
             refused.add("rig-" + node);
         } else {
@@ -440,8 +440,8 @@
     }
 
     /** The share of jobs that are called off at the moment when their last task ends. */
-    public void cancelAtEnd(double share) {
-        cancelAtEnd = share;
+    public void cancelJobsAtLastTaskEnd(double share) {
+        cancelJobsAtLastTaskEnd = share;
     }
 
     /**
@@ -449,64 +449,70 @@
      *
      * @param hangMs for how long the machines of the first ones hang; 0 for not at all
      */
-    public void cancelNow(int count, long hangMs) {
+    public void cancelRunningJobs(int count, long hangMs) {
         List<String> open = invariants.runningJobs();
         for (String job : open.subList(0, Math.min(count, open.size()))) {
-            at(now + random.nextInt(200), () -> abort(job));
+            schedule(now + random.nextInt(200), () -> cancelJob(job));
         }
         if (hangMs > 0) {
-            List<String> some = machines().subList(0, Math.min(4, machines().size()));
-            some.forEach(machine -> hang(machine, true));
-            at(now + hangMs, () -> some.forEach(machine -> hang(machine, false)));
+            List<String> some = machineIds().subList(0, Math.min(4, machineIds().size()));
+            some.forEach(machine -> setAgentHanging(machine, true));
+            schedule(now + hangMs, () -> some.forEach(machine -> setAgentHanging(machine, false)));
         }
     }
 
     /** Users send what is no job or can't run, repeat what was accepted, and ask for what nobody submitted. */
-    public void oddRequests() {
-        for (JsonNode spec : List.copyOf(submitted.values())) {
+    public void sendInvalidRequests() {
+        for (JsonNode spec : List.copyOf(submittedSpec.values())) {
             if (random.nextInt(4) == 0) {
                 String id = spec.path("id").asText();
-                ask(id, "POST", "/submissions", spec, reply -> invariants.refused(id, reply.status()));
+                ask(id, "POST", "/submissions", spec, reply -> invariants.recordRejection(id, reply.status()));
             }
         }
         String id = "j-9" + now;
         InvalidJobs.of(id)
-                .forEach(spec -> user(
+                .forEach(spec -> sendUserRequest(
                         anyNode(),
                         "POST",
                         "/submissions",
                         spec,
-                        reply -> invariants.toldOfBadJob(spec.toString(), reply.status())));
-        user(anyNode(), "GET", "/submissions/" + id, null, reply -> invariants.toldOfNoJob(id, reply.status()));
-        user(
+                        reply -> invariants.recordResponseToInvalidJob(spec.toString(), reply.status())));
+        sendUserRequest(
+                anyNode(),
+                "GET",
+                "/submissions/" + id,
+                null,
+                reply -> invariants.recordResponseForUnknownJob(id, reply.status()));
+        sendUserRequest(
                 anyNode(),
                 "POST",
                 "/submissions/" + id + "/abort",
                 Json.object(),
-                reply -> invariants.toldOfNoJob(id, reply.status()));
+                reply -> invariants.recordResponseForUnknownJob(id, reply.status()));
     }
 
     /** Looks for jobs that wait though there is room, now that all troubles are over. */
-    public void sweepWaiting() {
-        invariants.sweepWaiting(workers.values().stream().map(sim -> sim.worker).toList(), now);
+    public void checkWaitingJobs() {
+        invariants.checkWaitingJobs(
+                workers.values().stream().map(sim -> sim.worker).toList(), now);
     }
 
     /** A machine's reports reach no controller: it can't connect. Orders reach it, and are answered. */
-    public void mute(String machine, boolean on) {
+    public void setHeartbeatsBlocked(String machine, boolean on) {
         if (on) {
-            mute.add(machine);
+            setHeartbeatsBlocked.add(machine);
         } else {
-            mute.remove(machine);
+            setHeartbeatsBlocked.remove(machine);
         }
     }
 
     /** The share of reports, peers' messages and users' requests of which a copy comes late. */
-    public void lateCopies(double share) {
-        lateCopies = share;
+    public void duplicateMessageShare(double share) {
+        duplicateMessageShare = share;
     }
 
     /** A machine's reports arrive, but nothing reaches it; orders are held back and come late. */
-    public void deafen(String machine, boolean on) {
+    public void setInboundBlocked(String machine, boolean on) {
         if (on) {
             deaf.add(machine);
         } else {
@@ -517,8 +523,8 @@
 
     // A copy comes by seconds to well over a lease late, and nobody waits for its answer.
     private void perhapsCopy(Runnable arrive) {
-        if (lateCopies > 0 && random.nextDouble() < lateCopies) {
-            at(now + 1_000 + random.nextInt((int) (3 * times.leaseMs())), arrive);
+        if (duplicateMessageShare > 0 && random.nextDouble() < duplicateMessageShare) {
+            schedule(now + 1_000 + random.nextInt((int) (3 * times.leaseMs())), arrive);
         }
     }
 
@@ -531,11 +537,11 @@
                 then.accept(reply);
             }
         };
-        at(now + call.timeoutMs(), () -> once.accept(Reply.lost()));
-        boolean late = call.path().equals("/multi") && random.nextDouble() < lateTransactions;
-        boolean answerLost = lostAnswers > 0
+        schedule(now + call.timeoutMs(), () -> once.accept(Reply.lost()));
+        boolean late = call.path().equals("/multi") && random.nextDouble() < delayTransactionShare;
+        boolean answerLost = loseTransactionResponses > 0
                 && call.path().equals("/multi")
-                && random.nextDouble() < lostAnswers
+                && random.nextDouble() < loseTransactionResponses
                 && Json.readOrNull(call.body()).has("apply");
         CommandDelays.Delay delay = call.path().equals("/orders") ? orderDelays.next() : CommandDelays.Delay.NONE;
         long slow = to.equals(STORE)
@@ -547,15 +553,15 @@
         }
         Runnable arrive = () -> serve(from, to, call, reply -> {
             if (!partitions.isCut(from, to) && !answerLost) {
-                at(now + 1 + random.nextInt(3) + slow + delay.answerMs(), () -> once.accept(reply));
+                schedule(now + 1 + random.nextInt(3) + slow + delay.answerMs(), () -> once.accept(reply));
             }
         });
         if (late) {
-            at(now + 2_000 + random.nextInt(20_000), arrive);
+            schedule(now + 2_000 + random.nextInt(20_000), arrive);
         } else if (partitions.isCut(from, to) || deaf.contains(to)) {
             partitions.hold(from, to, arrive);
         } else {
-            at(now + 1 + random.nextInt(3) + delay.orderMs() + slowThere, arrive);
+            schedule(now + 1 + random.nextInt(3) + delay.orderMs() + slowThere, arrive);
         }
     }
 
@@ -583,11 +589,11 @@
                 return;
             }
             Runnable execute = () -> {
-                sim.worker.tick(now);
+                sim.worker.advanceTo(now);
                 then.accept(
                         call.path().equals("/show")
-                                ? SimulatedStore.reply(200, sim.worker.report(now))
-                                : sim.worker.orders(Json.readOrNull(call.body()), now));
+                                ? SimulatedStore.reply(200, sim.worker.heartbeat(now))
+                                : sim.worker.receiveCommands(Json.readOrNull(call.body()), now));
             };
             if (sim.hanging) {
                 sim.whileHanging.add(execute);
@@ -617,26 +623,26 @@
             return;
         }
         if (sim.hanging) {
-            sim.worker.expire(now);
+            sim.worker.expireLease(now);
         } else {
-            sim.worker.tick(now);
+            sim.worker.advanceTo(now);
             boolean due = now - sim.lastSent >= REPORT_MS * 3 / 4 + random.nextInt((int) REPORT_MS / 2)
                     || now - sim.lastSent >= 500 && sim.worker.takeChanged();
             if (due && !sim.reporting) {
                 report(sim);
             }
         }
-        at(now + stepMs, () -> workerStep(sim));
+        schedule(now + stepMs, () -> workerStep(sim));
     }
 
     private void report(SimWorker sim) {
         sim.reporting = true;
         sim.lastSent = now;
-        long session = sim.worker.session();
+        long session = sim.worker.epoch();
         long sentAt = now;
         int target = sim.home;
         Call call = Call.post(
-                new Endpoint("10.0.0." + (target + 1), 8080), "/hello", sim.worker.report(now), WORKER_TIMEOUT_MS);
+                new Endpoint("10.0.0." + (target + 1), 8080), "/hello", sim.worker.heartbeat(now), WORKER_TIMEOUT_MS);
         String name = "rig-" + target;
         boolean[] done = new boolean[1];
         Consumer<Reply> end = reply -> {
@@ -645,23 +651,23 @@
                 reported(sim, reply, session, sentAt);
             }
         };
-        at(now + WORKER_TIMEOUT_MS, () -> end.accept(Reply.lost()));
-        if (!partitions.isCut(sim.worker.id, name) && !mute.contains(sim.worker.id)) {
+        schedule(now + WORKER_TIMEOUT_MS, () -> end.accept(Reply.lost()));
+        if (!partitions.isCut(sim.worker.id, name) && !setHeartbeatsBlocked.contains(sim.worker.id)) {
             perhapsCopy(() -> deliver(target, ListenerKind.CLIENT, call, reply -> {}));
         }
         Runnable arrive = () -> deliver(target, ListenerKind.CLIENT, call, reply -> {
             if (!partitions.isCut(sim.worker.id, name) && !deaf.contains(sim.worker.id)) {
-                at(now + 1 + link(), () -> end.accept(reply));
+                schedule(now + 1 + link(), () -> end.accept(reply));
             }
         });
-        if (mute.contains(sim.worker.id)) {
-            at(now + 1, () -> end.accept(Reply.lost()));
+        if (setHeartbeatsBlocked.contains(sim.worker.id)) {
+            schedule(now + 1, () -> end.accept(Reply.lost()));
         } else if (partitions.isCut(sim.worker.id, name)) {
             partitions.hold(sim.worker.id, NetworkPartitions.CONTROLLERS, arrive);
         } else if (nodes.get(target).node == null) {
-            at(now + 1, () -> end.accept(Reply.lost()));
+            schedule(now + 1, () -> end.accept(Reply.lost()));
         } else {
-            at(now + 1 + random.nextInt(3) + link(), arrive);
+            schedule(now + 1 + random.nextInt(3) + link(), arrive);
         }
     }
 
@@ -670,32 +676,32 @@
             return;
         }
         if (reply.ok() && !sim.hanging) {
-            sim.worker.answered(reply, session, sentAt, now);
+            sim.worker.receiveHeartbeatResponse(reply, session, sentAt, now);
             sim.reporting = false;
             return;
         }
         if (reply.status() == 421 && reply.json().has("home_controller")) {
             sim.home = Integer.parseInt(
                     reply.json().path("home_controller").asText().substring(4));
-            at(now + 100, () -> sim.reporting = false);
+            schedule(now + 100, () -> sim.reporting = false);
         } else {
             sim.home = (sim.home + 1) % nodes.size();
-            at(now + 1_000, () -> sim.reporting = false);
+            schedule(now + 1_000, () -> sim.reporting = false);
         }
         sim.lastSent = now - REPORT_MS * 2;
     }
 
-    public List<String> machines() {
+    public List<String> machineIds() {
         return List.copyOf(workers.keySet());
     }
 
     /** Makes a machine hang, or go on. */
-    public void hang(String id, boolean on) {
+    public void setAgentHanging(String id, boolean on) {
         SimWorker sim = workers.get(id);
         if (sim != null) {
             sim.hanging = on;
             if (!on) {
-                sim.worker.tick(now);
+                sim.worker.advanceTo(now);
                 sim.whileHanging.forEach(Runnable::run);
                 sim.whileHanging.clear();
             }
@@ -703,11 +709,11 @@
     }
 
     /** The cloud gives notice that it takes a machine away, and takes it after so long. */
-    public void reclaim(String id, long noticeMs) {
+    public void reclaimMachine(String id, long noticeMs) {
         SimWorker sim = workers.get(id);
         if (sim != null) {
             sim.worker.reclaimAt(now + noticeMs);
-            at(now + noticeMs, () -> cloud.take(id, now));
+            schedule(now + noticeMs, () -> cloud.reclaim(id, now));
         }
     }
 
@@ -716,11 +722,11 @@
      *
      * @param counting whether the new worker's sessions go on from the former one's
      */
-    public void reboot(String id, boolean counting) {
+    public void rebootMachine(String id, boolean counting) {
         SimWorker former = workers.get(id);
         if (former != null) {
-            former.worker.die();
-            SimulatedAgent worker = former.worker.successor(now, counting);
+            former.worker.stop();
+            SimulatedAgent worker = former.worker.replacement(now, counting);
             SimWorker sim = new SimWorker(worker);
             sim.home = random.nextInt(nodes.size());
             workers.put(id, sim);
@@ -729,7 +735,7 @@
     }
 
     private SimulatedAgent.Description description(String job) {
-        JsonNode spec = submitted.get(job);
+        JsonNode spec = submittedSpec.get(job);
         return spec == null
                 ? null
                 : new SimulatedAgent.Description(
@@ -744,7 +750,7 @@
     // ---- users
 
     /** A user's request to a node; ends with a reply, or with a lost one after 5 s. */
-    public void user(int node, String method, String path, JsonNode body, Consumer<Reply> then) {
+    public void sendUserRequest(int node, String method, String path, JsonNode body, Consumer<Reply> then) {
         boolean[] done = new boolean[1];
         Consumer<Reply> once = reply -> {
             if (!done[0]) {
@@ -752,17 +758,17 @@
                 then.accept(reply);
             }
         };
-        at(now + 5_000, () -> once.accept(Reply.lost()));
+        schedule(now + 5_000, () -> once.accept(Reply.lost()));
         Call call = body == null
                 ? Call.get(new Endpoint("10.0.0.1", 1), path, 5_000)
                 : Call.post(new Endpoint("10.0.0.1", 1), path, body, 5_000);
-        at(
+        schedule(
                 now + 1,
                 () -> deliver(
                         node,
                         ListenerKind.CLIENT,
                         new Call(call.endpoint(), method, path, call.type(), call.body(), 5_000),
-                        reply -> at(now + 1, () -> once.accept(reply))));
+                        reply -> schedule(now + 1, () -> once.accept(reply))));
     }
 
     /** A user's request about a job, whose answer the rules watch. */
@@ -772,22 +778,22 @@
 
     private void ask(int node, String id, String method, String path, JsonNode body, Consumer<Reply> then) {
         long asked = now;
-        user(node, method, path, body, reply -> {
+        sendUserRequest(node, method, path, body, reply -> {
             if (reply.status() / 100 == 2 || reply.status() == 404) {
-                invariants.told(id, reply, asked, now);
+                invariants.recordResponse(id, reply, asked, now);
             }
             then.accept(reply);
         });
     }
 
     /** Submits until the job is accepted, then polls and perhaps aborts it, watching all answers. */
-    public void job(JsonNode spec, Long abortAt) {
+    public void submitUntilAccepted(JsonNode spec, Long abortAt) {
         String id = spec.path("id").asText();
-        submitted.put(id, spec);
-        invariants.submitted(spec);
-        submit(id, spec);
+        submittedSpec.put(id, spec);
+        invariants.recordSubmission(spec);
+        submitOnce(id, spec);
         if (abortAt != null) {
-            at(abortAt, () -> abort(id));
+            schedule(abortAt, () -> cancelJob(id));
         }
     }
 
@@ -795,52 +801,55 @@
         return random.nextInt(nodes.size());
     }
 
-    private void submit(String id, JsonNode spec) {
-        perhapsCopy(() -> ask(id, "POST", "/submissions", spec, reply -> invariants.refused(id, reply.status())));
+    private void submitOnce(String id, JsonNode spec) {
+        perhapsCopy(
+                () -> ask(id, "POST", "/submissions", spec, reply -> invariants.recordRejection(id, reply.status())));
         ask(id, "POST", "/submissions", spec, reply -> {
             if (reply.status() / 100 == 2) {
-                poll(id);
+                queryJob(id);
             } else {
-                invariants.refused(id, reply.status());
-                at(now + 1_000, () -> submit(id, spec));
+                invariants.recordRejection(id, reply.status());
+                schedule(now + 1_000, () -> submitOnce(id, spec));
             }
         });
     }
 
-    private void poll(String id) {
-        at(now + 2_000 + random.nextInt(1_000), () -> ask(id, "GET", "/submissions/" + id, null, reply -> poll(id)));
+    private void queryJob(String id) {
+        schedule(
+                now + 2_000 + random.nextInt(1_000),
+                () -> ask(id, "GET", "/submissions/" + id, null, reply -> queryJob(id)));
     }
 
     /** Calls a job off through one controller, once; the rules watch the answer. */
-    public void abort(int node, String id, Consumer<Reply> then) {
-        invariants.abortAsked(id);
+    public void cancelJob(int node, String id, Consumer<Reply> then) {
+        invariants.recordCancellationRequest(id);
         ask(node, id, "POST", "/submissions/" + id + "/abort", Json.object(), then);
     }
 
     /** Asks one controller about a job, once; the rules watch the answer. */
-    public void poll(int node, String id, Consumer<Reply> then) {
+    public void queryJob(int node, String id, Consumer<Reply> then) {
         ask(node, id, "GET", "/submissions/" + id, null, then);
     }
 
     /** Submits a job through one controller, once and perhaps again; the rules watch the answer. */
-    public void submit(int node, JsonNode spec, Consumer<Reply> then) {
+    public void submitOnce(int node, JsonNode spec, Consumer<Reply> then) {
         String id = spec.path("id").asText();
-        submitted.put(id, spec);
-        invariants.submitted(spec);
+        submittedSpec.put(id, spec);
+        invariants.recordSubmission(spec);
         ask(node, id, "POST", "/submissions", spec, then);
     }
 
     /** The description of a job that was submitted. */
-    public JsonNode submitted(String id) {
-        return submitted.get(id);
+    public JsonNode submittedSpec(String id) {
+        return submittedSpec.get(id);
     }
 
-    private void abort(String id) {
-        invariants.abortAsked(id);
+    private void cancelJob(String id) {
+        invariants.recordCancellationRequest(id);
         perhapsCopy(() -> ask(id, "POST", "/submissions/" + id + "/abort", Json.object(), reply -> {}));
         ask(id, "POST", "/submissions/" + id + "/abort", Json.object(), reply -> {
             if (!reply.ok()) {
-                at(now + 1_000, () -> abort(id));
+                schedule(now + 1_000, () -> cancelJob(id));
             }
         });
     }
--- a/src/test/java/io/quartzgw/simulation/LoopbackCluster.java
+++ b/src/test/java/io/quartzgw/simulation/LoopbackCluster.java
@@ -119,9 +119,9 @@
     }
 
     private synchronized void tick() {
-        store.tick(now());
-        cloud.tick(now());
-        workers.values().forEach(worker -> worker.tick(now()));
+        store.advanceTo(now());
+        cloud.advanceTo(now());
+        workers.values().forEach(worker -> worker.advanceTo(now()));
     }
 
     // ---- workers
@@ -136,7 +136,7 @@
                                     then.accept(
                                             worker == null
                                                     ? new Reply(503, new byte[0])
-                                                    : worker.orders(Json.readOrNull(call.body()), now));
+                                                    : worker.receiveCommands(Json.readOrNull(call.body()), now));
                                 });
                             } catch (IOException e) {
                                 throw new IllegalStateException(e);
@@ -182,8 +182,8 @@
             JsonNode report;
             long session;
             synchronized (this) {
-                report = worker.report(now());
-                session = worker.session();
+                report = worker.heartbeat(now());
+                session = worker.epoch();
             }
             Reply reply = request(home, "POST", "/hello", report);
             if (reply.status() == 421 && reply.json().has("home_controller")) {
@@ -193,7 +193,7 @@
                 home = (home + 1) % clientPorts.length;
             }
             synchronized (this) {
-                worker.answered(reply, session, sentAt, now());
+                worker.receiveHeartbeatResponse(reply, session, sentAt, now());
             }
             pause(REPORT_MS);
         }
@@ -229,7 +229,7 @@
 
     /** Begins or ends an outage of the state service. */
     public synchronized void storeOutage(boolean on) {
-        store.outage(on);
+        store.setOutage(on);
     }
 
     /** Asks a node's peer listener, which answers operators too. */
--- a/src/test/java/io/quartzgw/simulation/ProtocolInvariants.java
+++ b/src/test/java/io/quartzgw/simulation/ProtocolInvariants.java
@@ -21,14 +21,14 @@
 
     private final long cancelMs;
     private final Map<String, Double> limits;
-    private final List<String> broken = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
     private final Map<String, JsonNode> specs = new HashMap<>();
     private final Map<String, SimulatedAgent> running = new HashMap<>();
     private final Map<String, Integer> starts = new HashMap<>();
     private final Map<String, Set<Integer>> completed = new HashMap<>();
     private final Map<String, String> lastFinal = new HashMap<>();
     private final Map<String, Long> cancelledAt = new HashMap<>();
-    private final Set<String> abortAsked = new HashSet<>();
+    private final Set<String> recordCancellationRequest = new HashSet<>();
     private final Map<String, Long> waitingSince = new HashMap<>();
     private int startsAfterCancellation;
     private Consumer<String> lastTaskEnded = job -> {};
@@ -49,11 +49,11 @@
         this.clock = told;
     }
 
-    public List<String> broken() {
-        return broken;
+    public List<String> violations() {
+        return violations;
     }
 
-    public int started() {
+    public int startCount() {
         return starts.values().stream().mapToInt(Integer::intValue).sum();
     }
 
@@ -62,13 +62,13 @@
         return startsAfterCancellation;
     }
 
-    /** @param told hears of each job whose last task has just completed */
+    /** @param recordResponse hears of each job whose last task has just completed */
     void lastTaskEnded(Consumer<String> told) {
         this.lastTaskEnded = told;
     }
 
-    void abortAsked(String job) {
-        abortAsked.add(job);
+    void recordCancellationRequest(String job) {
+        recordCancellationRequest.add(job);
     }
 
     /** Open jobs of which a task runs, in the order of their names. */
@@ -90,7 +90,7 @@
     }
 
     /** All troubles are over: from now on every accepted job stays known, however others fare. */
-    public void troublesOver(long now) {
+    public void faultsOver(long now) {
         troublesOverAt = now;
     }
 
@@ -112,12 +112,12 @@
         return missing;
     }
 
-    void submitted(JsonNode spec) {
+    void recordSubmission(JsonNode spec) {
         specs.put(spec.path("id").asText(), spec);
     }
 
     private void breach(String rule, String what) {
-        broken.add(clock.getAsLong() + " ms: " + rule + ": " + what);
+        violations.add(clock.getAsLong() + " ms: " + rule + ": " + what);
     }
 
     private static String job(String task) {
@@ -187,28 +187,28 @@
         }
     }
 
-    void refused(String id, int status) {
+    void recordRejection(String id, int status) {
         if (accepted.contains(id) && (status == 400 || status == 422)) {
             breach("forgotten", id + " is refused with " + status);
         }
     }
 
     /** A job that can't run, or is no job, was answered. */
-    void toldOfBadJob(String what, int status) {
+    void recordResponseToInvalidJob(String what, int status) {
         if (status / 100 == 2 || status == 404) {
             breach("accepted", what + " is answered " + status);
         }
     }
 
     /** Somebody asked about a job that nobody submitted. */
-    void toldOfNoJob(String id, int status) {
+    void recordResponseForUnknownJob(String id, int status) {
         if (status / 100 == 2) {
             breach("invented", id);
         }
     }
 
     /** @param asked when the question was asked: an answer that was overtaken on its way is no older one */
-    void told(String id, Reply reply, long asked, long now) {
+    void recordResponse(String id, Reply reply, long asked, long now) {
         if (reply.status() == 404 && accepted.contains(id) && asked > acceptedAt.get(id)) {
             breach("forgotten", id + " is answered 404");
         }
@@ -229,7 +229,7 @@
         }
         if (phase.equals("withdrawn")) {
             cancelledAt.putIfAbsent(id, now);
-            if (!abortAsked.contains(id)) {
+            if (!recordCancellationRequest.contains(id)) {
                 breach("went_back", id + " is cancelled though nobody asked for it");
             }
         }
@@ -241,7 +241,7 @@
     }
 
     /** Looks for tasks that are on a machine too long after their job was cancelled. */
-    public void sweep(long now) {
+    public void checkDeadlines(long now) {
         for (String job : accepted) {
             if (now > troublesOverAt
                     && !cancelledAt.containsKey(job)
@@ -258,7 +258,7 @@
     }
 
     /** Looks for jobs that wait though a machine that fits has room; to be called once all troubles are over. */
-    public void sweepWaiting(Collection<SimulatedAgent> machines, long now) {
+    public void checkWaitingJobs(Collection<SimulatedAgent> machines, long now) {
         for (String job : accepted) {
             boolean could = !lastFinal.containsKey(job)
                     && specs.get(job).path("shards").asInt()
--- a/src/test/java/io/quartzgw/simulation/SimulatedAgent.java
+++ b/src/test/java/io/quartzgw/simulation/SimulatedAgent.java
@@ -57,7 +57,7 @@
     private final Function<String, Description> jobs;
     private final Watcher watcher;
     private final Map<String, Task> tasks = new LinkedHashMap<>();
-    private long session = 1;
+    private long epoch = 1;
     private long counter;
     private long token;
     private long renewedAt;
@@ -87,14 +87,14 @@
     }
 
     /** The worker of this machine after it was started again: it knows no task and no token. */
-    SimulatedAgent successor(long now, boolean counting) {
+    SimulatedAgent replacement(long now, boolean counting) {
         SimulatedAgent next = new SimulatedAgent(id, address, type, zone, spot, leaseMs, now, jobs, watcher);
-        next.session = counting ? session + 1 : 1;
+        next.epoch = counting ? epoch + 1 : 1;
         return next;
     }
 
-    public long session() {
-        return session;
+    public long epoch() {
+        return epoch;
     }
 
     public long token() {
@@ -128,7 +128,7 @@
     }
 
     /** The tasks that run at present. */
-    public List<String> running() {
+    public List<String> runningTasks() {
         return tasks.values().stream()
                 .filter(task -> task.running)
                 .map(task -> task.name)
@@ -136,13 +136,13 @@
     }
 
     /** The machine is gone, with all that is on it. */
-    public void die() {
+    public void stop() {
         forgetAll();
     }
 
     /** Lets time pass up to a moment. */
-    public void tick(long now) {
-        expire(now);
+    public void advanceTo(long now) {
+        expireLease(now);
         for (Task task : List.copyOf(tasks.values())) {
             if (task.cause == null && !task.running && now >= task.runsAt) {
                 task.running = true;
@@ -159,10 +159,10 @@
     }
 
     /** Ends the session when its lease has run out; a machine that hangs past it runs nothing any more. */
-    public void expire(long now) {
+    public void expireLease(long now) {
         if (now - renewedAt > leaseMs) {
             forgetAll();
-            session++;
+            epoch++;
             renewedAt = now;
             changed = true;
         }
@@ -183,14 +183,14 @@
     }
 
     /** Makes the next report, as sent to controllers. */
-    public ObjectNode report(long now) {
+    public ObjectNode heartbeat(long now) {
         ObjectNode report = Json.object()
                 .put("host", id)
                 .put("address", address)
                 .put("host_type", type)
                 .put("yard", zone)
                 .put("loaner", spot)
-                .put("tenure", session)
+                .put("tenure", epoch)
                 .put("counter", ++counter)
                 .put("baton", token);
         if (reclaimAt == Long.MAX_VALUE) {
@@ -210,9 +210,9 @@
     }
 
     /** Takes the response to a report that was sent in a session at a moment. */
-    public void answered(Reply reply, long sentIn, long sentAt, long now) {
+    public void receiveHeartbeatResponse(Reply reply, long sentIn, long sentAt, long now) {
         JsonNode body = reply.json();
-        if (!reply.ok() || sentIn != session || body.path("baton").asLong() < token || !body.has("baton")) {
+        if (!reply.ok() || sentIn != epoch || body.path("baton").asLong() < token || !body.has("baton")) {
             return;
         }
         token = body.path("baton").asLong();
@@ -221,7 +221,7 @@
     }
 
     /** Serves a direct order. */
-    public Reply orders(JsonNode body, long now) {
+    public Reply receiveCommands(JsonNode body, long now) {
         long told = body.path("baton").asLong();
         if (!body.has("baton") || !body.has("tenure")) {
             return SimulatedStore.reply(400, Json.object());
@@ -231,11 +231,11 @@
             token = told;
             changed = true;
         }
-        if (stale || body.path("tenure").asLong() != session) {
-            return SimulatedStore.reply(409, report(now));
+        if (stale || body.path("tenure").asLong() != epoch) {
+            return SimulatedStore.reply(409, heartbeat(now));
         }
         execute(body.path("orders"), now);
-        return SimulatedStore.reply(200, report(now));
+        return SimulatedStore.reply(200, heartbeat(now));
     }
 
     private void execute(JsonNode orders, long now) {
--- a/src/test/java/io/quartzgw/simulation/SimulatedCloud.java
+++ b/src/test/java/io/quartzgw/simulation/SimulatedCloud.java
@@ -20,7 +20,7 @@
 /** The cloud as its protocol page describes it, with a machine list that lags; time is handed in. */
 public final class SimulatedCloud {
     private final long lagMs;
-    private long bootMs;
+    private long setBootMs;
     private final int capacity;
     private final TreeMap<String, Rented> machines = new TreeMap<>();
     private final Map<String, List<String>> answered = new HashMap<>();
@@ -43,13 +43,13 @@
 
     /**
      * @param lagMs by how much the machine list is late
-     * @param bootMs how long a machine boots
+     * @param setBootMs how long a machine boots
      * @param capacity how many machines there are in all
      */
     public SimulatedCloud(long lagMs, long bootMs, int capacity, Function<String, String> addresses) {
         this.addresses = addresses;
         this.lagMs = lagMs;
-        this.bootMs = bootMs;
+        this.setBootMs = bootMs;
         this.capacity = capacity;
     }
 
@@ -68,7 +68,7 @@
     }
 
     /** The cloud takes a machine back: it is gone, and in no list any more. */
-    public void take(String id, long now) {
+    public void reclaim(String id, long now) {
         if (machines.remove(id) != null) {
             listener.gone(id);
             note(now);
@@ -76,8 +76,8 @@
     }
 
     /** Sets how long machines boot from now on. */
-    public void bootMs(long ms) {
-        bootMs = ms;
+    public void setBootMs(long ms) {
+        setBootMs = ms;
     }
 
     /** The machines that are up. */
@@ -88,9 +88,9 @@
     }
 
     /** Lets time pass up to a moment. */
-    public void tick(long now) {
+    public void advanceTo(long now) {
         machines.forEach((id, machine) -> {
-            if (!machine.failed && now - machine.since >= bootMs && up.add(id)) {
+            if (!machine.failed && now - machine.since >= setBootMs && up.add(id)) {
                 listener.booted(id, machine.type, machine.zone, machine.spot);
             }
         });
@@ -167,7 +167,7 @@
                 seen.keySet().stream().filter(id -> id.compareTo(since) > 0).count() > most);
         seen.forEach((id, machine) -> {
             if (id.compareTo(since) > 0 && list.size() < most) {
-                String phase = machine.failed ? "failed" : asOf - machine.since >= bootMs ? "running" : "booting";
+                String phase = machine.failed ? "failed" : asOf - machine.since >= setBootMs ? "running" : "booting";
                 list.addObject()
                         .put("id", id)
                         .put("address", addresses.apply(id))
--- a/src/test/java/io/quartzgw/simulation/SimulatedStore.java
+++ b/src/test/java/io/quartzgw/simulation/SimulatedStore.java
@@ -28,11 +28,11 @@
     /** What it still takes; null when it takes all. */
     private final TokenBucket writes;
 
-    private int refusedWrites;
+    private int rejectedTransactions;
     private long revision;
     private long forgottenTo;
     private long permits;
-    private boolean outage;
+    private boolean setOutage;
     private boolean followsHeld;
     private long now;
 
@@ -69,32 +69,32 @@
     }
 
     /** How many transactions were refused since they exceeded the limit of changes. */
-    public int refusedWrites() {
-        return refusedWrites;
+    public int rejectedTransactions() {
+        return rejectedTransactions;
     }
 
     /** An outage refuses everything but open follows; after it every hold has its full time again. */
-    public void outage(boolean on) {
-        if (outage && !on) {
+    public void setOutage(boolean on) {
+        if (setOutage && !on) {
             holds.values().forEach(hold -> hold.until = now + hold.life);
         }
-        outage = on;
+        setOutage = on;
     }
 
     /** Answers no follow for a while, while all else is answered. */
-    public void holdFollows(boolean on) {
+    public void setWatchesPaused(boolean on) {
         followsHeld = on;
     }
 
     /** Ends every open follow without an answer of use. */
-    public void breakFollows() {
+    public void abortWatches() {
         List<Follow> open = List.copyOf(follows);
         follows.clear();
         open.forEach(follow -> follow.then().accept(reply(503, Json.object().put("error", "trouble"))));
     }
 
     /** Forgets all changes so far: a follow from before them gets 410. */
-    public void forgetNews() {
+    public void compactHistory() {
         news.clear();
         forgottenTo = revision;
     }
@@ -109,9 +109,9 @@
     }
 
     /** Lets time pass up to a moment. */
-    public void tick(long at) {
+    public void advanceTo(long at) {
         now = at;
-        if (outage) {
+        if (setOutage) {
             return;
         }
         for (Long permit : List.copyOf(holds.keySet())) {
@@ -129,9 +129,9 @@
 
     /** Answers a call of the state service. */
     public void handle(Call call, long at, Consumer<Reply> then) {
-        tick(at);
+        advanceTo(at);
         URI uri = URI.create(call.path());
-        if (outage) {
+        if (setOutage) {
             then.accept(reply(503, Json.object().put("error", "trouble")));
         } else if (uri.getPath().equals("/follow")) {
             Map<String, String> query = query(uri);
@@ -150,7 +150,7 @@
         } else {
             then.accept(answer(call, uri));
         }
-        tick(at);
+        advanceTo(at);
     }
 
     private Reply answer(Call call, URI uri) {
@@ -235,7 +235,7 @@
         int changes = body.path("apply").size();
         if (writes != null && changes > 0) {
             if (writes.waitMsFor(changes, now) > 0) {
-                refusedWrites++;
+                rejectedTransactions++;
                 return reply(429, Json.object().put("error", "too many changes"));
             }
             writes.take(changes, now);
