--- a/src/test/java/io/quartzgw/app/ConcurrentFaultsTest.java
+++ b/src/test/java/io/quartzgw/app/ConcurrentFaultsTest.java
@@ -9,8 +9,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.quartzgw.simulation.ClusterSimulation;
+import io.quartzgw.simulation.Hosts;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.OptionalLong;
 import org.junit.jupiter.api.Test;
 
 /** Faults that fall together with a change of leader or with many requests at once. */
@@ -23,20 +25,20 @@
         for (int i = 0; i < 240; i++) {
             String id = String.format("j-%06d", 1_000 + i);
             boolean cancelled = i % 4 == 0;
-            simulation.schedule(
-                    simulation.now() + 250L * i,
-                    () -> simulation.submitUntilAccepted(
+            simulation.schedule(simulation.now() + 250L * i, () -> simulation
+                    .users()
+                    .submitUntilAccepted(
                             FailureTest.job(id, "blue", "array", 1, 1, 2),
-                            cancelled ? simulation.now() + 1_500 : null));
+                            cancelled ? OptionalLong.of(simulation.now() + 1_500) : OptionalLong.empty()));
             jobs.add(id);
         }
         simulation.runChecked(60_000);
-        simulation.crash(Math.max(0, simulation.leader()), 5_000);
+        simulation.crash(simulation.leaderOrFirst(), 5_000);
         simulation.runChecked(90_000);
         assertAllWell(simulation);
         assertAllEnded(simulation, jobs);
         assertTrue(
-                jobs.stream().anyMatch(id -> "withdrawn".equals(simulation.invariants.finalPhase(id))),
+                jobs.stream().anyMatch(id -> simulation.invariants().hasEndedIn("withdrawn", id)),
                 "some are cancelled before their end");
     }
 
@@ -49,15 +51,17 @@
         for (int step = 0; step < 900; step++) {
             String id = jobs.get(step % jobs.size());
             simulation.runUntil(simulation.now() + 15);
-            if (simulation.submittedSpec(id) == null) {
+            if (simulation.users().submittedSpec(id).isEmpty()) {
                 continue;
             }
             for (int node = 0; node < 3; node++) {
-                simulation.queryJob(node, id, reply -> {});
+                simulation.users().queryJob(node, id, reply -> {});
             }
-            simulation.submitOnce(step % 3, simulation.submittedSpec(id), reply -> {});
+            simulation
+                    .users()
+                    .submitOnce(step % 3, simulation.users().submittedSpec(id).orElseThrow(), reply -> {});
             if (step % 97 == 0) {
-                simulation.cancelJob(step % 3, id, reply -> {});
+                simulation.users().cancelJob(step % 3, id, reply -> {});
             }
         }
         simulation.runChecked(40_000);
@@ -73,7 +77,7 @@
             List<String> jobs = arrays(simulation, 8, 4, 30, "red");
             simulation.runChecked(9_000);
             int leader = simulation.leader();
-            simulation.schedule(simulation.now() + 500, () -> simulation.cancelRunningJobs(6, 0));
+            simulation.schedule(simulation.now() + 500, () -> simulation.users().cancelRunningJobs(6));
             simulation.schedule(simulation.now() + 500 + crashAfterMs, () -> simulation.crash(leader, 5_000));
             simulation.runChecked(120_000);
             assertAllWell(simulation);
@@ -85,21 +89,21 @@
     @Test
     void answersOfTransactionsAreLostWhileOthersReadWhatTheyWrote() {
         ClusterSimulation simulation = ScenarioTest.withServices();
-        simulation.loseTransactionResponses(0.4);
+        simulation.network().loseTransactionResponses(0.4);
         List<String> jobs = arrays(simulation, 10, 3, 5, "blue");
         for (int step = 0; step < 400; step++) {
             simulation.runUntil(simulation.now() + 50);
             String id = jobs.get(step % jobs.size());
-            if (simulation.submittedSpec(id) != null) {
-                simulation.queryJob(step % 3, id, reply -> {});
+            if (simulation.users().submittedSpec(id).isPresent()) {
+                simulation.users().queryJob(step % 3, id, reply -> {});
                 if (step % 61 == 0) {
-                    simulation.cancelJob((step + 1) % 3, id, reply -> {});
+                    simulation.users().cancelJob((step + 1) % 3, id, reply -> {});
                 }
             }
         }
-        simulation.crash(Math.max(0, simulation.leader()), 5_000);
+        simulation.crash(simulation.leaderOrFirst(), 5_000);
         simulation.runChecked(10_000);
-        simulation.loseTransactionResponses(0);
+        simulation.network().loseTransactionResponses(0);
         simulation.runChecked(80_000);
         assertAllWell(simulation);
         assertAllEnded(simulation, jobs);
@@ -111,7 +115,7 @@
         for (boolean ends : List.of(true, false)) {
             ClusterSimulation simulation = ScenarioTest.withServices();
             List<String> jobs = arrays(simulation, 8, 4, 15, "red");
-            simulation.delayCommandShare(0.9);
+            simulation.network().delayCommandShare(0.9);
             simulation.runChecked(3_000);
             int leader = simulation.leader();
             if (ends) {
@@ -120,8 +124,8 @@
                 simulation.pauseController(leader, 12_000);
             }
             simulation.runChecked(6_000);
-            simulation.delayCommandShare(0);
-            simulation.cancelRunningJobs(3, 0);
+            simulation.network().delayCommandShare(0);
+            simulation.users().cancelRunningJobs(3);
             simulation.runChecked(120_000);
             assertAllWell(simulation);
             assertAllEnded(simulation, jobs);
@@ -136,17 +140,17 @@
             List<String> jobs = new ArrayList<>(arrays(simulation, 4, 6, 25, "green"));
             for (int i = 0; i < 4; i++) {
                 String id = "j-00050" + i;
-                simulation.submitUntilAccepted(FailureTest.job(id, "red", "array", 6, 4, 25), null);
+                simulation.users().submitUntilAccepted(FailureTest.job(id, "red", "array", 6, 4, 25));
                 jobs.add(id);
             }
             simulation.runChecked(20_000);
-            List<String> cutOff = firstHalf(simulation.machineIds());
-            cutOff.forEach(machine -> simulation.partition(machine, "*"));
-            simulation.cancelRunningJobs(5, hangMs);
+            List<String> cutOff = firstHalf(simulation.agents().machineIds());
+            cutOff.forEach(machine -> simulation.network().partition(machine, Hosts.ALL));
+            simulation.cancelRunningJobsWhileMachinesHang(5, hangMs);
             simulation.runChecked(400);
-            simulation.crash(Math.max(0, simulation.leader()), 5_000);
+            simulation.crash(simulation.leaderOrFirst(), 5_000);
             simulation.runChecked(LEASE_MS - 3_000);
-            cutOff.forEach(machine -> simulation.heal(machine, "*"));
+            cutOff.forEach(machine -> simulation.network().heal(machine, Hosts.ALL));
             simulation.runChecked(250_000);
             assertAllWell(simulation);
             assertAllEnded(simulation, jobs);
@@ -158,13 +162,13 @@
     void copiesOfOldReportsReachEveryControllerAtATakeover() {
         ClusterSimulation simulation = ScenarioTest.withServices();
         List<String> jobs = arrays(simulation, 6, 4, 12, "red");
-        simulation.duplicateMessageShare(0.8);
+        simulation.network().duplicateMessageShare(0.8);
         simulation.runChecked(15_000);
         for (int change = 0; change < 3; change++) {
-            simulation.crash(Math.max(0, simulation.leader()), 5_000);
+            simulation.crash(simulation.leaderOrFirst(), 5_000);
             simulation.runChecked(9_000);
         }
-        simulation.duplicateMessageShare(0);
+        simulation.network().duplicateMessageShare(0);
         simulation.runChecked(120_000);
         assertAllWell(simulation);
         assertDone(simulation, jobs);
@@ -176,13 +180,13 @@
     void newMachinesGetWorkAtOnceWhileWritesLagAndTheLeaderEnds() {
         for (long crashAfterMs : List.of(500L, 1_500L, 3_000L)) {
             ClusterSimulation simulation = ScenarioTest.withServices();
-            simulation.delayStoreUpTo(900);
-            simulation.cloud.setBootMs(1_000);
+            simulation.network().delayStoreUpTo(900);
+            simulation.cloud().setBootMs(1_000);
             List<String> jobs = arrays(simulation, 8, 5, 10, "red");
             simulation.runChecked(crashAfterMs);
-            simulation.crash(Math.max(0, simulation.leader()), 700);
+            simulation.crash(simulation.leaderOrFirst(), 700);
             simulation.runChecked(20_000);
-            simulation.delayStoreUpTo(0);
+            simulation.network().delayStoreUpTo(0);
             simulation.runChecked(100_000);
             assertAllWell(simulation);
             assertDone(simulation, jobs);
--- a/src/test/java/io/quartzgw/app/DelayedCommandsTest.java
+++ b/src/test/java/io/quartzgw/app/DelayedCommandsTest.java
@@ -10,6 +10,7 @@
 import io.quartzgw.simulation.SeedRanges;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.OptionalLong;
 import java.util.SplittableRandom;
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
@@ -31,10 +32,9 @@
 
     private static final long FAULTS_END = 120_000;
     private static final long END = 230_000;
-    private static final int CAPACITY = 8;
-    private static final int STEP_MS = 50;
+    private static final int MACHINES = 8;
     /** Workers report often beside the time for which a direct order is waited for, as they do when tasks change. */
-    private static final AgentTiming TIMES = new AgentTiming(5_000, 26_500, 56_500);
+    private static final AgentTiming TIMING = new AgentTiming(5_000, 26_500, 56_500);
 
     static LongStream seeds() {
         return SeedRanges.range("late", 1, 120);
@@ -76,45 +76,51 @@
     void aStartOfAFormerSessionRunsOnNoWorkerThatCountsItsSessionsAnew() {
         ClusterSimulation simulation = ScenarioTest.withServices();
         ObjectNode filling = FailureTest.job("j-000700", "blue", "array", 4, 4, 90);
-        simulation.submitUntilAccepted(filling, null);
+        simulation.users().submitUntilAccepted(filling);
         simulation.runChecked(30_000);
-        String machine = simulation.machineIds().get(simulation.machineIds().size() - 1);
-        simulation.setInboundBlocked(machine, true);
-        simulation.submitUntilAccepted(FailureTest.job("j-000701", "blue", "array", 4, 2, 60), null);
+        String machine = simulation
+                .agents()
+                .machineIds()
+                .get(simulation.agents().machineIds().size() - 1);
+        simulation.network().setInboundBlocked(machine, true);
+        simulation.users().submitUntilAccepted(FailureTest.job("j-000701", "blue", "array", 4, 2, 60));
         simulation.runChecked(LEASE_MS + 8_000);
-        simulation.rebootMachine(machine, false);
-        simulation.setInboundBlocked(machine, false);
+        simulation.agents().reboot(machine, false);
+        simulation.network().setInboundBlocked(machine, false);
         simulation.runChecked(120_000);
-        assertEquals(List.of(), simulation.invariants.violations());
+        assertEquals(List.of(), simulation.invariants().violations());
     }
 
     private static void play(long seed, boolean reboots) {
-        ClusterSimulation simulation = new ClusterSimulation(seed, 3, CAPACITY, STEP_MS, TIMES);
+        ClusterSimulation simulation = ClusterSimulation.builder(seed)
+                .machines(MACHINES)
+                .timing(TIMING)
+                .build();
         SplittableRandom random = new SplittableRandom(seed);
         simulation.batchCommandsUpTo(1 + random.nextInt(MOST_BATCH_MS));
-        simulation.delayCommandsUpTo(MOST_LATE_MS);
-        simulation.delayLinksUpTo(random.nextInt(MOST_SLOW_LINK_MS));
-        simulation.duplicateMessageShare(LATE_COPIES);
+        simulation.network().delayCommandsUpTo(MOST_LATE_MS);
+        simulation.network().delayLinksUpTo(random.nextInt(MOST_SLOW_LINK_MS));
+        simulation.network().duplicateMessageShare(LATE_COPIES);
         List<String> arrays = load(simulation, random);
         faults(simulation, random, reboots);
         simulation.runChecked(FAULTS_END);
-        simulation.delayCommandsUpTo(0);
-        simulation.delayLinksUpTo(0);
-        simulation.invariants.faultsOver(simulation.now());
+        simulation.network().delayCommandsUpTo(0);
+        simulation.network().delayLinksUpTo(0);
+        simulation.invariants().faultsOver(simulation.now());
         while (simulation.now() < END) {
             simulation.runChecked(1_000);
             simulation.checkWaitingJobs();
         }
-        assertEquals(List.of(), simulation.invariants.violations());
+        assertEquals(List.of(), simulation.invariants().violations());
         assertEquals(0, simulation.failedCommands(), "commands that failed inside a node");
-        assertEquals(List.of(), simulation.invariants.missingReplicas(), "every service runs");
+        assertEquals(List.of(), simulation.invariants().missingReplicas(), "every service runs");
         assertEquals(
                 List.of(),
                 arrays.stream()
-                        .filter(id -> simulation.invariants.finalPhase(id) == null)
+                        .filter(id -> simulation.invariants().finalPhase(id).isEmpty())
                         .toList(),
                 "every array is over, long after the last failure");
-        assertTrue(simulation.invariants.startCount() > 20, "tasks were started");
+        assertTrue(simulation.invariants().startCount() > 20, "tasks were started");
     }
 
     /** Low work that urgent work stops, jobs that fail at their start until they are cancelled, and cancellations. */
@@ -136,8 +142,10 @@
                 spec.put("bundle", "broken").put("runtime_guess_s", 0.3);
             }
             long at = random.nextInt(90_000);
-            Long abort = faulty || random.nextInt(4) == 0 ? (Long) (at + 2_000 + random.nextInt(25_000)) : null;
-            simulation.schedule(at, () -> simulation.submitUntilAccepted(spec, abort));
+            OptionalLong cancelAt = faulty || random.nextInt(4) == 0
+                    ? OptionalLong.of(at + 2_000 + random.nextInt(25_000))
+                    : OptionalLong.empty();
+            simulation.schedule(at, () -> simulation.users().submitUntilAccepted(spec, cancelAt));
         }
         return arrays;
     }
@@ -147,26 +155,27 @@
             int kind = random.nextInt(10);
             int pick = random.nextInt(1_000);
             simulation.schedule(at, () -> {
-                List<String> machines = simulation.machineIds();
+                List<String> machines = simulation.agents().machineIds();
                 if (kind == 0 || machines.isEmpty()) {
-                    simulation.crash(Math.max(0, simulation.leader()), 200 + 5L * pick);
+                    simulation.crash(simulation.leaderOrFirst(), 200 + 5L * pick);
                     return;
                 }
                 String machine = machines.get(pick % machines.size());
                 switch (kind) {
-                    case 1 -> simulation.cancelRunningJobs(1, 0);
-                    case 2 -> simulation.cloud.fail(machine, simulation.now());
+                    case 1 -> simulation.users().cancelRunningJobs(1);
+                    case 2 -> simulation.cloud().fail(machine, simulation.now());
                     case 3 -> {
                         if (reboots) {
-                            simulation.rebootMachine(machine, pick % 2 == 0);
+                            simulation.agents().reboot(machine, pick % 2 == 0);
                         }
                     }
                     case 4 -> {
-                        simulation.setAgentHanging(machine, true);
+                        simulation.agents().setHanging(machine, true);
                         simulation.schedule(
-                                simulation.now() + 5L * pick, () -> simulation.setAgentHanging(machine, false));
+                                simulation.now() + 5L * pick,
+                                () -> simulation.agents().setHanging(machine, false));
                     }
-                    default -> simulation.reclaimMachine(machine, 4_000 + 12L * pick);
+                    default -> simulation.agents().reclaim(machine, 4_000 + 12L * pick);
                 }
             });
         }
--- a/src/test/java/io/quartzgw/app/FailureTest.java
+++ b/src/test/java/io/quartzgw/app/FailureTest.java
@@ -6,9 +6,11 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quartzgw.http.Json;
 import io.quartzgw.simulation.ClusterSimulation;
+import io.quartzgw.simulation.Hosts;
 import io.quartzgw.simulation.SeedRanges;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.OptionalLong;
 import java.util.SplittableRandom;
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
@@ -62,8 +64,10 @@
                 arrays.add(id);
             }
             long at = random.nextInt(150_000);
-            Long abort = service && i % 2 == 0 || i % 10 == 1 ? (Long) (at + 5_000 + random.nextInt(60_000)) : null;
-            simulation.schedule(at, () -> simulation.submitUntilAccepted(spec, abort));
+            OptionalLong cancelAt = service && i % 2 == 0 || i % 10 == 1
+                    ? OptionalLong.of(at + 5_000 + random.nextInt(60_000))
+                    : OptionalLong.empty();
+            simulation.schedule(at, () -> simulation.users().submitUntilAccepted(spec, cancelAt));
         }
         return arrays;
     }
@@ -72,14 +76,20 @@
         for (long at = 20_000; at < 180_000; at += 8_000 + random.nextInt(12_000)) {
             long lasts = 2_000 + random.nextInt(28_000);
             int node = random.nextInt(3);
-            String other = List.of("rig-0", "rig-1", "rig-2", ClusterSimulation.STORE, ClusterSimulation.CLOUD, "*")
+            String other = List.of(
+                            Hosts.controller(0),
+                            Hosts.controller(1),
+                            Hosts.controller(2),
+                            Hosts.STORE,
+                            Hosts.CLOUD,
+                            Hosts.ALL)
                     .get(random.nextInt(6));
             int kind = random.nextInt(12);
             long start = at;
             simulation.schedule(start, () -> {
                 LoggerFactory.getLogger(FailureTest.class)
                         .info("{} ms: failure {} of node {} or {} for {} ms", start, kind, node, other, lasts);
-                List<String> machines = simulation.machineIds();
+                List<String> machines = simulation.agents().machineIds();
                 String machine = machines.isEmpty() ? null : machines.get((int) (start % machines.size()));
                 switch (kind) {
                     case 0 -> simulation.crash(node, 5_000);
@@ -89,34 +99,39 @@
                         }
                     }
                     case 2 -> {
-                        simulation.store.setOutage(true);
-                        simulation.schedule(start + lasts, () -> simulation.store.setOutage(false));
+                        simulation.store().setOutage(true);
+                        simulation.schedule(
+                                start + lasts, () -> simulation.store().setOutage(false));
                     }
                     case 3 -> {
-                        simulation.partition("rig-" + node, other);
-                        simulation.schedule(start + lasts, () -> simulation.heal("rig-" + node, other));
+                        simulation.network().partition(Hosts.controller(node), other);
+                        simulation.schedule(
+                                start + lasts, () -> simulation.network().heal(Hosts.controller(node), other));
                     }
                     case 4 -> {
                         if (machine != null) {
-                            simulation.partition(machine, "*");
-                            simulation.schedule(start + lasts, () -> simulation.heal(machine, "*"));
+                            simulation.network().partition(machine, Hosts.ALL);
+                            simulation.schedule(
+                                    start + lasts, () -> simulation.network().heal(machine, Hosts.ALL));
                         }
                     }
                     case 5 -> {
                         if (machine != null) {
-                            simulation.setAgentHanging(machine, true);
-                            simulation.schedule(start + lasts, () -> simulation.setAgentHanging(machine, false));
+                            simulation.agents().setHanging(machine, true);
+                            simulation.schedule(
+                                    start + lasts, () -> simulation.agents().setHanging(machine, false));
                         }
                     }
                     case 6 -> {
                         if (machine != null) {
-                            simulation.cloud.fail(machine, start);
+                            simulation.cloud().fail(machine, start);
                         }
                     }
                     case 7 -> {
                         for (String deaf : machines.subList(0, (machines.size() + 1) / 2)) {
-                            simulation.setInboundBlocked(deaf, true);
-                            simulation.schedule(start + lasts, () -> simulation.setInboundBlocked(deaf, false));
+                            simulation.network().setInboundBlocked(deaf, true);
+                            simulation.schedule(
+                                    start + lasts, () -> simulation.network().setInboundBlocked(deaf, false));
                         }
                     }
                     case 8 -> simulation.crash(node, 100 + lasts % 400);
@@ -128,14 +143,17 @@
                     }
                     case 10 -> {
                         if (machine != null) {
-                            simulation.rebootMachine(machine, lasts % 2 == 0);
+                            simulation.agents().reboot(machine, lasts % 2 == 0);
                         }
                     }
                     default -> {
-                        for (String far : List.of("rig-0", "rig-1", "rig-2", ClusterSimulation.STORE)) {
-                            if (!far.equals("rig-" + node)) {
-                                simulation.partition("rig-" + node, far);
-                                simulation.schedule(start + lasts, () -> simulation.heal("rig-" + node, far));
+                        for (String far :
+                                List.of(Hosts.controller(0), Hosts.controller(1), Hosts.controller(2), Hosts.STORE)) {
+                            if (!far.equals(Hosts.controller(node))) {
+                                simulation.network().partition(Hosts.controller(node), far);
+                                simulation.schedule(
+                                        start + lasts,
+                                        () -> simulation.network().heal(Hosts.controller(node), far));
                             }
                         }
                     }
@@ -173,8 +191,10 @@
                 arrays.add(id);
             }
             long at = random.nextInt(150_000);
-            Long abort = random.nextInt(4) == 0 ? (Long) (at + 5_000 + random.nextInt(80_000)) : null;
-            simulation.schedule(at, () -> simulation.submitUntilAccepted(spec, abort));
+            OptionalLong cancelAt = random.nextInt(4) == 0
+                    ? OptionalLong.of(at + 5_000 + random.nextInt(80_000))
+                    : OptionalLong.empty();
+            simulation.schedule(at, () -> simulation.users().submitUntilAccepted(spec, cancelAt));
         }
         return arrays;
     }
@@ -192,47 +212,48 @@
             simulation.schedule(start, () -> {
                 LoggerFactory.getLogger(FailureTest.class)
                         .info("{} ms: concurrent fault {} for {} ms", start, kind, lasts);
-                int leader = Math.max(0, simulation.leader());
-                List<String> machines = simulation.machineIds();
+                int leader = simulation.leaderOrFirst();
+                List<String> machines = simulation.agents().machineIds();
                 String machine = machines.isEmpty() ? null : machines.get(pick % machines.size());
                 long end = start + lasts;
                 switch (kind) {
                     case 0 -> {
                         refuse(simulation, leader, end);
                         simulation.schedule(start + pick * 4L, () -> outage(simulation, end));
-                        simulation.schedule(start + pick * 2L, () -> simulation.cancelRunningJobs(4, 0));
+                        simulation.schedule(
+                                start + pick * 2L, () -> simulation.users().cancelRunningJobs(4));
                     }
                     case 1 -> {
-                        simulation.delayStoreUpTo(4 * pick);
-                        simulation.schedule(end, () -> simulation.delayStoreUpTo(0));
+                        simulation.network().delayStoreUpTo(4 * pick);
+                        simulation.schedule(end, () -> simulation.network().delayStoreUpTo(0));
                     }
                     case 2 -> {
-                        simulation.loseTransactionResponses(0.3);
-                        simulation.schedule(end, () -> simulation.loseTransactionResponses(0));
-                        simulation.schedule(start + pick, () -> simulation.cancelRunningJobs(6, 0));
+                        simulation.network().loseTransactionResponses(0.3);
+                        simulation.schedule(end, () -> simulation.network().loseTransactionResponses(0));
+                        simulation.schedule(
+                                start + pick, () -> simulation.users().cancelRunningJobs(6));
                     }
                     case 3 -> {
                         for (String some : machines.subList(0, (machines.size() + 1) / 2)) {
-                            simulation.setHeartbeatsBlocked(some, true);
-                            simulation.schedule(end, () -> simulation.setHeartbeatsBlocked(some, false));
+                            simulation.network().setHeartbeatsBlocked(some, true);
+                            simulation.schedule(end, () -> simulation.network().setHeartbeatsBlocked(some, false));
                         }
                     }
                     case 4 -> {
-                        simulation.delayCommandShare(0.4);
-                        simulation.schedule(end, () -> simulation.delayCommandShare(0));
+                        simulation.network().delayCommandShare(0.4);
+                        simulation.schedule(end, () -> simulation.network().delayCommandShare(0));
                     }
-                    case 5 -> simulation.cancelRunningJobs(8, pick * 25L);
+                    case 5 -> simulation.cancelRunningJobsWhileMachinesHang(8, pick * 25L);
                     case 6 -> {
-                        simulation.cancelJobsAtLastTaskEnd(0.5);
-                        simulation.schedule(end, () -> simulation.cancelJobsAtLastTaskEnd(0));
+                        simulation.users().cancelJobsAtLastTaskEnd(0.5);
+                        simulation.schedule(end, () -> simulation.users().cancelJobsAtLastTaskEnd(0));
                     }
-                    case 7 -> simulation.sendInvalidRequests();
+                    case 7 -> simulation.users().sendInvalidRequests();
                     case 8 -> {
                         // Leaders change again and again, also inside an outage.
                         for (long change = start; change < Math.min(start + 40_000, end); change += 4_000) {
                             simulation.schedule(
-                                    change,
-                                    () -> simulation.crash(Math.max(0, simulation.leader()), 200 + pick % 3_000));
+                                    change, () -> simulation.crash(simulation.leaderOrFirst(), 200 + pick % 3_000));
                         }
                         if (pick % 3 == 0) {
                             simulation.schedule(
@@ -246,31 +267,36 @@
                     }
                     case 10 -> refuse(simulation, leader, end);
                     case 11 -> {
-                        for (String far : List.of("rig-0", "rig-1", "rig-2", ClusterSimulation.STORE)) {
-                            if (!far.equals("rig-" + leader)) {
-                                simulation.partition("rig-" + leader, far);
-                                simulation.schedule(end, () -> simulation.heal("rig-" + leader, far));
+                        for (String far :
+                                List.of(Hosts.controller(0), Hosts.controller(1), Hosts.controller(2), Hosts.STORE)) {
+                            if (!far.equals(Hosts.controller(leader))) {
+                                simulation.network().partition(Hosts.controller(leader), far);
+                                simulation.schedule(
+                                        end, () -> simulation.network().heal(Hosts.controller(leader), far));
                             }
                         }
-                        simulation.schedule(start + 5_000 + pick, () -> simulation.cancelRunningJobs(4, 0));
+                        simulation.schedule(
+                                start + 5_000 + pick, () -> simulation.users().cancelRunningJobs(4));
                     }
                     case 14 -> {
                         simulation.pauseController(pick % 2 == 0 ? leader : pick % 3, lasts);
-                        simulation.schedule(start + lasts / 2, () -> simulation.cancelRunningJobs(4, 0));
+                        simulation.schedule(
+                                start + lasts / 2, () -> simulation.users().cancelRunningJobs(4));
                     }
                     case 12 -> {
                         // A leader ends while machines can't be reached, and something is called off meanwhile.
                         for (String some : machines.subList(0, (machines.size() + 2) / 3)) {
-                            simulation.partition(some, "*");
-                            simulation.schedule(end, () -> simulation.heal(some, "*"));
+                            simulation.network().partition(some, Hosts.ALL);
+                            simulation.schedule(end, () -> simulation.network().heal(some, Hosts.ALL));
                         }
                         simulation.schedule(start + pick, () -> simulation.crash(leader, 1_000));
-                        simulation.schedule(start + 2L * pick, () -> simulation.cancelRunningJobs(4, 0));
+                        simulation.schedule(
+                                start + 2L * pick, () -> simulation.users().cancelRunningJobs(4));
                     }
                     default -> {
                         if (machine != null) {
-                            simulation.setInboundBlocked(machine, true);
-                            simulation.schedule(end, () -> simulation.setInboundBlocked(machine, false));
+                            simulation.network().setInboundBlocked(machine, true);
+                            simulation.schedule(end, () -> simulation.network().setInboundBlocked(machine, false));
                             simulation.schedule(start + pick, () -> simulation.crash(leader, pick));
                         }
                     }
@@ -285,16 +311,16 @@
     }
 
     private static void outage(ClusterSimulation simulation, long until) {
-        simulation.store.setOutage(true);
-        simulation.schedule(until, () -> simulation.store.setOutage(false));
+        simulation.store().setOutage(true);
+        simulation.schedule(until, () -> simulation.store().setOutage(false));
     }
 
     private static void assertAllWell(ClusterSimulation simulation, List<String> arrays) {
-        assertEquals(List.of(), simulation.invariants.violations());
+        assertEquals(List.of(), simulation.invariants().violations());
         assertEquals(0, simulation.failedCommands(), "commands that failed inside a node");
-        assertEquals(List.of(), simulation.invariants.missingReplicas(), "every service runs");
+        assertEquals(List.of(), simulation.invariants().missingReplicas(), "every service runs");
         List<String> unfinished = arrays.stream()
-                .filter(id -> simulation.invariants.finalPhase(id) == null)
+                .filter(id -> simulation.invariants().finalPhase(id).isEmpty())
                 .toList();
         assertEquals(List.of(), unfinished, "every array is over, long after the last failure");
     }
@@ -304,8 +330,11 @@
         ClusterSimulation simulation = new ClusterSimulation(1, 3);
         List<String> arrays = load(simulation, new SplittableRandom(1));
         simulation.runChecked(END);
-        assertEquals(List.of(), simulation.invariants.violations());
-        assertTrue(arrays.stream().allMatch(id -> simulation.invariants.finalPhase(id) != null), "every array is over");
+        assertEquals(List.of(), simulation.invariants().violations());
+        assertTrue(
+                arrays.stream()
+                        .allMatch(id -> simulation.invariants().finalPhase(id).isPresent()),
+                "every array is over");
     }
 
     static LongStream seeds() {
@@ -329,17 +358,17 @@
         ClusterSimulation simulation = new ClusterSimulation(seed, 3);
         List<String> arrays = runSingleFailures(simulation, seed);
         assertAllWell(simulation, arrays);
-        assertTrue(simulation.invariants.startCount() > 50, "tasks were started");
+        assertTrue(simulation.invariants().startCount() > 50, "tasks were started");
     }
 
     /** Runs random failures, one after the other, and returns the arrays that were submitted. */
     static List<String> runSingleFailures(ClusterSimulation simulation, long seed) {
-        simulation.delayTransactionShare(0.01);
-        simulation.duplicateMessageShare(0.02);
+        simulation.network().delayTransactionShare(0.01);
+        simulation.network().duplicateMessageShare(0.02);
         SplittableRandom random = new SplittableRandom(seed);
         List<String> arrays = load(simulation, random);
         faults(simulation, random);
-        simulation.schedule(TROUBLES_END, () -> simulation.invariants.faultsOver(TROUBLES_END));
+        simulation.schedule(TROUBLES_END, () -> simulation.invariants().faultsOver(TROUBLES_END));
         simulation.runChecked(END);
         return arrays;
     }
@@ -358,8 +387,8 @@
 
     /** Runs random faults over each other, and returns the arrays that were submitted. */
     static List<String> runConcurrentFaults(ClusterSimulation simulation, long seed) {
-        simulation.delayTransactionShare(0.01);
-        simulation.duplicateMessageShare(0.02);
+        simulation.network().delayTransactionShare(0.01);
+        simulation.network().duplicateMessageShare(0.02);
         SplittableRandom random = new SplittableRandom(seed);
         List<String> arrays = moreLoad(simulation, random);
         if (random.nextBoolean()) {
@@ -369,7 +398,7 @@
         if (random.nextInt(3) == 0) {
             faults(simulation, random);
         }
-        simulation.schedule(TROUBLES_END, () -> simulation.invariants.faultsOver(TROUBLES_END));
+        simulation.schedule(TROUBLES_END, () -> simulation.invariants().faultsOver(TROUBLES_END));
         simulation.runChecked(TROUBLES_END);
         while (simulation.now() < LONG_END) {
             simulation.runChecked(1_000);
--- a/src/test/java/io/quartzgw/app/FiveControllersTest.java
+++ b/src/test/java/io/quartzgw/app/FiveControllersTest.java
@@ -6,9 +6,11 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quartzgw.liveness.AgentTiming;
 import io.quartzgw.simulation.ClusterSimulation;
+import io.quartzgw.simulation.Hosts;
 import io.quartzgw.store.StoreLimits;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -16,11 +18,18 @@
 /** Five controllers on a state service that takes few changes and holds small values. */
 class FiveControllersTest {
     private static final int CONTROLLERS = 5;
-    private static final AgentTiming TIMES = new AgentTiming(2_500, 14_000, 44_000);
+    private static final int MACHINES = 40;
+    private static final AgentTiming TIMING = new AgentTiming(2_500, 14_000, 44_000);
     private static final StoreLimits LIMITS = new StoreLimits(100, 15, 4096, 12);
 
     private static ClusterSimulation simulation(long seed) {
-        return new ClusterSimulation(seed, CONTROLLERS, 40, 100, TIMES, LIMITS);
+        return ClusterSimulation.builder(seed)
+                .controllers(CONTROLLERS)
+                .machines(MACHINES)
+                .agentStepMs(100)
+                .timing(TIMING)
+                .storeLimits(LIMITS)
+                .build();
     }
 
     /** Five services at once, and arrays one after the other. */
@@ -29,21 +38,22 @@
         for (int i = 0; i < arrayCount; i++) {
             ObjectNode spec = FailureTest.job(String.format("j-%06d", 100 + i), "blue", "array", tasks, 4, 8);
             arrays.add(spec.path("id").asText());
-            simulation.schedule(5_000 + pauseMs * i, () -> simulation.submitUntilAccepted(spec, null));
+            simulation.schedule(5_000 + pauseMs * i, () -> simulation.users().submitUntilAccepted(spec));
         }
         for (int i = 0; i < ScenarioTest.SERVICES; i++) {
             ObjectNode spec = FailureTest.job("j-00000" + i, "blue", "daemon", 2, 2, 0);
-            simulation.schedule(1_000, () -> simulation.submitUntilAccepted(spec, null));
+            simulation.schedule(1_000, () -> simulation.users().submitUntilAccepted(spec));
         }
         return arrays;
     }
 
     private static void assertServed(ClusterSimulation simulation, List<String> arrays) {
-        assertEquals(List.of(), simulation.invariants.violations());
-        arrays.forEach(id -> assertEquals("done", simulation.invariants.finalPhase(id), id));
+        assertEquals(List.of(), simulation.invariants().violations());
+        arrays.forEach(
+                id -> assertEquals(Optional.of("done"), simulation.invariants().finalPhase(id), id));
         assertEquals(
                 ScenarioTest.SERVICES * 2,
-                simulation.invariants.runningTasks().size(),
+                simulation.invariants().runningTasks().size(),
                 "replicas run, and nothing else");
         assertEquals(0, simulation.failedCommands());
     }
@@ -54,7 +64,7 @@
         ClusterSimulation simulation = simulation(1);
         List<String> arrays = load(simulation, 200, 2, 20);
         simulation.runChecked(120_000);
-        assertEquals(0, simulation.store.rejectedTransactions(), "together they stay within the limit");
+        assertEquals(0, simulation.store().rejectedTransactions(), "together they stay within the limit");
         assertServed(simulation, arrays);
     }
 
@@ -88,9 +98,9 @@
             // The leader itself is one of them.
             cutOff.add((leader + i) % CONTROLLERS);
         }
-        cutOff.forEach(node -> simulation.partition("rig-" + node, "*"));
+        cutOff.forEach(node -> simulation.network().partition(Hosts.controller(node), Hosts.ALL));
         simulation.runChecked(40_000);
-        assertTrue(simulation.leader() >= 0 && !cutOff.contains(simulation.leader()), "another one leads");
+        assertTrue(simulation.hasLeader() && !cutOff.contains(simulation.leader()), "another one leads");
         simulation.runChecked(90_000);
         assertServed(simulation, arrays);
     }
--- a/src/test/java/io/quartzgw/app/PairedFaultsTest.java
+++ b/src/test/java/io/quartzgw/app/PairedFaultsTest.java
@@ -5,8 +5,10 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quartzgw.simulation.ClusterSimulation;
+import io.quartzgw.simulation.Hosts;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.OptionalLong;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
@@ -15,8 +17,8 @@
     static final long LEASE_MS = 16_000;
 
     static void assertAllWell(ClusterSimulation simulation) {
-        assertEquals(List.of(), simulation.invariants.violations());
-        assertEquals(List.of(), simulation.invariants.missingReplicas());
+        assertEquals(List.of(), simulation.invariants().violations());
+        assertEquals(List.of(), simulation.invariants().missingReplicas());
         assertEquals(0, simulation.failedCommands());
     }
 
@@ -25,7 +27,7 @@
         for (int i = 0; i < jobs; i++) {
             String id = String.format("j-%06d", 300 + i);
             ids.add(id);
-            simulation.submitUntilAccepted(FailureTest.job(id, crew, "array", tasks, 4, runS), null);
+            simulation.users().submitUntilAccepted(FailureTest.job(id, crew, "array", tasks, 4, runS));
         }
         return ids;
     }
@@ -34,7 +36,7 @@
         assertEquals(
                 List.of(),
                 jobs.stream()
-                        .filter(id -> simulation.invariants.finalPhase(id) == null)
+                        .filter(id -> simulation.invariants().finalPhase(id).isEmpty())
                         .toList());
     }
 
@@ -42,7 +44,7 @@
         assertEquals(
                 List.of(),
                 jobs.stream()
-                        .filter(id -> !"done".equals(simulation.invariants.finalPhase(id)))
+                        .filter(id -> !simulation.invariants().hasEndedIn("done", id))
                         .toList());
     }
 
@@ -72,7 +74,7 @@
             List<String> jobs = new ArrayList<>();
             for (int i = 0; i < 6; i++) {
                 ObjectNode spec = FailureTest.job("j-00040" + i, "blue", "array", 2 + i % 2, 4, 3);
-                simulation.submitUntilAccepted(spec.put("each_longer_s", 10 + 2 * i), null);
+                simulation.users().submitUntilAccepted(spec.put("each_longer_s", 10 + 2 * i));
                 jobs.add("j-00040" + i);
             }
             simulation.runChecked(crashAt);
@@ -89,21 +91,27 @@
         List<String> jobs = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             ObjectNode spec = FailureTest.job("j-00040" + i, "blue", "array", 4 + i, 4, 15);
-            simulation.submitUntilAccepted(
-                    i % 2 == 0 ? spec.put("yard", i % 4 == 0 ? "a" : "b") : spec.put("together", true), null);
+            simulation
+                    .users()
+                    .submitUntilAccepted(
+                            i % 2 == 0 ? spec.put("yard", i % 4 == 0 ? "a" : "b") : spec.put("together", true));
             jobs.add("j-00040" + i);
         }
-        simulation.submitUntilAccepted(
-                FailureTest.job("j-000410", "blue", "daemon", 3, 2, 0).put("yard", "a"), null);
+        simulation
+                .users()
+                .submitUntilAccepted(
+                        FailureTest.job("j-000410", "blue", "daemon", 3, 2, 0).put("yard", "a"));
         simulation.runChecked(14_000);
-        List<String> lost = simulation.machineIds();
+        List<String> lost = simulation.agents().machineIds();
         for (int i = 0; i < lost.size(); i += 2) {
             String machine = lost.get(i);
             if (i % 4 == 0) {
-                simulation.cloud.fail(machine, simulation.now());
+                simulation.cloud().fail(machine, simulation.now());
             } else {
-                simulation.partition(machine, "*");
-                simulation.schedule(simulation.now() + 2 * LEASE_MS, () -> simulation.heal(machine, "*"));
+                simulation.network().partition(machine, Hosts.ALL);
+                simulation.schedule(
+                        simulation.now() + 2 * LEASE_MS,
+                        () -> simulation.network().heal(machine, Hosts.ALL));
             }
             if (i == 4) {
                 simulation.crash(simulation.leader());
@@ -123,16 +131,16 @@
             ClusterSimulation simulation = ScenarioTest.withServices();
             List<String> jobs = arrays(simulation, 5, 4, 30, "red");
             simulation.runChecked(8_000);
-            List<String> mute = firstHalf(simulation.machineIds());
-            mute.forEach(machine -> simulation.setHeartbeatsBlocked(machine, true));
-            simulation.cancelRunningJobs(2, 0);
+            List<String> mute = firstHalf(simulation.agents().machineIds());
+            mute.forEach(machine -> simulation.network().setHeartbeatsBlocked(machine, true));
+            simulation.users().cancelRunningJobs(2);
             if (leaderEnds) {
                 simulation.runChecked(1_000);
                 simulation.crash(simulation.leader(), 5_000);
             }
             simulation.runChecked(3 * LEASE_MS);
-            assertEquals(List.of(), simulation.invariants.missingReplicas(), "replicas run where reports arrive");
-            mute.forEach(machine -> simulation.setHeartbeatsBlocked(machine, false));
+            assertEquals(List.of(), simulation.invariants().missingReplicas(), "replicas run where reports arrive");
+            mute.forEach(machine -> simulation.network().setHeartbeatsBlocked(machine, false));
             simulation.runChecked(90_000);
             assertAllWell(simulation);
             assertAllEnded(simulation, jobs);
@@ -142,14 +150,14 @@
     @Test
     void transactionsAreCarriedOutLateAfterNewerOnes() {
         ClusterSimulation simulation = ScenarioTest.withServices();
-        simulation.delayTransactionShare(0.3);
+        simulation.network().delayTransactionShare(0.3);
         List<String> jobs = arrays(simulation, 8, 5, 6, "red");
         simulation.runChecked(8_000);
         simulation.crash(simulation.leader(), 700);
         simulation.runChecked(10_000);
-        simulation.cancelRunningJobs(2, 0);
+        simulation.users().cancelRunningJobs(2);
         simulation.runChecked(20_000);
-        simulation.delayTransactionShare(0);
+        simulation.network().delayTransactionShare(0);
         simulation.runChecked(100_000);
         assertAllWell(simulation);
         assertAllEnded(simulation, jobs);
@@ -159,46 +167,54 @@
     @Test
     void cancellationsQuestionsAndRepeatsMeetTheEndOfTheLastTask() {
         ClusterSimulation simulation = ScenarioTest.withServices();
-        simulation.cancelJobsAtLastTaskEnd(1);
+        simulation.users().cancelJobsAtLastTaskEnd(1);
         List<String> jobs = new ArrayList<>();
         for (int i = 0; i < 24; i++) {
             String id = String.format("j-%06d", 500 + i);
             int tasks = i % 3;
-            simulation.schedule(
-                    simulation.now() + 700L * i,
-                    () -> simulation.submitUntilAccepted(FailureTest.job(id, "blue", "array", 1 + tasks, 2, 4), null));
+            simulation.schedule(simulation.now() + 700L * i, () -> simulation
+                    .users()
+                    .submitUntilAccepted(FailureTest.job(id, "blue", "array", 1 + tasks, 2, 4)));
             jobs.add(id);
         }
         for (int step = 0; step < 1_500; step++) {
             simulation.runUntil(simulation.now() + 20);
             String id = jobs.get(step % jobs.size());
-            if (simulation.submittedSpec(id) != null) {
-                simulation.queryJob(step % 3, id, reply -> {});
+            if (simulation.users().submittedSpec(id).isPresent()) {
+                simulation.users().queryJob(step % 3, id, reply -> {});
                 if (step % 7 == 0) {
-                    simulation.submitOnce((step + 1) % 3, simulation.submittedSpec(id), reply -> {});
+                    simulation
+                            .users()
+                            .submitOnce(
+                                    (step + 1) % 3,
+                                    simulation.users().submittedSpec(id).orElseThrow(),
+                                    reply -> {});
                 }
             }
         }
         simulation.runChecked(60_000);
         assertAllWell(simulation);
-        assertTrue(jobs.stream().allMatch(id -> simulation.invariants.finalPhase(id) != null), "every end is told");
         assertTrue(
-                jobs.stream().anyMatch(id -> "withdrawn".equals(simulation.invariants.finalPhase(id))),
+                jobs.stream()
+                        .allMatch(id -> simulation.invariants().finalPhase(id).isPresent()),
+                "every end is told");
+        assertTrue(
+                jobs.stream().anyMatch(id -> simulation.invariants().hasEndedIn("withdrawn", id)),
                 "some were called off in time");
-        assertTrue(jobs.stream().anyMatch(id -> "done".equals(simulation.invariants.finalPhase(id))), "some were not");
+        assertTrue(jobs.stream().anyMatch(id -> simulation.invariants().hasEndedIn("done", id)), "some were not");
     }
 
     @Test
     void ordersAndTheirAnswersAreHeldUpAndTheMachinesGoOn() {
         ClusterSimulation simulation = ScenarioTest.withServices();
-        simulation.delayCommandShare(0.5);
+        simulation.network().delayCommandShare(0.5);
         List<String> jobs = arrays(simulation, 8, 4, 8, "red");
         simulation.runChecked(12_000);
-        simulation.cancelRunningJobs(3, 3_000);
+        simulation.cancelRunningJobsWhileMachinesHang(3, 3_000);
         simulation.runChecked(8_000);
         simulation.crash(simulation.leader(), 5_000);
         simulation.runChecked(30_000);
-        simulation.delayCommandShare(0);
+        simulation.network().delayCommandShare(0);
         simulation.runChecked(90_000);
         assertAllWell(simulation);
         assertAllEnded(simulation, jobs);
@@ -208,19 +224,16 @@
     @Test
     void thereIsMoreWorkThanRoomUrgentAndNotOverSlowLinks() {
         ClusterSimulation simulation = ScenarioTest.withServices();
-        simulation.delayLinksUpTo(600);
+        simulation.network().delayLinksUpTo(600);
         List<String> jobs = new ArrayList<>();
         for (int i = 0; i < 24; i++) {
             String id = String.format("j-%06d", 500 + i);
             int level = i % 3;
             ObjectNode spec = FailureTest.job(id, i % 2 == 0 ? "blue" : "red", "array", 12, 4, 12);
-            simulation.schedule(
-                    simulation.now() + 900L * i,
-                    () -> simulation.submitUntilAccepted(
-                            spec.put(
-                                    "urgency",
-                                    List.of("low", "standard", "urgent").get(level)),
-                            null));
+            simulation.schedule(simulation.now() + 900L * i, () -> simulation
+                    .users()
+                    .submitUntilAccepted(spec.put(
+                            "urgency", List.of("low", "standard", "urgent").get(level))));
             jobs.add(id);
         }
         simulation.runChecked(300_000);
@@ -240,17 +253,19 @@
             List<String> jobs = new ArrayList<>();
             for (int change = 0; change < 10; change++) {
                 String id = "j-00060" + change;
-                simulation.submitUntilAccepted(
-                        FailureTest.job(id, "red", "array", 5, 4, 6),
-                        change % 4 == 3 ? simulation.now() + 9_000 : null);
+                simulation
+                        .users()
+                        .submitUntilAccepted(
+                                FailureTest.job(id, "red", "array", 5, 4, 6),
+                                change % 4 == 3 ? OptionalLong.of(simulation.now() + 9_000) : OptionalLong.empty());
                 jobs.add(id);
                 simulation.runChecked(6_000);
                 if (outage && change == 4) {
-                    simulation.store.setOutage(true);
+                    simulation.store().setOutage(true);
                 } else if (outage && change == 7) {
-                    simulation.store.setOutage(false);
+                    simulation.store().setOutage(false);
                 }
-                int leader = Math.max(0, simulation.leader());
+                int leader = simulation.leaderOrFirst();
                 simulation.crash(leader);
                 simulation.runChecked(change % 2 == 0 ? 300 : 6_000);
                 simulation.start(leader);
@@ -269,24 +284,21 @@
             List<String> jobs = arrays(simulation, 5, 4, 20, "red");
             simulation.runChecked(10_000);
             int inside = leads ? simulation.leader() : (simulation.leader() + 1) % 3;
-            List<String> zone = firstHalf(simulation.machineIds());
-            List<String> outside = new ArrayList<>(simulation.machineIds());
+            List<String> zone = firstHalf(simulation.agents().machineIds());
+            List<String> outside = new ArrayList<>(simulation.agents().machineIds());
             outside.removeAll(zone);
             outside.addAll(List.of(
-                    "rig-" + (inside + 1) % 3,
-                    "rig-" + (inside + 2) % 3,
-                    ClusterSimulation.STORE,
-                    ClusterSimulation.CLOUD));
+                    Hosts.controller((inside + 1) % 3), Hosts.controller((inside + 2) % 3), Hosts.STORE, Hosts.CLOUD));
             outside.forEach(far -> {
-                simulation.partition("rig-" + inside, far);
-                zone.forEach(machine -> simulation.partition(machine, far));
+                simulation.network().partition(Hosts.controller(inside), far);
+                zone.forEach(machine -> simulation.network().partition(machine, far));
             });
             simulation.runChecked(3_000);
-            simulation.cancelRunningJobs(3, 0);
+            simulation.users().cancelRunningJobs(3);
             simulation.runChecked(3 * LEASE_MS);
             outside.forEach(far -> {
-                simulation.heal("rig-" + inside, far);
-                zone.forEach(machine -> simulation.heal(machine, far));
+                simulation.network().heal(Hosts.controller(inside), far);
+                zone.forEach(machine -> simulation.network().heal(machine, far));
             });
             simulation.runChecked(120_000);
             assertAllWell(simulation);
@@ -301,13 +313,13 @@
                 ClusterSimulation simulation = ScenarioTest.withServices();
                 List<String> jobs = arrays(simulation, 4, 4, 45, "red");
                 simulation.runChecked(12_000);
-                List<String> some = firstHalf(simulation.machineIds());
+                List<String> some = firstHalf(simulation.agents().machineIds());
                 int leader = simulation.leader();
                 some.forEach(machine -> {
                     if (deaf) {
-                        simulation.setInboundBlocked(machine, true);
+                        simulation.network().setInboundBlocked(machine, true);
                     } else {
-                        simulation.partition(machine, "*");
+                        simulation.network().partition(machine, Hosts.ALL);
                     }
                 });
                 simulation.runChecked(500);
@@ -315,9 +327,9 @@
                 simulation.runChecked(goneMs);
                 some.forEach(machine -> {
                     if (deaf) {
-                        simulation.setInboundBlocked(machine, false);
+                        simulation.network().setInboundBlocked(machine, false);
                     } else {
-                        simulation.heal(machine, "*");
+                        simulation.network().heal(machine, Hosts.ALL);
                     }
                 });
                 simulation.runChecked(150_000);
@@ -334,14 +346,15 @@
             ClusterSimulation simulation = ScenarioTest.withServices();
             List<String> jobs = arrays(simulation, 6, 5, 25, "green");
             simulation.runChecked(20_000);
-            List<String> silent = firstHalf(simulation.machineIds());
-            silent.forEach(machine -> simulation.partition(machine, "*"));
+            List<String> silent = firstHalf(simulation.agents().machineIds());
+            silent.forEach(machine -> simulation.network().partition(machine, Hosts.ALL));
             int leader = simulation.leader();
             long crashAt = simulation.now() + 500;
-            simulation.schedule(crashAt + cancelAfterMs, () -> simulation.cancelRunningJobs(3, 0));
+            simulation.schedule(
+                    crashAt + cancelAfterMs, () -> simulation.users().cancelRunningJobs(3));
             simulation.schedule(crashAt, () -> simulation.crash(leader, 5_000));
             simulation.runChecked(12_000);
-            silent.forEach(machine -> simulation.heal(machine, "*"));
+            silent.forEach(machine -> simulation.network().heal(machine, Hosts.ALL));
             simulation.runChecked(250_000);
             assertAllWell(simulation);
             assertAllEnded(simulation, jobs);
@@ -356,7 +369,7 @@
                 int back = returns;
                 simulation.runChecked(1_000);
                 for (int i = 0; i < 3; i++) {
-                    simulation.crash(Math.max(0, simulation.leader()), downMs);
+                    simulation.crash(simulation.leaderOrFirst(), downMs);
                     simulation.runChecked(2_000);
                 }
                 IntStream.range(0, 3).forEach(simulation::crash);
@@ -365,7 +378,8 @@
                 IntStream.range(0, 3).filter(node -> node != back).forEach(simulation::start);
                 simulation.runChecked(60_000);
                 assertAllWell(simulation);
-                assertEquals(2 * ScenarioTest.SERVICES, simulation.invariants.startCount(), "nothing was started anew");
+                assertEquals(
+                        2 * ScenarioTest.SERVICES, simulation.invariants().startCount(), "nothing was started anew");
             }
         }
     }
@@ -380,7 +394,8 @@
                 simulation.runChecked(5_000);
                 int node = leads ? simulation.leader() : (simulation.leader() + 1) % 3;
                 simulation.pauseController(node, stillMs);
-                simulation.schedule(simulation.now() + stillMs / 2, () -> simulation.cancelRunningJobs(3, 2_000));
+                simulation.schedule(
+                        simulation.now() + stillMs / 2, () -> simulation.cancelRunningJobsWhileMachinesHang(3, 2_000));
                 simulation.runChecked(stillMs);
                 int leader = simulation.leader();
                 simulation.runChecked(15_000);
--- a/src/test/java/io/quartzgw/app/ScenarioTest.java
+++ b/src/test/java/io/quartzgw/app/ScenarioTest.java
@@ -6,7 +6,9 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quartzgw.http.Json;
 import io.quartzgw.simulation.ClusterSimulation;
+import io.quartzgw.simulation.Hosts;
 import java.util.List;
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
 /** Single failures, each with what users notice of it. */
@@ -25,18 +27,18 @@
     static ClusterSimulation withServices(ClusterSimulation simulation) {
         for (int i = 0; i < SERVICES; i++) {
             ObjectNode spec = FailureTest.job("j-00000" + i, "blue", "daemon", 2, 2, 0);
-            simulation.schedule(1_000, () -> simulation.submitUntilAccepted(spec, null));
+            simulation.schedule(1_000, () -> simulation.users().submitUntilAccepted(spec));
         }
         simulation.runUntil(60_000);
-        assertEquals(SERVICES * 2, simulation.invariants.runningTasks().size());
-        assertEquals(SERVICES * 2, simulation.invariants.startCount());
+        assertEquals(SERVICES * 2, simulation.invariants().runningTasks().size());
+        assertEquals(SERVICES * 2, simulation.invariants().startCount());
         return simulation;
     }
 
     private static void assertNothingRestarted(ClusterSimulation simulation) {
-        assertEquals(List.of(), simulation.invariants.violations());
-        assertEquals(SERVICES * 2, simulation.invariants.runningTasks().size());
-        assertEquals(SERVICES * 2, simulation.invariants.startCount(), "no replica was started anew");
+        assertEquals(List.of(), simulation.invariants().violations());
+        assertEquals(SERVICES * 2, simulation.invariants().runningTasks().size());
+        assertEquals(SERVICES * 2, simulation.invariants().startCount(), "no replica was started anew");
     }
 
     @Test
@@ -45,7 +47,7 @@
         int leader = simulation.leader();
         simulation.crash(leader);
         simulation.runUntil(75_000);
-        assertTrue(simulation.leader() >= 0 && simulation.leader() != leader, "another node leads");
+        assertTrue(simulation.hasLeader() && simulation.leader() != leader, "another node leads");
         simulation.start(leader);
         simulation.runUntil(120_000);
         assertNothingRestarted(simulation);
@@ -69,11 +71,11 @@
     void aLeaderThatStoodStillGivesUpNoMachine() {
         for (long stillMs : List.of(3_000L, 9_000L, 30_000L, 70_000L)) {
             ClusterSimulation simulation = withServices();
-            String leader = "rig-" + simulation.leader();
+            String leader = Hosts.controller(simulation.leader());
             simulation.pauseController(simulation.leader(), stillMs);
-            simulation.partition(leader, "*");
+            simulation.network().partition(leader, Hosts.ALL);
             simulation.runUntil(simulation.now() + stillMs + 2_000);
-            simulation.heal(leader, "*");
+            simulation.network().heal(leader, Hosts.ALL);
             simulation.runUntil(simulation.now() + 30_000);
             assertNothingRestarted(simulation);
             assertEquals(0, simulation.counters().getOrDefault("machines.given_up", 0L));
@@ -84,9 +86,9 @@
     @Test
     void anOutageLongerThanGraceAndLeaseRestartsNothing() {
         ClusterSimulation simulation = withServices();
-        simulation.store.setOutage(true);
+        simulation.store().setOutage(true);
         simulation.runUntil(simulation.now() + 60_000);
-        simulation.store.setOutage(false);
+        simulation.store().setOutage(false);
         simulation.runUntil(simulation.now() + 30_000);
         assertNothingRestarted(simulation);
     }
@@ -96,11 +98,11 @@
     void aLeaderCutFromTheWorkersHandsOver() {
         ClusterSimulation simulation = withServices();
         int leader = simulation.leader();
-        List<String> machines = simulation.machineIds();
-        machines.forEach(machine -> simulation.partition("rig-" + leader, machine));
+        List<String> machines = simulation.agents().machineIds();
+        machines.forEach(machine -> simulation.network().partition(Hosts.controller(leader), machine));
         simulation.runUntil(simulation.now() + 30_000);
-        assertTrue(simulation.leader() >= 0 && simulation.leader() != leader, "another node leads");
-        machines.forEach(machine -> simulation.heal("rig-" + leader, machine));
+        assertTrue(simulation.hasLeader() && simulation.leader() != leader, "another node leads");
+        machines.forEach(machine -> simulation.network().heal(Hosts.controller(leader), machine));
         simulation.runUntil(simulation.now() + 30_000);
         assertNothingRestarted(simulation);
     }
@@ -110,10 +112,10 @@
     void aLeaderCutFromAPartOfTheWorkersHandsOver() {
         ClusterSimulation simulation = withServices();
         int leader = simulation.leader();
-        String machine = simulation.machineIds().get(0);
-        simulation.partition("rig-" + leader, machine);
+        String machine = simulation.agents().machineIds().get(0);
+        simulation.network().partition(Hosts.controller(leader), machine);
         simulation.runUntil(simulation.now() + 30_000);
-        assertTrue(simulation.leader() >= 0 && simulation.leader() != leader, "another node leads");
+        assertTrue(simulation.hasLeader() && simulation.leader() != leader, "another node leads");
         assertNothingRestarted(simulation);
     }
 
@@ -121,11 +123,11 @@
     void aLeaderCutFromAllButItsWorkersStopsAnsweringThem() {
         ClusterSimulation simulation = withServices();
         int leader = simulation.leader();
-        for (String other : List.of("rig-0", "rig-1", "rig-2", ClusterSimulation.STORE)) {
-            simulation.partition("rig-" + leader, other);
+        for (String other : List.of(Hosts.controller(0), Hosts.controller(1), Hosts.controller(2), Hosts.STORE)) {
+            simulation.network().partition(Hosts.controller(leader), other);
         }
         simulation.runUntil(simulation.now() + 30_000);
-        assertTrue(simulation.leader() >= 0 && simulation.leader() != leader, "another node leads");
+        assertTrue(simulation.hasLeader() && simulation.leader() != leader, "another node leads");
         assertNothingRestarted(simulation);
     }
 
@@ -135,21 +137,21 @@
     void tasksThatOnlyTheFormerLeaderReachesRunNowhereElse() {
         ClusterSimulation simulation = withServices();
         int leader = simulation.leader();
-        String machine = simulation.machineIds().get(0);
-        for (String other : List.of("rig-0", "rig-1", "rig-2")) {
-            if (!other.equals("rig-" + leader)) {
-                simulation.partition("rig-" + leader, other);
-                simulation.partition(machine, other);
+        String machine = simulation.agents().machineIds().get(0);
+        for (String other : List.of(Hosts.controller(0), Hosts.controller(1), Hosts.controller(2))) {
+            if (!other.equals(Hosts.controller(leader))) {
+                simulation.network().partition(Hosts.controller(leader), other);
+                simulation.network().partition(machine, other);
             }
         }
-        simulation.partition("rig-" + leader, ClusterSimulation.STORE);
+        simulation.network().partition(Hosts.controller(leader), Hosts.STORE);
         // No other machine may show the former leader the new token.
-        simulation.machineIds().stream()
+        simulation.agents().machineIds().stream()
                 .filter(other -> !other.equals(machine))
-                .forEach(other -> simulation.partition("rig-" + leader, other));
+                .forEach(other -> simulation.network().partition(Hosts.controller(leader), other));
         simulation.runUntil(simulation.now() + 90_000);
-        assertEquals(List.of(), simulation.invariants.violations());
-        assertEquals(SERVICES * 2, simulation.invariants.runningTasks().size(), "placed again after the hold");
+        assertEquals(List.of(), simulation.invariants().violations());
+        assertEquals(SERVICES * 2, simulation.invariants().runningTasks().size(), "placed again after the hold");
     }
 
     // Guards against a leader that takes machines which hear nobody for its own fault, and against renting anew
@@ -158,29 +160,29 @@
     void machinesThatHearNothingDeposeNobodyAndAreNotReplacedForEver() {
         ClusterSimulation simulation = withServices();
         int leader = simulation.leader();
-        int before = simulation.machineIds().size();
-        List<String> deaf = simulation.machineIds().subList(0, (before + 1) / 2);
-        deaf.forEach(machine -> simulation.setInboundBlocked(machine, true));
+        int before = simulation.agents().machineIds().size();
+        List<String> deaf = simulation.agents().machineIds().subList(0, (before + 1) / 2);
+        deaf.forEach(machine -> simulation.network().setInboundBlocked(machine, true));
         int most = before;
         for (int second = 0; second < 90; second++) {
             if (second == 40) {
                 // By now their leases are over, and they look empty.
-                simulation.submitUntilAccepted(FailureTest.job("j-000090", "blue", "daemon", 2, 2, 0), null);
+                simulation.users().submitUntilAccepted(FailureTest.job("j-000090", "blue", "daemon", 2, 2, 0));
             }
             simulation.runUntil(simulation.now() + 1_000);
-            most = Math.max(most, simulation.machineIds().size());
+            most = Math.max(most, simulation.agents().machineIds().size());
             if (second == 60) {
                 assertTrue(
-                        simulation.invariants.runningTasks().contains("j-000090/0"),
+                        simulation.invariants().runningTasks().contains("j-000090/0"),
                         "not placed where nothing arrives");
             }
         }
         assertEquals(leader, simulation.leader(), "the leader stays");
         assertTrue(most <= 2 * before + 1, most + " machines where " + before + " do");
-        deaf.forEach(machine -> simulation.setInboundBlocked(machine, false));
+        deaf.forEach(machine -> simulation.network().setInboundBlocked(machine, false));
         simulation.runUntil(simulation.now() + 40_000);
-        assertEquals(List.of(), simulation.invariants.violations());
-        assertEquals(List.of(), simulation.invariants.missingReplicas());
+        assertEquals(List.of(), simulation.invariants().violations());
+        assertEquals(List.of(), simulation.invariants().missingReplicas());
     }
 
     // Guards the word of a former process: its hold still stands, and the others may not have noticed.
@@ -193,7 +195,7 @@
             simulation.runUntil(simulation.now() + downMs);
             simulation.start(leader);
             simulation.runUntil(simulation.now() + 8_000);
-            assertTrue(simulation.leader() >= 0, "somebody leads again");
+            assertTrue(simulation.hasLeader(), "somebody leads again");
             simulation.runUntil(simulation.now() + 60_000);
             assertNothingRestarted(simulation);
         }
@@ -205,11 +207,11 @@
     void aMachineThatIsBackAtOnceRunsItsReplicasAgain() {
         for (boolean counting : List.of(true, false)) {
             ClusterSimulation simulation = withServices();
-            String machine = simulation.machineIds().get(0);
-            simulation.rebootMachine(machine, counting);
+            String machine = simulation.agents().machineIds().get(0);
+            simulation.agents().reboot(machine, counting);
             simulation.runUntil(simulation.now() + 15_000);
-            assertEquals(List.of(), simulation.invariants.violations());
-            assertEquals(List.of(), simulation.invariants.missingReplicas(), "long before a hold would have ended");
+            assertEquals(List.of(), simulation.invariants().violations());
+            assertEquals(List.of(), simulation.invariants().missingReplicas(), "long before a hold would have ended");
         }
     }
 
@@ -217,13 +219,13 @@
     @Test
     void lateCopiesDoNotHoldALostMachinesReplicas() {
         ClusterSimulation simulation = withServices();
-        simulation.duplicateMessageShare(1);
+        simulation.network().duplicateMessageShare(1);
         simulation.runUntil(simulation.now() + 30_000);
-        String machine = simulation.machineIds().get(0);
-        simulation.partition(machine, "*");
+        String machine = simulation.agents().machineIds().get(0);
+        simulation.network().partition(machine, Hosts.ALL);
         simulation.runUntil(simulation.now() + 36_000);
-        assertEquals(List.of(), simulation.invariants.violations());
-        assertEquals(List.of(), simulation.invariants.missingReplicas(), "placed again when the hold has ended");
+        assertEquals(List.of(), simulation.invariants().violations());
+        assertEquals(List.of(), simulation.invariants().missingReplicas(), "placed again when the hold has ended");
     }
 
     // Guards the gather window: to a new leader a late copy looks like a machine's first word, and hides what
@@ -231,22 +233,22 @@
     @Test
     void lateCopiesDoNotSpeakForAMachineToANewLeader() {
         ClusterSimulation simulation = withServices();
-        simulation.duplicateMessageShare(1);
+        simulation.network().duplicateMessageShare(1);
         simulation.runUntil(simulation.now() + 20_000);
         for (int i = 0; i < 6; i++) {
             ObjectNode spec = FailureTest.job("j-00005" + i, "blue", "array", 4, 2, 60);
-            simulation.submitUntilAccepted(spec, null);
+            simulation.users().submitUntilAccepted(spec);
         }
         simulation.runUntil(simulation.now() + 20_000);
         int leader = simulation.leader();
         simulation.crash(leader);
-        List<String> machines = simulation.machineIds();
-        machines.forEach(machine -> simulation.partition(machine, "*"));
+        List<String> machines = simulation.agents().machineIds();
+        machines.forEach(machine -> simulation.network().partition(machine, Hosts.ALL));
         simulation.runUntil(simulation.now() + 13_000);
-        machines.forEach(machine -> simulation.heal(machine, "*"));
+        machines.forEach(machine -> simulation.network().heal(machine, Hosts.ALL));
         simulation.start(leader);
         simulation.runUntil(simulation.now() + 60_000);
-        assertEquals(List.of(), simulation.invariants.violations());
+        assertEquals(List.of(), simulation.invariants().violations());
     }
 
     // Guards cancellations that the leader can't hear of: it answers its workers for the grace at the most.
@@ -254,19 +256,19 @@
     void aJobThatIsCancelledBehindACutOffLeadersBackEndsInTime() {
         ClusterSimulation simulation = withServices();
         int leader = simulation.leader();
-        for (String other : List.of("rig-0", "rig-1", "rig-2", ClusterSimulation.STORE)) {
-            simulation.partition("rig-" + leader, other);
+        for (String other : List.of(Hosts.controller(0), Hosts.controller(1), Hosts.controller(2), Hosts.STORE)) {
+            simulation.network().partition(Hosts.controller(leader), other);
         }
         simulation.runUntil(simulation.now() + 1_000);
         int[] status = new int[1];
-        simulation.cancelJob((leader + 1) % 3, "j-000001", reply -> status[0] = reply.status());
+        simulation.users().cancelJob((leader + 1) % 3, "j-000001", reply -> status[0] = reply.status());
         for (int second = 0; second < 60; second++) {
             simulation.runUntil(simulation.now() + 1_000);
-            simulation.invariants.checkDeadlines(simulation.now());
+            simulation.invariants().checkDeadlines(simulation.now());
         }
         assertEquals(200, status[0]);
-        assertEquals(List.of(), simulation.invariants.violations());
-        assertTrue(simulation.invariants.runningTasks().stream().noneMatch(task -> task.startsWith("j-000001/")));
+        assertEquals(List.of(), simulation.invariants().violations());
+        assertTrue(simulation.invariants().runningTasks().stream().noneMatch(task -> task.startsWith("j-000001/")));
     }
 
     // Guards jobs that a leader hears of in no ordinary way: the notice is lost with a cut between controllers,
@@ -277,40 +279,42 @@
         int leader = simulation.leader();
         for (int i = 0; i < 3; i++) {
             if (i != leader) {
-                simulation.partition("rig-" + leader, "rig-" + i);
+                simulation.network().partition(Hosts.controller(leader), Hosts.controller(i));
             }
         }
-        simulation.store.abortWatches();
+        simulation.store().abortWatches();
         ObjectNode spec = FailureTest.job("j-000077", "blue", "array", 3, 2, 5);
         int[] status = new int[1];
-        simulation.sendUserRequest((leader + 1) % 3, "POST", "/submissions", spec, reply -> status[0] = reply.status());
-        simulation.submitUntilAccepted(spec, null);
+        simulation
+                .users()
+                .sendRequest((leader + 1) % 3, "POST", "/submissions", spec, reply -> status[0] = reply.status());
+        simulation.users().submitUntilAccepted(spec);
         simulation.runUntil(simulation.now() + 100);
-        simulation.store.compactHistory();
+        simulation.store().compactHistory();
         simulation.runUntil(simulation.now() + 60_000);
-        assertEquals("done", simulation.invariants.finalPhase("j-000077"));
-        assertEquals(List.of(), simulation.invariants.violations());
+        assertEquals(Optional.of("done"), simulation.invariants().finalPhase("j-000077"));
+        assertEquals(List.of(), simulation.invariants().violations());
     }
 
     @Test
     void aDeadMachinesReplicasMoveOnce() {
         ClusterSimulation simulation = withServices();
-        String machine = simulation.machineIds().get(0);
-        simulation.cloud.fail(machine, simulation.now());
+        String machine = simulation.agents().machineIds().get(0);
+        simulation.cloud().fail(machine, simulation.now());
         simulation.runUntil(simulation.now() + 60_000);
-        assertEquals(List.of(), simulation.invariants.violations());
-        assertEquals(SERVICES * 2, simulation.invariants.runningTasks().size());
+        assertEquals(List.of(), simulation.invariants().violations());
+        assertEquals(SERVICES * 2, simulation.invariants().runningTasks().size());
     }
 
     @Test
     void withoutTheStateServiceUsersAreToldAtOnce() {
         ClusterSimulation simulation = withServices();
-        simulation.store.setOutage(true);
+        simulation.store().setOutage(true);
         simulation.runUntil(simulation.now() + 2_000);
         long asked = simulation.now();
         long[] answeredAt = new long[1];
         int[] status = new int[1];
-        simulation.sendUserRequest(0, "GET", "/submissions/" + "j-000001", null, reply -> {
+        simulation.users().sendRequest(0, "GET", "/submissions/j-000001", reply -> {
             answeredAt[0] = simulation.now();
             status[0] = reply.status();
         });
@@ -326,9 +330,9 @@
         simulation.runUntil(60_000);
         for (int i = 0; i < 3; i++) {
             int[] status = new int[1];
-            simulation.sendUserRequest(i, "GET", "/ready", null, reply -> status[0] = reply.status());
+            simulation.users().sendRequest(i, "GET", "/ready", reply -> status[0] = reply.status());
             simulation.runUntil(simulation.now() + 100);
-            assertEquals(200, status[0], "rig-" + i);
+            assertEquals(200, status[0], Hosts.controller(i));
         }
     }
 
@@ -355,17 +359,24 @@
         assertEquals(
                 422,
                 status(simulation, "POST", "/submissions", FailureTest.job("j-000102", "red", "daemon", 30, 2, 0)));
-        assertEquals(404, status(simulation, "GET", "/submissions/j-999999", null));
-        assertEquals(404, status(simulation, "GET", "/nothing", null));
-        assertEquals(405, status(simulation, "DELETE", "/submissions", null));
+        assertEquals(404, status(simulation, "GET", "/submissions/j-999999"));
+        assertEquals(404, status(simulation, "GET", "/nothing"));
+        assertEquals(405, status(simulation, "DELETE", "/submissions"));
         assertEquals(201, status(simulation, "POST", "/submissions", good));
         assertEquals(
                 200, status(simulation, "POST", "/submissions", good.deepCopy().put("shards", "many")));
     }
 
+    private static int status(ClusterSimulation simulation, String method, String path) {
+        int[] status = new int[1];
+        simulation.users().sendRequest(1, method, path, reply -> status[0] = reply.status());
+        simulation.runUntil(simulation.now() + 1_000);
+        return status[0];
+    }
+
     private static int status(ClusterSimulation simulation, String method, String path, ObjectNode body) {
         int[] status = new int[1];
-        simulation.sendUserRequest(1, method, path, body, reply -> status[0] = reply.status());
+        simulation.users().sendRequest(1, method, path, body, reply -> status[0] = reply.status());
         simulation.runUntil(simulation.now() + 1_000);
         return status[0];
     }
--- a/src/test/java/io/quartzgw/simulation/CommandDelays.java
+++ b/src/test/java/io/quartzgw/simulation/CommandDelays.java
@@ -2,17 +2,17 @@
 
 import java.util.SplittableRandom;
 
-/** How long direct orders and their answers are on their way, beyond what the link takes. */
+/** The additional delays of direct commands and of their responses. */
 final class CommandDelays {
-    private static final int LEAST_HELD_MS = 1_000;
-    private static final int HELD_SPREAD_MS = 8_000;
+    private static final int MIN_DELAY_MS = 1_000;
+    private static final int DELAY_SPREAD_MS = 8_000;
 
     private final SplittableRandom random;
-    private double heldShare;
-    private long mostMs;
+    private double delayedShare;
+    private long maxDelayMs;
 
-    /** How much later an order arrives, and how much later its answer does. */
-    record Delay(long orderMs, long answerMs) {
+    /** How much later a command arrives, and how much later its response does. */
+    record Delay(long commandMs, long responseMs) {
         static final Delay NONE = new Delay(0, 0);
     }
 
@@ -20,25 +20,25 @@
         this.random = random;
     }
 
-    /** Holds that share of the orders, or of their answers, up for seconds. */
-    void held(double share) {
-        heldShare = share;
+    /** Delays a share of the commands, or of their responses, by seconds. */
+    void setDelayedShare(double share) {
+        delayedShare = share;
     }
 
-    /** Delays every order by up to so long; half of them by less than an eighth of it. */
-    void upTo(long ms) {
-        mostMs = ms;
+    /** Delays every command by up to a time; half of them by less than an eighth of it. */
+    void setMaxDelay(long ms) {
+        maxDelayMs = ms;
     }
 
-    /** The delay of the next order. */
+    /** Draws the delay of the next command. */
     Delay next() {
-        if (mostMs > 0) {
+        if (maxDelayMs > 0) {
             double part = random.nextDouble();
-            return new Delay((long) (mostMs * part * part * part), 0);
+            return new Delay((long) (maxDelayMs * part * part * part), 0);
         }
-        if (heldShare > 0 && random.nextDouble() < heldShare) {
-            long heldMs = LEAST_HELD_MS + random.nextInt(HELD_SPREAD_MS);
-            return random.nextBoolean() ? new Delay(0, heldMs) : new Delay(heldMs, 0);
+        if (delayedShare > 0 && random.nextDouble() < delayedShare) {
+            long delayMs = MIN_DELAY_MS + random.nextInt(DELAY_SPREAD_MS);
+            return random.nextBoolean() ? new Delay(0, delayMs) : new Delay(delayMs, 0);
         }
         return Delay.NONE;
     }
--- a/src/test/java/io/quartzgw/simulation/LoopbackCluster.java
+++ b/src/test/java/io/quartzgw/simulation/LoopbackCluster.java
@@ -60,17 +60,7 @@
         cloudServer = serve((call, now, then) -> cloud.handle(call, now, then));
         clientPorts = freePorts(nodes);
         peerPorts = freePorts(nodes);
-        cloud.listener(new SimulatedCloud.Listener() {
-            @Override
-            public void booted(String id, String type, String zone, boolean spot) {
-                boot(id, type, zone, spot);
-            }
-
-            @Override
-            public void gone(String id) {
-                workers.remove(id);
-            }
-        });
+        cloud.onMachineChange(this::boot, workers::remove);
         clock.scheduleAtFixedRate(this::tick, 20, 20, TimeUnit.MILLISECONDS);
     }
 
@@ -148,16 +138,15 @@
 
     private void boot(String id, String type, String zone, boolean spot) {
         SimulatedAgent worker = new SimulatedAgent(
-                id, addressOf(id), type, zone, spot, LEASE_MS, now(), this::description, new SimulatedAgent.Watcher() {
-                    @Override
-                    public void started(SimulatedAgent on, String task) {}
-
-                    @Override
-                    public void ended(SimulatedAgent on, String task) {}
-
-                    @Override
-                    public void completed(String task) {}
-                });
+                id,
+                addressOf(id),
+                type,
+                zone,
+                spot,
+                LEASE_MS,
+                now(),
+                this::description,
+                new SimulatedAgent.Watcher() {});
         workers.put(id, worker);
         threads.execute(() -> reportForever(worker));
     }
--- a/src/test/java/io/quartzgw/simulation/NetworkPartitions.java
+++ b/src/test/java/io/quartzgw/simulation/NetworkPartitions.java
@@ -7,49 +7,48 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Which hosts are cut off from which, and the packets that are held back between them. */
+/** The partitions between hosts, and the packets that are held back by them. */
 final class NetworkPartitions {
-    /** Stands for whichever controller a worker reports to. */
+    /** Stands, as a receiver, for whichever controller an agent sends its heartbeats to. */
     static final String CONTROLLERS = "controllers";
 
-    private static final String ALL = "*";
+    private final Set<Link> partitioned = new HashSet<>();
+    private final Map<Link, List<Runnable>> heldPackets = new LinkedHashMap<>();
 
-    private final Set<String> cut = new HashSet<>();
-    private final Map<String, List<Runnable>> held = new LinkedHashMap<>();
+    private record Link(String from, String to) {}
 
-    private static String link(String one, String other) {
-        return one + "|" + other;
+    /** Partitions two hosts, or one from all with {@link Hosts#ALL}. */
+    void partition(String one, String other) {
+        partitioned.add(new Link(one, other));
     }
 
-    /** Cuts two hosts off from each other, or one from all with {@code "*"}. */
-    void cut(String one, String other) {
-        cut.add(link(one, other));
-    }
-
-    /** Ends a cut, and returns every packet that was held back anywhere, in order. */
+    /** Heals a partition, and returns the packets that were held back by any partition, in order. */
     List<Runnable> heal(String one, String other) {
-        cut.remove(link(one, other));
-        List<Runnable> packets = held.values().stream().flatMap(List::stream).toList();
-        held.clear();
+        partitioned.remove(new Link(one, other));
+        List<Runnable> packets =
+                heldPackets.values().stream().flatMap(List::stream).toList();
+        heldPackets.clear();
         return packets;
     }
 
-    /** Ends a cut whose packets are lost for good. */
-    void drop(String one, String other) {
-        cut.remove(link(one, other));
-        held.remove(link(one, other));
-        held.remove(link(other, one));
+    /** Heals a partition whose packets are lost for good. */
+    void healDroppingPackets(String one, String other) {
+        partitioned.remove(new Link(one, other));
+        heldPackets.remove(new Link(one, other));
+        heldPackets.remove(new Link(other, one));
     }
 
-    boolean isCut(String one, String other) {
-        return cut.contains(link(one, other))
-                || cut.contains(link(other, one))
-                || cut.contains(link(one, ALL))
-                || cut.contains(link(other, ALL));
+    boolean isPartitioned(String one, String other) {
+        return partitioned.contains(new Link(one, other))
+                || partitioned.contains(new Link(other, one))
+                || partitioned.contains(new Link(one, Hosts.ALL))
+                || partitioned.contains(new Link(other, Hosts.ALL));
     }
 
-    /** Holds a packet back until a cut ends. */
-    void hold(String from, String to, Runnable arrive) {
-        held.computeIfAbsent(link(from, to), key -> new ArrayList<>()).add(arrive);
+    /** Holds a packet back until a partition heals. */
+    void hold(String from, String to, Runnable packet) {
+        heldPackets
+                .computeIfAbsent(new Link(from, to), link -> new ArrayList<>())
+                .add(packet);
     }
 }
--- a/src/test/java/io/quartzgw/simulation/ProtocolInvariants.java
+++ b/src/test/java/io/quartzgw/simulation/ProtocolInvariants.java
@@ -8,6 +8,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
@@ -37,16 +38,13 @@
     private final Map<String, Long> finalAt = new HashMap<>();
     private final Map<String, Long> answeredAt = new HashMap<>();
     private long troublesOverAt = Long.MAX_VALUE;
-    private LongSupplier clock = () -> 0;
+    private final LongSupplier clock;
 
     /** @param limits how many CPUs the tasks of a team may take at once; no entry: as many as there are */
-    ProtocolInvariants(long cancelMs, Map<String, Double> limits) {
+    ProtocolInvariants(long cancelMs, Map<String, Double> limits, LongSupplier clock) {
         this.cancelMs = cancelMs;
         this.limits = limits;
-    }
-
-    void now(LongSupplier told) {
-        this.clock = told;
+        this.clock = clock;
     }
 
     public List<String> violations() {
@@ -62,9 +60,9 @@
         return startsAfterCancellation;
     }
 
-    /** @param recordResponse hears of each job whose last task has just completed */
-    void lastTaskEnded(Consumer<String> told) {
-        this.lastTaskEnded = told;
+    /** Sets what is called with each job whose last task has just completed. */
+    void onLastTaskEnded(Consumer<String> action) {
+        this.lastTaskEnded = action;
     }
 
     void recordCancellationRequest(String job) {
@@ -81,8 +79,14 @@
                 .toList();
     }
 
-    public String finalPhase(String job) {
-        return lastFinal.get(job);
+    /** The final phase of a job as users were told it; empty while it is open. */
+    public Optional<String> finalPhase(String job) {
+        return Optional.ofNullable(lastFinal.get(job));
+    }
+
+    /** Whether users were told that a job has ended in a phase. */
+    public boolean hasEndedIn(String phase, String job) {
+        return phase.equals(lastFinal.get(job));
     }
 
     public Set<String> runningTasks() {
--- a/src/test/java/io/quartzgw/simulation/SimulatedAgent.java
+++ b/src/test/java/io/quartzgw/simulation/SimulatedAgent.java
@@ -23,13 +23,16 @@
     public record Description(
             double cpus, double runS, double longerS, double imageS, boolean service, boolean faulty) {}
 
-    /** Told when a task begins to be, and ceases to be, on the machine. */
+    /** Hears of the starts and ends of tasks on a machine. */
     public interface Watcher {
-        void started(SimulatedAgent on, String task);
+        /** A task has begun to run. */
+        default void started(SimulatedAgent on, String task) {}
 
-        void ended(SimulatedAgent on, String task);
+        /** A task runs no more, for whatever reason. */
+        default void ended(SimulatedAgent on, String task) {}
 
-        void completed(String task);
+        /** A task has come to its regular end. */
+        default void completed(String task) {}
     }
 
     private static final class Task {
--- a/src/test/java/io/quartzgw/simulation/SimulatedCloud.java
+++ b/src/test/java/io/quartzgw/simulation/SimulatedCloud.java
@@ -26,13 +26,12 @@
     private final Map<String, List<String>> answered = new HashMap<>();
     private final List<Snapshot> history = new ArrayList<>();
     private final Function<String, String> addresses;
-    private Listener listener;
+    private BootListener onBoot = (id, type, zone, spot) -> {};
+    private Consumer<String> onRemoval = id -> {};
 
-    /** What happens to machines. */
-    public interface Listener {
+    /** Is called when a machine is up. */
+    public interface BootListener {
         void booted(String id, String type, String zone, boolean spot);
-
-        void gone(String id);
     }
 
     private record Rented(String type, String zone, boolean spot, long since, boolean failed) {}
@@ -53,8 +52,10 @@
         this.capacity = capacity;
     }
 
-    public void listener(Listener told) {
-        this.listener = told;
+    /** Sets what is called when a machine is up, and what is called with the name of one that is gone. */
+    public void onMachineChange(BootListener boot, Consumer<String> removal) {
+        this.onBoot = boot;
+        this.onRemoval = removal;
     }
 
     /** A machine stops on its own. */
@@ -62,7 +63,7 @@
         Rented machine = machines.get(id);
         if (machine != null) {
             machines.put(id, new Rented(machine.type, machine.zone, machine.spot, machine.since, true));
-            listener.gone(id);
+            onRemoval.accept(id);
             note(now);
         }
     }
@@ -70,7 +71,7 @@
     /** The cloud takes a machine back: it is gone, and in no list any more. */
     public void reclaim(String id, long now) {
         if (machines.remove(id) != null) {
-            listener.gone(id);
+            onRemoval.accept(id);
             note(now);
         }
     }
@@ -91,7 +92,7 @@
     public void advanceTo(long now) {
         machines.forEach((id, machine) -> {
             if (!machine.failed && now - machine.since >= setBootMs && up.add(id)) {
-                listener.booted(id, machine.type, machine.zone, machine.spot);
+                onBoot.booted(id, machine.type, machine.zone, machine.spot);
             }
         });
     }
@@ -105,7 +106,7 @@
             case "/rentals/delete" -> {
                 body.path("hosts").forEach(host -> {
                     if (machines.remove(host.asText()) != null) {
-                        listener.gone(host.asText());
+                        onRemoval.accept(host.asText());
                     }
                 });
                 note(now);
--- /dev/null
+++ b/src/test/java/io/quartzgw/simulation/SimulatedController.java
@@ -0,0 +1,194 @@
+package io.quartzgw.simulation;
+
+import io.quartzgw.app.Controller;
+import io.quartzgw.app.Settings;
+import io.quartzgw.eventloop.Command;
+import io.quartzgw.eventloop.Effect;
+import io.quartzgw.eventloop.EventLoop;
+import io.quartzgw.http.Call;
+import io.quartzgw.http.Json;
+import io.quartzgw.http.ListenerKind;
+import io.quartzgw.http.Reply;
+import io.quartzgw.http.Request;
+import io.quartzgw.http.Response;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.function.Consumer;
+
+/**
+ * One controller of the cluster, through any number of its processes: the program's event loop with simulated time,
+ * listeners and connections. Events that were scheduled for a process are void once it has crashed.
+ */
+final class SimulatedController {
+    private final String name;
+    private final SimulationContext context;
+    private final SimulatedNetwork network;
+    private final MessageDigests digests;
+    private final Map<Long, Consumer<Response>> openRequests = new HashMap<>();
+    private final List<Command> receivedWhilePaused = new ArrayList<>();
+    private final List<Command> nextBatch = new ArrayList<>();
+    private Optional<Controller> controller = Optional.empty();
+    private EventLoop eventLoop;
+    /** Counts starts and crashes, to tell the processes of this controller apart. */
+    private long incarnation;
+
+    private long wakeUpAt = Long.MAX_VALUE;
+    private long requestCount;
+    private boolean paused;
+    private long maxBatchDelayMs;
+
+    SimulatedController(String name, SimulationContext context, SimulatedNetwork network, MessageDigests digests) {
+        this.name = name;
+        this.context = context;
+        this.network = network;
+        this.digests = digests;
+    }
+
+    /** Starts a new process. */
+    void start(Settings settings, long processId) {
+        incarnation++;
+        wakeUpAt = Long.MAX_VALUE;
+        openRequests.clear();
+        paused = false;
+        receivedWhilePaused.clear();
+        nextBatch.clear();
+        eventLoop = new EventLoop(context.random().nextLong());
+        eventLoop.processBatch(List.of(), context.events().clockReading());
+        Controller started = new Controller(eventLoop, settings, processId, Json::object);
+        controller = Optional.of(started);
+        started.start();
+        process(List.of());
+    }
+
+    /** Ends the process without notice. */
+    void crash() {
+        incarnation++;
+        controller = Optional.empty();
+    }
+
+    /** Pauses the process while its clocks run on; it processes what it received meanwhile when it resumes. */
+    void pause(long durationMs) {
+        if (!isUp() || paused) {
+            return;
+        }
+        paused = true;
+        long pausedIncarnation = incarnation;
+        context.events().scheduleAfter(durationMs, () -> {
+            if (incarnation == pausedIncarnation) {
+                paused = false;
+                List<Command> received = List.copyOf(receivedWhilePaused);
+                receivedWhilePaused.clear();
+                process(received);
+            }
+        });
+    }
+
+    /** Sets the longest time for which commands are collected into one batch; 0 processes each at once. */
+    void setMaxBatchDelay(long delayMs) {
+        maxBatchDelayMs = delayMs;
+    }
+
+    boolean isUp() {
+        return controller.isPresent();
+    }
+
+    boolean isLeading() {
+        return controller.filter(Controller::isLeading).isPresent();
+    }
+
+    /** The term that the running process has seen. */
+    long term() {
+        return controller.orElseThrow().term();
+    }
+
+    /** How many commands have failed inside the running process. */
+    long failedCommands() {
+        return eventLoop.failures();
+    }
+
+    /** The counters of the running process, by name. */
+    Map<String, Long> counters() {
+        return eventLoop.counters();
+    }
+
+    /** Delivers a request to a listener of the controller; without effect when it is down. */
+    void deliver(ListenerKind listener, Call call, Consumer<Reply> onReply) {
+        if (!isUp()) {
+            return;
+        }
+        long id = ++requestCount;
+        openRequests.put(id, response -> onReply.accept(new Reply(response.status(), response.body())));
+        byte[] body = call.body() == null ? new byte[0] : call.body();
+        receive(new Command.Arrived(new Request(id, listener, call.method(), call.path(), "", body)));
+    }
+
+    private void receive(Command command) {
+        if (maxBatchDelayMs == 0) {
+            process(List.of(command));
+            return;
+        }
+        nextBatch.add(command);
+        if (nextBatch.size() == 1) {
+            scheduleForThisProcess(context.random().nextLong(maxBatchDelayMs), () -> {
+                List<Command> batch = List.copyOf(nextBatch);
+                nextBatch.clear();
+                process(batch);
+            });
+        }
+    }
+
+    private void process(List<Command> batch) {
+        if (paused) {
+            receivedWhilePaused.addAll(batch);
+            return;
+        }
+        EventQueue events = context.events();
+        // Log lines show the thread's name: here the simulated time and the controller.
+        Thread.currentThread().setName(events.now() + " " + name);
+        for (Effect effect : eventLoop.processBatch(batch, events.clockReading())) {
+            digests.add(events.now(), name, effect);
+            carryOut(effect);
+        }
+        scheduleWakeUp();
+    }
+
+    private void carryOut(Effect effect) {
+        if (effect instanceof Effect.Answer answer) {
+            Consumer<Response> receiver = openRequests.remove(answer.exchange());
+            if (receiver != null) {
+                receiver.accept(answer.response());
+            }
+        } else if (effect instanceof Effect.Send send) {
+            long sender = incarnation;
+            network.send(name, send.request(), reply -> {
+                if (incarnation == sender && isUp()) {
+                    receive(new Command.CallEnded(send.call(), reply));
+                }
+            });
+        }
+    }
+
+    private void scheduleWakeUp() {
+        long now = context.events().now();
+        long due = Math.max(now + 1, eventLoop.nextTimerAt());
+        if (due < wakeUpAt) {
+            wakeUpAt = due;
+            scheduleForThisProcess(due - now, () -> {
+                wakeUpAt = Long.MAX_VALUE;
+                process(List.of());
+            });
+        }
+    }
+
+    private void scheduleForThisProcess(long delayMs, Runnable action) {
+        long scheduledFor = incarnation;
+        context.events().scheduleAfter(delayMs, () -> {
+            if (incarnation == scheduledFor && isUp()) {
+                action.run();
+            }
+        });
+    }
+}
--- /dev/null
+++ b/src/test/java/io/quartzgw/simulation/SimulatedControllers.java
@@ -0,0 +1,103 @@
+package io.quartzgw.simulation;
+
+import io.quartzgw.app.Settings;
+import io.quartzgw.http.Call;
+import io.quartzgw.http.ListenerKind;
+import io.quartzgw.http.Reply;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.function.Consumer;
+
+/** All controllers of a simulated cluster, by index. */
+final class SimulatedControllers {
+    private final SimulationContext context;
+    private final SimulationSettings settings;
+    private final MessageDigests digests = new MessageDigests();
+    private final List<SimulatedController> controllers = new ArrayList<>();
+    private long processCount;
+
+    SimulatedControllers(SimulationContext context, SimulationSettings settings, SimulatedNetwork network, int count) {
+        this.context = context;
+        this.settings = settings;
+        for (int i = 0; i < count; i++) {
+            controllers.add(new SimulatedController(Hosts.controller(i), context, network, digests));
+        }
+    }
+
+    int count() {
+        return controllers.size();
+    }
+
+    /** A controller drawn at random. */
+    int anyIndex() {
+        return context.random().nextInt(controllers.size());
+    }
+
+    Settings settings(int index) {
+        return settings.of(index, controllers.size());
+    }
+
+    void start(int index) {
+        controllers.get(index).start(settings(index), ++processCount);
+    }
+
+    void startAll() {
+        for (int i = 0; i < controllers.size(); i++) {
+            start(i);
+        }
+    }
+
+    void crash(int index) {
+        controllers.get(index).crash();
+    }
+
+    void pause(int index, long durationMs) {
+        controllers.get(index).pause(durationMs);
+    }
+
+    void setMaxBatchDelay(long delayMs) {
+        controllers.forEach(controller -> controller.setMaxBatchDelay(delayMs));
+    }
+
+    boolean isUp(int index) {
+        return controllers.get(index).isUp();
+    }
+
+    /** The index of the controller that leads with the highest term, or {@link ClusterSimulation#NO_LEADER}. */
+    int leader() {
+        int leader = ClusterSimulation.NO_LEADER;
+        for (int i = 0; i < controllers.size(); i++) {
+            SimulatedController candidate = controllers.get(i);
+            if (candidate.isLeading()
+                    && (leader < 0 || candidate.term() > controllers.get(leader).term())) {
+                leader = i;
+            }
+        }
+        return leader;
+    }
+
+    void deliver(int index, ListenerKind listener, Call call, Consumer<Reply> onReply) {
+        controllers.get(index).deliver(listener, call, onReply);
+    }
+
+    long failedCommands() {
+        return controllers.stream()
+                .filter(SimulatedController::isUp)
+                .mapToLong(SimulatedController::failedCommands)
+                .sum();
+    }
+
+    Map<String, Long> counters() {
+        Map<String, Long> sums = new TreeMap<>();
+        controllers.stream().filter(SimulatedController::isUp).forEach(controller -> controller
+                .counters()
+                .forEach((name, count) -> sums.merge(name, count, Long::sum)));
+        return sums;
+    }
+
+    String messageDigest() {
+        return digests.summary();
+    }
+}
--- /dev/null
+++ b/src/test/java/io/quartzgw/simulation/SimulatedUsers.java
@@ -0,0 +1,223 @@
+package io.quartzgw.simulation;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import io.quartzgw.http.Call;
+import io.quartzgw.http.Endpoint;
+import io.quartzgw.http.Json;
+import io.quartzgw.http.ListenerKind;
+import io.quartzgw.http.Reply;
+import java.util.List;
+import java.util.Optional;
+import java.util.OptionalLong;
+import java.util.SplittableRandom;
+import java.util.function.Consumer;
+
+/** Users, who submit, query and cancel jobs at any controller; the invariants are checked with each response. */
+public final class SimulatedUsers {
+    private static final long TIMEOUT_MS = 5_000;
+    private static final long RETRY_DELAY_MS = 1_000;
+    private static final int MIN_QUERY_DELAY_MS = 2_000;
+    private static final int QUERY_DELAY_SPREAD_MS = 1_000;
+    /** Within such a time after its last task a job is cancelled, while its end is being written. */
+    private static final int CANCEL_AT_END_SPREAD_MS = 60;
+
+    private static final int CANCEL_SPREAD_MS = 200;
+    /** One in so many submissions is repeated beside invalid requests. */
+    private static final int REPEATED_ONE_IN = 4;
+
+    private static final String JOBS_PATH = "/submissions";
+    private static final Endpoint UNUSED_ENDPOINT = new Endpoint("10.0.0.1", 1);
+
+    private final EventQueue events;
+    private final SplittableRandom random;
+    private final SimulatedNetwork network;
+    private final SimulatedControllers controllers;
+    private final SubmittedJobs jobs;
+    private final ProtocolInvariants invariants;
+    private double cancelAtEndShare;
+
+    SimulatedUsers(
+            SimulationContext context,
+            SimulatedNetwork network,
+            SimulatedControllers controllers,
+            SubmittedJobs jobs,
+            ProtocolInvariants invariants) {
+        this.events = context.events();
+        this.random = context.random();
+        this.network = network;
+        this.controllers = controllers;
+        this.jobs = jobs;
+        this.invariants = invariants;
+        invariants.onLastTaskEnded(this::maybeCancelAtEnd);
+    }
+
+    // ---- single requests
+
+    /** Sends a request without a body to a controller; its reply is lost when there is none within 5 s. */
+    public void sendRequest(int controller, String method, String path, Consumer<Reply> onReply) {
+        send(controller, method, Call.get(UNUSED_ENDPOINT, path, TIMEOUT_MS), onReply);
+    }
+
+    /** Sends a request with a JSON body to a controller; its reply is lost when there is none within 5 s. */
+    public void sendRequest(int controller, String method, String path, JsonNode body, Consumer<Reply> onReply) {
+        send(controller, method, Call.post(UNUSED_ENDPOINT, path, body, TIMEOUT_MS), onReply);
+    }
+
+    private void send(int controller, String method, Call call, Consumer<Reply> onReply) {
+        SingleReply firstReply = new SingleReply(onReply);
+        events.scheduleAfter(TIMEOUT_MS, () -> firstReply.accept(Reply.lost()));
+        Call request = new Call(call.endpoint(), method, call.path(), call.type(), call.body(), TIMEOUT_MS);
+        events.scheduleAfter(
+                1,
+                () -> controllers.deliver(
+                        controller,
+                        ListenerKind.CLIENT,
+                        request,
+                        reply -> events.scheduleAfter(1, () -> firstReply.accept(reply))));
+    }
+
+    /** Queries a job at one controller, once. */
+    public void queryJob(int controller, String job, Consumer<Reply> onReply) {
+        long sentAt = events.now();
+        sendRequest(controller, "GET", jobPath(job), reply -> receive(job, reply, sentAt, onReply));
+    }
+
+    /** Cancels a job at one controller, once. */
+    public void cancelJob(int controller, String job, Consumer<Reply> onReply) {
+        invariants.recordCancellationRequest(job);
+        postForJob(controller, job, cancelPath(job), Json.object(), onReply);
+    }
+
+    /** Submits a job at one controller, once; also to repeat an earlier submission. */
+    public void submitOnce(int controller, JsonNode spec, Consumer<Reply> onReply) {
+        recordSubmission(spec);
+        postForJob(controller, spec.path("id").asText(), JOBS_PATH, spec, onReply);
+    }
+
+    private void postForJob(int controller, String job, String path, JsonNode body, Consumer<Reply> onReply) {
+        long sentAt = events.now();
+        sendRequest(controller, "POST", path, body, reply -> receive(job, reply, sentAt, onReply));
+    }
+
+    private void receive(String job, Reply reply, long sentAt, Consumer<Reply> onReply) {
+        if (isSuccess(reply) || reply.status() == 404) {
+            invariants.recordResponse(job, reply, sentAt, events.now());
+        }
+        onReply.accept(reply);
+    }
+
+    private static boolean isSuccess(Reply reply) {
+        return reply.status() / 100 == 2;
+    }
+
+    private static String jobPath(String job) {
+        return JOBS_PATH + "/" + job;
+    }
+
+    private static String cancelPath(String job) {
+        return jobPath(job) + "/abort";
+    }
+
+    private void recordSubmission(JsonNode spec) {
+        jobs.add(spec);
+        invariants.recordSubmission(spec);
+    }
+
+    /** The spec of a job that was submitted. */
+    public Optional<JsonNode> submittedSpec(String job) {
+        return jobs.find(job);
+    }
+
+    // ---- jobs that users follow to their end
+
+    /** Submits a job until it is accepted, and queries it from then on. */
+    public void submitUntilAccepted(JsonNode spec) {
+        submitUntilAccepted(spec, OptionalLong.empty());
+    }
+
+    /** Submits a job until it is accepted, queries it from then on, and perhaps cancels it at a time. */
+    public void submitUntilAccepted(JsonNode spec, OptionalLong cancelAt) {
+        recordSubmission(spec);
+        String job = spec.path("id").asText();
+        retrySubmission(job, spec);
+        cancelAt.ifPresent(time -> events.schedule(time, () -> retryCancellation(job)));
+    }
+
+    private void retrySubmission(String job, JsonNode spec) {
+        network.maybeDuplicate(() -> repeatSubmission(job, spec));
+        postForJob(controllers.anyIndex(), job, JOBS_PATH, spec, reply -> {
+            if (isSuccess(reply)) {
+                queryRepeatedly(job);
+            } else {
+                invariants.recordRejection(job, reply.status());
+                events.scheduleAfter(RETRY_DELAY_MS, () -> retrySubmission(job, spec));
+            }
+        });
+    }
+
+    private void repeatSubmission(String job, JsonNode spec) {
+        postForJob(
+                controllers.anyIndex(), job, JOBS_PATH, spec, reply -> invariants.recordRejection(job, reply.status()));
+    }
+
+    private void queryRepeatedly(String job) {
+        events.scheduleAfter(
+                MIN_QUERY_DELAY_MS + random.nextInt(QUERY_DELAY_SPREAD_MS),
+                () -> queryJob(controllers.anyIndex(), job, reply -> queryRepeatedly(job)));
+    }
+
+    private void retryCancellation(String job) {
+        invariants.recordCancellationRequest(job);
+        network.maybeDuplicate(
+                () -> postForJob(controllers.anyIndex(), job, cancelPath(job), Json.object(), reply -> {}));
+        postForJob(controllers.anyIndex(), job, cancelPath(job), Json.object(), reply -> {
+            if (!reply.ok()) {
+                events.scheduleAfter(RETRY_DELAY_MS, () -> retryCancellation(job));
+            }
+        });
+    }
+
+    // ---- disturbances
+
+    /** Sets the share of jobs that are cancelled at the moment when their last task ends. */
+    public void cancelJobsAtLastTaskEnd(double share) {
+        cancelAtEndShare = share;
+    }
+
+    private void maybeCancelAtEnd(String job) {
+        if (cancelAtEndShare > 0 && random.nextDouble() < cancelAtEndShare) {
+            events.scheduleAfter(random.nextInt(CANCEL_AT_END_SPREAD_MS), () -> retryCancellation(job));
+        }
+    }
+
+    /** Cancels a number of the running jobs, all within a moment. */
+    public void cancelRunningJobs(int count) {
+        List<String> running = invariants.runningJobs();
+        for (String job : running.subList(0, Math.min(count, running.size()))) {
+            events.scheduleAfter(random.nextInt(CANCEL_SPREAD_MS), () -> retryCancellation(job));
+        }
+    }
+
+    /**
+     * Sends what is no job or can never run, repeats submissions that were accepted, and queries and cancels a job that
+     * nobody submitted.
+     */
+    public void sendInvalidRequests() {
+        for (JsonNode spec : jobs.all()) {
+            if (random.nextInt(REPEATED_ONE_IN) == 0) {
+                repeatSubmission(spec.path("id").asText(), spec);
+            }
+        }
+        String unknown = "j-9" + events.now();
+        InvalidJobs.of(unknown)
+                .forEach(spec -> sendRequest(
+                        controllers.anyIndex(),
+                        "POST",
+                        JOBS_PATH,
+                        spec,
+                        reply -> invariants.recordResponseToInvalidJob(spec.toString(), reply.status())));
+        Consumer<Reply> onReply = reply -> invariants.recordResponseForUnknownJob(unknown, reply.status());
+        sendRequest(controllers.anyIndex(), "GET", jobPath(unknown), onReply);
+        sendRequest(controllers.anyIndex(), "POST", cancelPath(unknown), Json.object(), onReply);
+    }
+}
