--- a/src/test/java/io/quartzgw/simulation/LoopbackCluster.java
+++ b/src/test/java/io/quartzgw/simulation/LoopbackCluster.java
@@ -60,17 +60,7 @@
         cloudServer = serve((call, now, then) -> cloud.handle(call, now, then));
         clientPorts = freePorts(nodes);
         peerPorts = freePorts(nodes);
-        cloud.listener(new SimulatedCloud.Listener() {
-            @Override
-            public void booted(String id, String type, String zone, boolean spot) {
-                boot(id, type, zone, spot);
-            }
-
-            @Override
-            public void gone(String id) {
-                workers.remove(id);
-            }
-        });
+        cloud.onMachineChange(this::boot, workers::remove);
         clock.scheduleAtFixedRate(this::tick, 20, 20, TimeUnit.MILLISECONDS);
     }
 
@@ -119,9 +109,9 @@
     }
 
     private synchronized void tick() {
-        store.tick(now());
-        cloud.tick(now());
-        workers.values().forEach(worker -> worker.tick(now()));
+        store.advanceTo(now());
+        cloud.advanceTo(now());
+        workers.values().forEach(worker -> worker.advanceTo(now()));
     }
 
     // ---- workers
@@ -136,7 +126,7 @@
                                     then.accept(
                                             worker == null
                                                     ? new Reply(503, new byte[0])
-                                                    : worker.orders(Json.readOrNull(call.body()), now));
+                                                    : worker.receiveCommands(Json.readOrNull(call.body()), now));
                                 });
                             } catch (IOException e) {
                                 throw new IllegalStateException(e);
@@ -148,16 +138,15 @@
 
     private void boot(String id, String type, String zone, boolean spot) {
         SimulatedAgent worker = new SimulatedAgent(
-                id, addressOf(id), type, zone, spot, LEASE_MS, now(), this::description, new SimulatedAgent.Watcher() {
-                    @Override
-                    public void started(SimulatedAgent on, String task) {}
-
-                    @Override
-                    public void ended(SimulatedAgent on, String task) {}
-
-                    @Override
-                    public void completed(String task) {}
-                });
+                id,
+                addressOf(id),
+                type,
+                zone,
+                spot,
+                LEASE_MS,
+                now(),
+                this::description,
+                new SimulatedAgent.Watcher() {});
         workers.put(id, worker);
         threads.execute(() -> reportForever(worker));
     }
@@ -182,8 +171,8 @@
             JsonNode report;
             long session;
             synchronized (this) {
-                report = worker.report(now());
-                session = worker.session();
+                report = worker.heartbeat(now());
+                session = worker.epoch();
             }
             Reply reply = request(home, "POST", "/hello", report);
             if (reply.status() == 421 && reply.json().has("home_controller")) {
@@ -193,7 +182,7 @@
                 home = (home + 1) % clientPorts.length;
             }
             synchronized (this) {
-                worker.answered(reply, session, sentAt, now());
+                worker.receiveHeartbeatResponse(reply, session, sentAt, now());
             }
             pause(REPORT_MS);
         }
@@ -229,7 +218,7 @@
 
     /** Begins or ends an outage of the state service. */
     public synchronized void storeOutage(boolean on) {
-        store.outage(on);
+        store.setOutage(on);
     }
 
     /** Asks a node's peer listener, which answers operators too. */
--- a/src/test/java/io/quartzgw/simulation/ProtocolInvariants.java
+++ b/src/test/java/io/quartzgw/simulation/ProtocolInvariants.java
@@ -8,6 +8,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
@@ -21,14 +22,14 @@
 
     private final long cancelMs;
     private final Map<String, Double> limits;
-    private final List<String> broken = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
     private final Map<String, JsonNode> specs = new HashMap<>();
     private final Map<String, SimulatedAgent> running = new HashMap<>();
     private final Map<String, Integer> starts = new HashMap<>();
     private final Map<String, Set<Integer>> completed = new HashMap<>();
     private final Map<String, String> lastFinal = new HashMap<>();
     private final Map<String, Long> cancelledAt = new HashMap<>();
-    private final Set<String> abortAsked = new HashSet<>();
+    private final Set<String> recordCancellationRequest = new HashSet<>();
     private final Map<String, Long> waitingSince = new HashMap<>();
     private int startsAfterCancellation;
     private Consumer<String> lastTaskEnded = job -> {};
@@ -37,23 +38,20 @@
     private final Map<String, Long> finalAt = new HashMap<>();
     private final Map<String, Long> answeredAt = new HashMap<>();
     private long troublesOverAt = Long.MAX_VALUE;
-    private LongSupplier clock = () -> 0;
+    private final LongSupplier clock;
 
     /** @param limits how many CPUs the tasks of a team may take at once; no entry: as many as there are */
-    ProtocolInvariants(long cancelMs, Map<String, Double> limits) {
+    ProtocolInvariants(long cancelMs, Map<String, Double> limits, LongSupplier clock) {
         this.cancelMs = cancelMs;
         this.limits = limits;
+        this.clock = clock;
     }
 
-    void now(LongSupplier told) {
-        this.clock = told;
+    public List<String> violations() {
+        return violations;
     }
 
-    public List<String> broken() {
-        return broken;
-    }
-
-    public int started() {
+    public int startCount() {
         return starts.values().stream().mapToInt(Integer::intValue).sum();
     }
 
@@ -62,13 +60,13 @@
         return startsAfterCancellation;
     }
 
-    /** @param told hears of each job whose last task has just completed */
-    void lastTaskEnded(Consumer<String> told) {
-        this.lastTaskEnded = told;
+    /** Sets what is called with each job whose last task has just completed. */
+    void onLastTaskEnded(Consumer<String> action) {
+        this.lastTaskEnded = action;
     }
 
-    void abortAsked(String job) {
-        abortAsked.add(job);
+    void recordCancellationRequest(String job) {
+        recordCancellationRequest.add(job);
     }
 
     /** Open jobs of which a task runs, in the order of their names. */
@@ -81,8 +79,14 @@
                 .toList();
     }
 
-    public String finalPhase(String job) {
-        return lastFinal.get(job);
+    /** The final phase of a job as users were told it; empty while it is open. */
+    public Optional<String> finalPhase(String job) {
+        return Optional.ofNullable(lastFinal.get(job));
+    }
+
+    /** Whether users were told that a job has ended in a phase. */
+    public boolean hasEndedIn(String phase, String job) {
+        return phase.equals(lastFinal.get(job));
     }
 
     public Set<String> runningTasks() {
@@ -90,7 +94,7 @@
     }
 
     /** All troubles are over: from now on every accepted job stays known, however others fare. */
-    public void troublesOver(long now) {
+    public void faultsOver(long now) {
         troublesOverAt = now;
     }
 
@@ -112,12 +116,12 @@
         return missing;
     }
 
-    void submitted(JsonNode spec) {
+    void recordSubmission(JsonNode spec) {
         specs.put(spec.path("id").asText(), spec);
     }
 
     private void breach(String rule, String what) {
-        broken.add(clock.getAsLong() + " ms: " + rule + ": " + what);
+        violations.add(clock.getAsLong() + " ms: " + rule + ": " + what);
     }
 
     private static String job(String task) {
@@ -187,28 +191,28 @@
         }
     }
 
-    void refused(String id, int status) {
+    void recordRejection(String id, int status) {
         if (accepted.contains(id) && (status == 400 || status == 422)) {
             breach("forgotten", id + " is refused with " + status);
         }
     }
 
     /** A job that can't run, or is no job, was answered. */
-    void toldOfBadJob(String what, int status) {
+    void recordResponseToInvalidJob(String what, int status) {
         if (status / 100 == 2 || status == 404) {
             breach("accepted", what + " is answered " + status);
         }
     }
 
     /** Somebody asked about a job that nobody submitted. */
-    void toldOfNoJob(String id, int status) {
+    void recordResponseForUnknownJob(String id, int status) {
         if (status / 100 == 2) {
             breach("invented", id);
         }
     }
 
     /** @param asked when the question was asked: an answer that was overtaken on its way is no older one */
-    void told(String id, Reply reply, long asked, long now) {
+    void recordResponse(String id, Reply reply, long asked, long now) {
         if (reply.status() == 404 && accepted.contains(id) && asked > acceptedAt.get(id)) {
             breach("forgotten", id + " is answered 404");
         }
@@ -229,7 +233,7 @@
         }
         if (phase.equals("withdrawn")) {
             cancelledAt.putIfAbsent(id, now);
-            if (!abortAsked.contains(id)) {
+            if (!recordCancellationRequest.contains(id)) {
                 breach("went_back", id + " is cancelled though nobody asked for it");
             }
         }
@@ -241,7 +245,7 @@
     }
 
     /** Looks for tasks that are on a machine too long after their job was cancelled. */
-    public void sweep(long now) {
+    public void checkDeadlines(long now) {
         for (String job : accepted) {
             if (now > troublesOverAt
                     && !cancelledAt.containsKey(job)
@@ -258,7 +262,7 @@
     }
 
     /** Looks for jobs that wait though a machine that fits has room; to be called once all troubles are over. */
-    public void sweepWaiting(Collection<SimulatedAgent> machines, long now) {
+    public void checkWaitingJobs(Collection<SimulatedAgent> machines, long now) {
         for (String job : accepted) {
             boolean could = !lastFinal.containsKey(job)
                     && specs.get(job).path("shards").asInt()
--- a/src/test/java/io/quartzgw/simulation/SimulatedCloud.java
+++ b/src/test/java/io/quartzgw/simulation/SimulatedCloud.java
@@ -20,19 +20,18 @@
 /** The cloud as its protocol page describes it, with a machine list that lags; time is handed in. */
 public final class SimulatedCloud {
     private final long lagMs;
-    private long bootMs;
+    private long setBootMs;
     private final int capacity;
     private final TreeMap<String, Rented> machines = new TreeMap<>();
     private final Map<String, List<String>> answered = new HashMap<>();
     private final List<Snapshot> history = new ArrayList<>();
     private final Function<String, String> addresses;
-    private Listener listener;
+    private BootListener onBoot = (id, type, zone, spot) -> {};
+    private Consumer<String> onRemoval = id -> {};
 
-    /** What happens to machines. */
-    public interface Listener {
+    /** Is called when a machine is up. */
+    public interface BootListener {
         void booted(String id, String type, String zone, boolean spot);
-
-        void gone(String id);
     }
 
     private record Rented(String type, String zone, boolean spot, long since, boolean failed) {}
@@ -43,18 +42,20 @@
 
     /**
      * @param lagMs by how much the machine list is late
-     * @param bootMs how long a machine boots
+     * @param setBootMs how long a machine boots
      * @param capacity how many machines there are in all
      */
     public SimulatedCloud(long lagMs, long bootMs, int capacity, Function<String, String> addresses) {
         this.addresses = addresses;
         this.lagMs = lagMs;
-        this.bootMs = bootMs;
+        this.setBootMs = bootMs;
         this.capacity = capacity;
     }
 
-    public void listener(Listener told) {
-        this.listener = told;
+    /** Sets what is called when a machine is up, and what is called with the name of one that is gone. */
+    public void onMachineChange(BootListener boot, Consumer<String> removal) {
+        this.onBoot = boot;
+        this.onRemoval = removal;
     }
 
     /** A machine stops on its own. */
@@ -62,22 +63,22 @@
         Rented machine = machines.get(id);
         if (machine != null) {
             machines.put(id, new Rented(machine.type, machine.zone, machine.spot, machine.since, true));
-            listener.gone(id);
+            onRemoval.accept(id);
             note(now);
         }
     }
 
     /** The cloud takes a machine back: it is gone, and in no list any more. */
-    public void take(String id, long now) {
+    public void reclaim(String id, long now) {
         if (machines.remove(id) != null) {
-            listener.gone(id);
+            onRemoval.accept(id);
             note(now);
         }
     }
 
     /** Sets how long machines boot from now on. */
-    public void bootMs(long ms) {
-        bootMs = ms;
+    public void setBootMs(long ms) {
+        setBootMs = ms;
     }
 
     /** The machines that are up. */
@@ -88,10 +89,10 @@
     }
 
     /** Lets time pass up to a moment. */
-    public void tick(long now) {
+    public void advanceTo(long now) {
         machines.forEach((id, machine) -> {
-            if (!machine.failed && now - machine.since >= bootMs && up.add(id)) {
-                listener.booted(id, machine.type, machine.zone, machine.spot);
+            if (!machine.failed && now - machine.since >= setBootMs && up.add(id)) {
+                onBoot.booted(id, machine.type, machine.zone, machine.spot);
             }
         });
     }
@@ -105,7 +106,7 @@
             case "/rentals/delete" -> {
                 body.path("hosts").forEach(host -> {
                     if (machines.remove(host.asText()) != null) {
-                        listener.gone(host.asText());
+                        onRemoval.accept(host.asText());
                     }
                 });
                 note(now);
@@ -167,7 +168,7 @@
                 seen.keySet().stream().filter(id -> id.compareTo(since) > 0).count() > most);
         seen.forEach((id, machine) -> {
             if (id.compareTo(since) > 0 && list.size() < most) {
-                String phase = machine.failed ? "failed" : asOf - machine.since >= bootMs ? "running" : "booting";
+                String phase = machine.failed ? "failed" : asOf - machine.since >= setBootMs ? "running" : "booting";
                 list.addObject()
                         .put("id", id)
                         .put("address", addresses.apply(id))
