--- a/src/test/java/io/quartzgw/leadership/LeadershipTest.java
+++ b/src/test/java/io/quartzgw/leadership/LeadershipTest.java
@@ -75,11 +75,11 @@
 
     @Test
     void leaseThatIsNotRenewedLosesItsConfirmationButNotTheTerm() {
-        storeServer.outage(true);
+        storeServer.setOutage(true);
         advance(TIMING.leaseMs() + STEP_MS);
         assertTrue(leadership.leading());
         assertFalse(leadership.isConfirmed());
-        storeServer.outage(false);
+        storeServer.setOutage(false);
         advance(TIMING.leaseMs());
         assertTrue(leadership.isConfirmed());
         assertEquals(List.of("elected 1"), events);
