--- a/src/main/java/io/quartzgw/app/Controller.java
+++ b/src/main/java/io/quartzgw/app/Controller.java
@@ -10,13 +10,15 @@
 import io.quartzgw.http.Json;
 import io.quartzgw.http.Request;
 import io.quartzgw.http.Response;
+import io.quartzgw.leadership.ControllerIdentity;
 import io.quartzgw.leadership.Leadership;
 import io.quartzgw.leadership.LeadershipTiming;
 import io.quartzgw.leadership.PeerExchange;
+import io.quartzgw.leadership.PeerPayloads;
 import io.quartzgw.leadership.WriteBudgetExchange;
 import io.quartzgw.store.StoreClient;
 import io.quartzgw.submission.Admission;
-import io.quartzgw.submission.JobCounts;
+import io.quartzgw.submission.JobCountsCodec;
 import io.quartzgw.submission.JobStore;
 import io.quartzgw.submission.OpenJob;
 import io.quartzgw.submission.SubmissionHandler;
@@ -64,31 +66,21 @@
         this.cancellations = new CancellationRegistry(eventLoop, cancelMs);
         this.watermark =
                 new CancellationWatermark(eventLoop, cancelMs, settings.peers().keySet());
-        this.leadership = new Leadership(eventLoop, store, timing, settings.member(), process, watermark);
-        this.peers = new PeerExchange(
-                eventLoop,
-                leadership,
-                store,
-                timing,
-                settings.member(),
-                process,
-                settings.peers(),
-                cancellations,
-                watermark,
-                new WriteBudgetExchange(
-                        eventLoop,
-                        leadership,
-                        store,
-                        settings.storeLimits(),
-                        timing,
-                        settings.member(),
-                        settings.size()));
+        ControllerIdentity identity = new ControllerIdentity(settings.member(), process);
+        this.leadership = new Leadership(eventLoop, store, timing, identity, watermark);
+        this.peers = new PeerExchange(eventLoop, timing, identity, settings.peers(), peerParticipants(settings));
         this.catalog = new MachineCatalog(eventLoop, store, cloud, leadership::leading);
         this.jobs = new JobStore(store);
         this.submissions = new SubmissionHandler(
                 eventLoop, store, jobs, catalog, new Admission(settings.teams()), new SubmissionEvents());
     }
 
+    private PeerExchange.Participants peerParticipants(Settings settings) {
+        WriteBudgetExchange writeBudget = new WriteBudgetExchange(
+                eventLoop, leadership, store, settings.storeLimits(), timing, settings.member(), settings.size());
+        return new PeerExchange.Participants(leadership, store, cancellations, watermark, writeBudget);
+    }
+
     /** Starts every part; to be called inside the event loop's first batch. */
     public void start() {
         RequestRouter router = new RequestRouter(eventLoop, requestHandlers());
@@ -97,12 +89,7 @@
         cancellations.listener(job -> leader.ifPresent(runtime -> runtime.jobCancelled(job)));
         catalog.start();
         leadership.start(new LeadershipChanges());
-        peers.start(
-                maxJobs -> leader.map(runtime ->
-                                (JsonNode) runtime.nextCountPage(maxJobs).toJson())
-                        .orElse(null),
-                page -> submissions.taskCounts(JobCounts.fromJson(page)),
-                this::applyNotice);
+        peers.start(new PeerPayloads(this::nextCountPage, this::applyCountPage, this::applyNotice));
     }
 
     public boolean isLeading() {
@@ -172,6 +159,14 @@
 
     // ---- jobs
 
+    private Optional<JsonNode> nextCountPage(int maxJobs) {
+        return leader.map(runtime -> JobCountsCodec.encode(runtime.nextCountPage(maxJobs)));
+    }
+
+    private void applyCountPage(JsonNode page) {
+        submissions.taskCounts(JobCountsCodec.decode(page));
+    }
+
     private void applyNotice(JsonNode notice) {
         leader.ifPresent(runtime -> AcceptedJobNotice.decode(notice).ifPresent(runtime::jobAccepted));
     }
--- a/src/main/java/io/quartzgw/app/HeartbeatEndpoint.java
+++ b/src/main/java/io/quartzgw/app/HeartbeatEndpoint.java
@@ -1,6 +1,8 @@
 package io.quartzgw.app;
 
 import io.quartzgw.agent.Heartbeat;
+import io.quartzgw.agent.HeartbeatCodec;
+import io.quartzgw.agent.HeartbeatResponseCodec;
 import io.quartzgw.eventloop.EventLoop;
 import io.quartzgw.http.Json;
 import io.quartzgw.http.Request;
@@ -44,11 +46,12 @@
     }
 
     void serve(Request request) {
-        Heartbeat heartbeat = Heartbeat.read(request.body());
-        if (heartbeat == null) {
+        Optional<Heartbeat> decoded = HeartbeatCodec.decode(request.body());
+        if (decoded.isEmpty()) {
             eventLoop.answer(request.exchange(), Response.error(BAD_REQUEST, "not a report"));
             return;
         }
+        Heartbeat heartbeat = decoded.get();
         // Before anything else: a higher token than this leader's ends its leadership.
         leadership.observeTerm(heartbeat.fencingToken());
         eventLoop.answer(request.exchange(), respond(heartbeat));
@@ -57,17 +60,18 @@
     private Response respond(Heartbeat heartbeat) {
         Optional<LeaderRuntime> leading = leader.get();
         if (leading.isPresent() && leadership.mayRenewAgentLeases()) {
-            return Response.json(OK, leading.get().handleHeartbeat(heartbeat));
+            return Response.json(OK, HeartbeatResponseCodec.encode(leading.get().handleHeartbeat(heartbeat)));
         }
         peers.redirectedAgents(heartbeat.machine(), heartbeat.address());
         return redirect();
     }
 
     private Response redirect() {
-        String leaderMember = leadership.leaderMember();
-        if (leaderMember == null || leaderMember.equals(member)) {
-            return Response.unavailable("no leader", RETRY_AFTER_S);
-        }
-        return Response.json(MISDIRECTED_REQUEST, Json.object().put("home_controller", leaderMember));
+        return leadership
+                .leader()
+                .filter(leaderMember -> !leaderMember.equals(member))
+                .map(leaderMember ->
+                        Response.json(MISDIRECTED_REQUEST, Json.object().put("home_controller", leaderMember)))
+                .orElseGet(() -> Response.unavailable("no leader", RETRY_AFTER_S));
     }
 }
--- a/src/main/java/io/quartzgw/app/LeaderRuntime.java
+++ b/src/main/java/io/quartzgw/app/LeaderRuntime.java
@@ -1,18 +1,18 @@
 package io.quartzgw.app;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quartzgw.agent.AgentManager;
 import io.quartzgw.agent.Heartbeat;
+import io.quartzgw.agent.HeartbeatResponse;
+import io.quartzgw.agent.LeaderContext;
 import io.quartzgw.cancellation.CancellationRegistry;
 import io.quartzgw.eventloop.EventLoop;
-import io.quartzgw.fleet.CloudClient;
+import io.quartzgw.fleet.FleetContext;
 import io.quartzgw.fleet.FleetManager;
-import io.quartzgw.fleet.MachineCatalog;
 import io.quartzgw.fleet.MachineRecords;
 import io.quartzgw.http.SocketBudget;
 import io.quartzgw.leadership.LeaderTerm;
 import io.quartzgw.leadership.Leadership;
-import io.quartzgw.leadership.PeerExchange;
+import io.quartzgw.liveness.AgentTiming;
 import io.quartzgw.model.TeamQuota;
 import io.quartzgw.progress.ProgressRecorder;
 import io.quartzgw.recovery.FailoverRecovery;
@@ -23,6 +23,7 @@
 import io.quartzgw.scheduling.Job;
 import io.quartzgw.scheduling.Machine;
 import io.quartzgw.scheduling.Scheduler;
+import io.quartzgw.scheduling.SchedulingPolicy;
 import io.quartzgw.scheduling.ServiceLevelObjectives;
 import io.quartzgw.scheduling.StopReason;
 import io.quartzgw.scheduling.TaskLauncher;
@@ -67,80 +68,62 @@
     private boolean fleetDue;
     private boolean fleetPaused;
 
-    /** @param previousLeaderActiveUntil when a previous leader can last answer a heartbeat */
-    LeaderRuntime(ControllerServices services, long previousLeaderActiveUntil) {
+    /** @param previousLeaderActiveUntilMs when a previous leader can last answer a heartbeat */
+    LeaderRuntime(ControllerServices services, long previousLeaderActiveUntilMs) {
         this.eventLoop = services.eventLoop();
         this.settings = services.settings();
         this.leadership = services.leadership();
         this.jobs = services.jobs();
         this.cancellations = services.cancellations();
-        PeerExchange peers = services.peers();
         this.term = new LeaderTerm(leadership);
-        StoreClient store = services.store();
-        MachineCatalog catalog = services.catalog();
-        long heartbeatMs = settings.agentTiming().heartbeatMs();
-        RecoveryTiming recoveryTiming = RecoveryTiming.of(settings.agentTiming());
         this.cluster = new ClusterState(eventLoop, term.fencingToken());
+        AgentTiming agentTiming = settings.agentTiming();
+        RecoveryTiming recoveryTiming = RecoveryTiming.of(agentTiming);
+        LeaderContext context = new LeaderContext(eventLoop, term, cluster, services.catalog());
         this.agents = new AgentManager(
-                eventLoop,
-                term,
-                cluster,
-                catalog,
-                settings.agentTiming(),
+                context,
+                agentTiming,
                 SocketBudget.of(settings.sockets()).agentCalls(),
                 cancellations::contains,
                 new AgentEvents());
-        this.progress = new ProgressRecorder(eventLoop, store, term, heartbeatMs, new ProgressEvents());
+        this.progress = new ProgressRecorder(
+                eventLoop, services.store(), term, agentTiming.heartbeatMs(), new ProgressEvents());
         this.scheduler = newScheduler();
-        this.records = new MachineRecords(
-                eventLoop,
-                store,
-                term,
-                cluster,
-                CLOCKS_COMPARED * (long) settings.timeBoundMs(),
-                agents::requestStarts);
-        this.fleet = newFleet(services.cloud(), catalog, recoveryTiming);
+        this.records = newMachineRecords(services.store());
+        this.fleet = newFleet(services, recoveryTiming);
         this.openJobs = new OpenJobWatcher(
                 eventLoop,
-                store,
+                services.store(),
                 term,
                 cluster,
                 services.watermark(),
-                heartbeatMs,
-                this::knownTerminal,
-                this::terminate);
+                agentTiming.heartbeatMs(),
+                jobEvents());
         this.countPages = new JobCountPager(cluster);
-        this.reachability = new AgentReachability(eventLoop, cluster, peers, heartbeatMs);
+        this.reachability = new AgentReachability(eventLoop, cluster, services.peers(), agentTiming.heartbeatMs());
         this.recovery = new FailoverRecovery(
-                eventLoop,
-                store,
-                term,
-                peers,
-                catalog,
-                cluster,
-                agents,
-                progress,
-                records,
+                context,
+                new FailoverRecovery.Collaborators(services.store(), services.peers(), agents, progress, records),
                 recoveryTiming,
-                previousLeaderActiveUntil,
+                previousLeaderActiveUntilMs,
                 this::knownTerminal,
                 openJobs);
     }
 
     private Scheduler newScheduler() {
-        return new Scheduler(
-                eventLoop,
-                cluster,
-                settings.teams(),
-                new ServiceLevelObjectives(
-                        settings.completionObjectives(), settings.deadlineObjectives(), settings.startObjectives()),
-                reservedCpus(settings) > 0,
-                settings.agentTiming(),
-                this::cloudExhausted,
-                new AgentTaskLauncher());
+        ServiceLevelObjectives objectives = new ServiceLevelObjectives(
+                settings.completionObjectives(), settings.deadlineObjectives(), settings.startObjectives());
+        SchedulingPolicy policy =
+                new SchedulingPolicy(settings.teams(), objectives, reservedCpus(settings) > 0, settings.agentTiming());
+        return new Scheduler(eventLoop, cluster, policy, this::cloudExhausted, new AgentTaskLauncher());
     }
 
-    private FleetManager newFleet(CloudClient cloud, MachineCatalog catalog, RecoveryTiming recoveryTiming) {
+    private MachineRecords newMachineRecords(StoreClient store) {
+        long maxClockSkewMs = CLOCKS_COMPARED * (long) settings.timeBoundMs();
+        return new MachineRecords(eventLoop, store, term, cluster, maxClockSkewMs, agents::requestStarts);
+    }
+
+    private FleetManager newFleet(ControllerServices services, RecoveryTiming recoveryTiming) {
         Consolidation consolidation = new Consolidation(
                 cluster,
                 scheduler::usable,
@@ -150,8 +133,12 @@
                 reservedCpus(settings),
                 recoveryTiming.reservationMs(),
                 settings.cloudLimits().listLagMs());
-        return new FleetManager(
-                eventLoop, cloud, term, cluster, catalog, records, consolidation, policy, agents::forget);
+        FleetContext context = new FleetContext(eventLoop, services.cloud(), term, cluster, policy);
+        return new FleetManager(context, services.catalog(), records, consolidation, agents::forget);
+    }
+
+    private OpenJobWatcher.JobEvents jobEvents() {
+        return new OpenJobWatcher.JobEvents(this::knownTerminal, this::terminate);
     }
 
     // Where work within the guarantee has an objective, its capacity is rented before the work arrives.
@@ -197,8 +184,8 @@
     }
 
     /** Answers an agent's heartbeat, which renews its lease. */
-    ObjectNode handleHeartbeat(Heartbeat heartbeat) {
-        return agents.handleHeartbeat(heartbeat);
+    HeartbeatResponse handleHeartbeat(Heartbeat heartbeat) {
+        return agents.receive(heartbeat);
     }
 
     /** Schedules, scales and sends what the batch has made due. */
--- a/src/main/java/io/quartzgw/app/OpenJobWatcher.java
+++ b/src/main/java/io/quartzgw/app/OpenJobWatcher.java
@@ -6,6 +6,7 @@
 import io.quartzgw.scheduling.ClusterState;
 import io.quartzgw.scheduling.Job;
 import io.quartzgw.store.KeyChange;
+import io.quartzgw.store.ListResult;
 import io.quartzgw.store.StoreClient;
 import io.quartzgw.submission.JobKeys;
 import io.quartzgw.submission.OpenJob;
@@ -26,14 +27,17 @@
     private final ClusterState cluster;
     private final CancellationWatermark watermark;
     private final long heartbeatMs;
-    private final Predicate<String> knownTerminal;
-    private final Consumer<String> onTerminated;
+    private final JobEvents events;
     private long watchedRevision = Long.MAX_VALUE;
 
     /**
+     * What the watcher asks and tells the leader.
+     *
      * @param knownTerminal whether a job is known to be cancelled or done, whatever else is read of it
      * @param onTerminated receives the id of each job that is terminal in the state service
      */
+    record JobEvents(Predicate<String> knownTerminal, Consumer<String> onTerminated) {}
+
     OpenJobWatcher(
             EventLoop eventLoop,
             StoreClient store,
@@ -41,16 +45,14 @@
             ClusterState cluster,
             CancellationWatermark watermark,
             long heartbeatMs,
-            Predicate<String> knownTerminal,
-            Consumer<String> onTerminated) {
+            JobEvents events) {
         this.eventLoop = eventLoop;
         this.store = store;
         this.term = term;
         this.cluster = cluster;
         this.watermark = watermark;
         this.heartbeatMs = heartbeatMs;
-        this.knownTerminal = knownTerminal;
-        this.onTerminated = onTerminated;
+        this.events = events;
     }
 
     /** Applies a notice that a job was accepted. */
@@ -63,7 +65,7 @@
 
     // The watch or a notice may bring the acceptance of a job after its end was known.
     private void add(OpenJob job) {
-        if (!knownTerminal.test(job.spec().id())) {
+        if (!events.knownTerminal().test(job.spec().id())) {
             cluster.add(job);
         }
     }
@@ -88,7 +90,7 @@
     public void onChanges(List<KeyChange> changes) {
         for (KeyChange change : changes) {
             if (change.value() == null) {
-                onTerminated.accept(change.key().substring(JobKeys.OPEN.length()));
+                events.onTerminated().accept(change.key().substring(JobKeys.OPEN.length()));
             } else {
                 add(OpenJob.fromRecord(change.value(), change.revision()));
             }
@@ -97,17 +99,21 @@
 
     @Override
     public void onCompacted() {
-        store.list(JobKeys.OPEN, this::applyListing);
+        store.listPrefix(JobKeys.OPEN, this::onListed);
     }
 
-    private void applyListing(StoreClient.Listing listing) {
+    private void onListed(ListResult result) {
         if (!term.isCurrent()) {
             return;
         }
-        if (listing == null) {
+        if (result instanceof ListResult.Listed listed) {
+            applyListing(listed.listing());
+        } else {
             eventLoop.after(heartbeatMs, this::onCompacted);
-            return;
         }
+    }
+
+    private void applyListing(StoreClient.Listing listing) {
         List<OpenJob> open = listing.entries().stream()
                 .map(entry -> OpenJob.fromRecord(entry.value(), entry.revision()))
                 .toList();
@@ -124,6 +130,6 @@
                 .map(Job::id)
                 .filter(id -> !ids.contains(id))
                 .toList();
-        missing.forEach(onTerminated);
+        missing.forEach(events.onTerminated());
     }
 }
