--- a/src/main/java/io/quartzgw/agent/AgentManager.java
+++ b/src/main/java/io/quartzgw/agent/AgentManager.java
@@ -1,13 +1,8 @@
 package io.quartzgw.agent;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.quartzgw.eventloop.EventLoop;
-import io.quartzgw.fleet.MachineCatalog;
-import io.quartzgw.leadership.LeaderTerm;
 import io.quartzgw.liveness.AgentLiveness.Freshness;
 import io.quartzgw.liveness.AgentTiming;
 import io.quartzgw.scheduling.Allocation;
-import io.quartzgw.scheduling.ClusterState;
 import io.quartzgw.scheduling.Job;
 import io.quartzgw.scheduling.Machine;
 import io.quartzgw.scheduling.StopReason;
@@ -76,26 +71,8 @@
                 new CommandDispatcher(leader, registry, pendingCommands, timing, maxDirectCalls, this::onReply);
     }
 
-    /** Creates the manager; kept for callers that have no {@link LeaderContext}. */
-    public AgentManager(
-            EventLoop eventLoop,
-            LeaderTerm term,
-            ClusterState cluster,
-            MachineCatalog catalog,
-            AgentTiming timing,
-            int maxDirectCalls,
-            Predicate<String> isCancelled,
-            Listener listener) {
-        this(new LeaderContext(eventLoop, term, cluster, catalog), timing, maxDirectCalls, isCancelled, listener);
-    }
-
     // ---- heartbeats
 
-    /** Encodes the response of {@link #receive}; kept for callers that do not encode it themselves. */
-    public ObjectNode handleHeartbeat(Heartbeat heartbeat) {
-        return HeartbeatResponseCodec.encode(receive(heartbeat));
-    }
-
     /** Processes a heartbeat and returns the response; unless the heartbeat is stale, it renews the agent's lease. */
     public HeartbeatResponse receive(Heartbeat heartbeat) {
         if (!stateLoaded) {
--- a/src/main/java/io/quartzgw/agent/Heartbeat.java
+++ b/src/main/java/io/quartzgw/agent/Heartbeat.java
@@ -45,11 +45,6 @@
         NONE
     }
 
-    /** Decodes a heartbeat; null if the message is not one. Kept for callers of {@link HeartbeatCodec#decode}. */
-    public static Heartbeat read(byte[] message) {
-        return HeartbeatCodec.decode(message).orElse(null);
-    }
-
     /** Returns the ID of the machine that the agent runs on. */
     public String machine() {
         return source.machine();
--- a/src/main/java/io/quartzgw/app/SettingsReader.java
+++ b/src/main/java/io/quartzgw/app/SettingsReader.java
@@ -187,8 +187,7 @@
 
     /** @param name the field's full name, of the form {@code facts.table.field} */
     private static double atLeast(JsonNode facts, String name, double least) throws InvalidSettingsException {
-        String[] parts = name.split("\\.");
-        JsonNode value = facts.path(parts[1]).path(parts[2]);
+        JsonNode value = facts.at(name.substring("facts".length()).replace('.', '/'));
         if (value.isMissingNode()) {
             throw new InvalidSettingsException(name + ": missing");
         }
--- a/src/main/java/io/quartzgw/eventloop/EventLoopThread.java
+++ b/src/main/java/io/quartzgw/eventloop/EventLoopThread.java
@@ -31,9 +31,9 @@
      * @param buffer how many inbound requests may wait
      * @param effectRunner carries out effects; must not block
      */
-    public EventLoopThread(EventLoop eventLoop, int buffer, Consumer<Effect> runner) {
+    public EventLoopThread(EventLoop eventLoop, int buffer, Consumer<Effect> effectRunner) {
         this.eventLoop = eventLoop;
-        this.effectRunner = runner;
+        this.effectRunner = effectRunner;
         this.maxBatchSize = buffer;
         this.requestBuffer = new ArrayBlockingQueue<>(buffer);
     }
--- a/src/main/java/io/quartzgw/http/Endpoint.java
+++ b/src/main/java/io/quartzgw/http/Endpoint.java
@@ -3,7 +3,11 @@
 /** A TCP address in the form {@code host:port}. */
 public record Endpoint(String host, int port) {
 
-    /** @throws IllegalArgumentException when the text is not {@code host:port} */
+    /**
+     * Parses an address.
+     *
+     * @throws IllegalArgumentException when the text is not {@code host:port}
+     */
     public static Endpoint parse(String text) {
         int colon = text.lastIndexOf(':');
         if (colon <= 0) {
--- a/src/main/java/io/quartzgw/http/HttpClient.java
+++ b/src/main/java/io/quartzgw/http/HttpClient.java
@@ -36,7 +36,7 @@
  * its time-out at the latest.
  */
 public final class HttpClient {
-    private static final int READ_CHUNK = 8 * 1024;
+    private static final int READ_BUFFER_BYTES = 8 * 1024;
     private static final long IDLE_MS = 30_000;
 
     private final XnioIoThread thread;
@@ -194,16 +194,15 @@
 
         private void responseStarted(ClientExchange exchange) {
             StreamSourceChannel source = exchange.getResponseChannel();
-            ByteBuffer chunk = ByteBuffer.allocate(READ_CHUNK);
-            source.getReadSetter().set(channel -> read(exchange, source, chunk));
-            read(exchange, source, chunk);
+            byte[] buffer = new byte[READ_BUFFER_BYTES];
+            source.getReadSetter().set(channel -> read(exchange, source, buffer));
+            read(exchange, source, buffer);
         }
 
-        private void read(ClientExchange exchange, StreamSourceChannel source, ByteBuffer chunk) {
+        private void read(ClientExchange exchange, StreamSourceChannel source, byte[] buffer) {
             try {
                 while (true) {
-                    chunk.clear();
-                    int count = source.read(chunk);
+                    int count = source.read(ByteBuffer.wrap(buffer));
                     if (count < 0) {
                         finish(exchange);
                         return;
@@ -212,7 +211,7 @@
                         source.resumeReads();
                         return;
                     }
-                    received.write(chunk.array(), 0, count);
+                    received.write(buffer, 0, count);
                 }
             } catch (IOException e) {
                 fail();
--- a/src/main/java/io/quartzgw/http/HttpServer.java
+++ b/src/main/java/io/quartzgw/http/HttpServer.java
@@ -39,7 +39,7 @@
     private volatile ConnectorStatistics clientStatistics;
 
     /**
-     * @param socketBudget what the client listener may hold; room is left for all others
+     * @param socketBudget what the client listener may hold; the rest is for outbound calls and peers
      * @param idleMs how long a connection may be without a request
      * @param receiver accepts a request, or returns false while its buffer is full
      */
@@ -48,18 +48,18 @@
             ByteBufferPool buffers,
             Endpoint client,
             Endpoint peer,
-            SocketBudget sockets,
+            SocketBudget socketBudget,
             int idleMs,
             Predicate<Request> receiver) {
-        this.socketBudget = sockets;
+        this.socketBudget = socketBudget;
         this.receiver = receiver;
         this.undertow = Undertow.builder()
                 .setWorker(worker)
                 .setByteBufferPool(buffers)
                 .setSocketOption(Options.REUSE_ADDRESSES, true)
-                .setSocketOption(Options.BACKLOG, sockets.acceptBacklog())
-                .setSocketOption(Options.CONNECTION_HIGH_WATER, sockets.clientConnections())
-                .setSocketOption(Options.CONNECTION_LOW_WATER, sockets.clientConnections())
+                .setSocketOption(Options.BACKLOG, socketBudget.acceptBacklog())
+                .setSocketOption(Options.CONNECTION_HIGH_WATER, socketBudget.clientConnections())
+                .setSocketOption(Options.CONNECTION_LOW_WATER, socketBudget.clientConnections())
                 .setServerOption(UndertowOptions.ENABLE_STATISTICS, true)
                 .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, idleMs)
                 .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, SLOW_REQUEST_MS)
@@ -86,10 +86,12 @@
     }
 
     private Undertow.ListenerInfo listener(ListenerKind listener) {
-        return undertow.getListenerInfo().get(listener.ordinal());
+        // In the order in which the listeners were added to the builder.
+        int position = listener == ListenerKind.CLIENT ? 0 : 1;
+        return undertow.getListenerInfo().get(position);
     }
 
-    /** Answers an exchange; callable from any thread. */
+    /** Answers an exchange; may be called from any thread. */
     public void answer(long id, Response response) {
         HttpServerExchange exchange = openExchanges.remove(id);
         if (exchange != null) {
--- a/src/main/java/io/quartzgw/liveness/HeartbeatId.java
+++ b/src/main/java/io/quartzgw/liveness/HeartbeatId.java
@@ -10,6 +10,6 @@
 
     /** Returns whether this heartbeat was made after another one of the same agent. */
     public boolean isNewerThan(HeartbeatId other) {
-        return epoch > other.epoch || epoch == other.epoch && sequence > other.sequence;
+        return epoch > other.epoch || (epoch == other.epoch && sequence > other.sequence);
     }
 }
--- a/src/main/java/io/quartzgw/progress/ProgressBitmaps.java
+++ b/src/main/java/io/quartzgw/progress/ProgressBitmaps.java
@@ -23,7 +23,7 @@
     /** @param valueBytes the maximum size of a value of the state service */
     public ProgressBitmaps(int valueBytes) {
         this.tasksPerChunk =
-                Math.max(MIN_TASKS_PER_CHUNK, (int) (valueBytes * MAX_VALUE_FRACTION) * BITS_PER_CHARACTER);
+                Math.max(MIN_TASKS_PER_CHUNK, ((int) (valueBytes * MAX_VALUE_FRACTION)) * BITS_PER_CHARACTER);
     }
 
     /** Returns the chunk that a task belongs to. */
--- a/src/main/java/io/quartzgw/progress/ProgressRecorder.java
+++ b/src/main/java/io/quartzgw/progress/ProgressRecorder.java
@@ -192,7 +192,7 @@
     // ---- writes
 
     private void write() {
-        if (!term.isCurrent() || writeInFlight || unwrittenChunks.isEmpty() && unwrittenStartLimits.isEmpty()) {
+        if (!term.isCurrent() || writeInFlight || (unwrittenChunks.isEmpty() && unwrittenStartLimits.isEmpty())) {
             return;
         }
         if (!term.isConfirmed()) {
--- a/src/main/java/io/quartzgw/recovery/FailoverRecovery.java
+++ b/src/main/java/io/quartzgw/recovery/FailoverRecovery.java
@@ -3,9 +3,7 @@
 import io.quartzgw.agent.AgentManager;
 import io.quartzgw.agent.LeaderContext;
 import io.quartzgw.eventloop.EventLoop;
-import io.quartzgw.fleet.MachineCatalog;
 import io.quartzgw.fleet.MachineRecords;
-import io.quartzgw.leadership.LeaderTerm;
 import io.quartzgw.leadership.PeerExchange;
 import io.quartzgw.progress.ProgressRecorder;
 import io.quartzgw.scheduling.ClusterState;
@@ -88,30 +86,6 @@
         this.electedAtMs = eventLoop.nowMs();
     }
 
-    /** Creates the recovery; kept for callers that have no {@link LeaderContext}. */
-    public FailoverRecovery(
-            EventLoop eventLoop,
-            StoreClient store,
-            LeaderTerm term,
-            PeerExchange peers,
-            MachineCatalog catalog,
-            ClusterState cluster,
-            AgentManager agents,
-            ProgressRecorder progress,
-            MachineRecords machineRecords,
-            RecoveryTiming timing,
-            long previousLeaderActiveUntilMs,
-            Predicate<String> isKnownTerminal,
-            StoreClient.Watcher openJobWatcher) {
-        this(
-                new LeaderContext(eventLoop, term, cluster, catalog),
-                new Collaborators(store, peers, agents, progress, machineRecords),
-                timing,
-                previousLeaderActiveUntilMs,
-                isKnownTerminal,
-                openJobWatcher);
-    }
-
     /** Begins to read the stored state. */
     public void start() {
         new StateLoader(leader, collaborators.store(), timing.retryMs(), this::onStateLoaded).load();
--- a/src/main/java/io/quartzgw/recovery/StateLoader.java
+++ b/src/main/java/io/quartzgw/recovery/StateLoader.java
@@ -3,11 +3,11 @@
 import io.quartzgw.agent.LeaderContext;
 import io.quartzgw.fleet.MachineRecords;
 import io.quartzgw.progress.ProgressBitmaps;
+import io.quartzgw.store.ListResult;
 import io.quartzgw.store.StoreClient;
 import io.quartzgw.submission.JobKeys;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Optional;
 import java.util.function.Consumer;
 
 /** Reads the stored state, one listing after the other, and begins anew when one of them fails. */
@@ -52,20 +52,19 @@
                     listings.get(3).entries()));
             return;
         }
-        store.list(PREFIXES.get(listings.size()), listing -> onListed(Optional.ofNullable(listing), listings));
+        store.listPrefix(PREFIXES.get(listings.size()), result -> onListed(result, listings));
     }
 
-    /** @param listing empty if the state service could not be read */
-    private void onListed(Optional<StoreClient.Listing> listing, List<StoreClient.Listing> listings) {
+    private void onListed(ListResult result, List<StoreClient.Listing> listings) {
         if (!leader.term().isCurrent()) {
             return;
         }
-        if (listing.isEmpty()) {
+        if (result instanceof ListResult.Listed listed) {
+            listings.add(listed.listing());
+            listNext(listings);
+        } else {
             retry();
-            return;
         }
-        listings.add(listing.get());
-        listNext(listings);
     }
 
     private void retry() {
