--- a/src/main/java/io/quartzgw/agent/HeartbeatProcessor.java
+++ b/src/main/java/io/quartzgw/agent/HeartbeatProcessor.java
@@ -92,13 +92,13 @@
 
     private Optional<Machine> adoptMachine(Heartbeat heartbeat) {
         Heartbeat.Source source = heartbeat.source();
-        MachineType type = leader.catalog().get(source.machineType());
+        Optional<MachineType> type = leader.machineTypes().find(source.machineType());
         // Without this leader's token it may be a duplicate from a machine that is long gone.
-        if (type == null || cluster.wasRemoved(source.machine()) || !showsToken(heartbeat)) {
+        if (type.isEmpty() || cluster.wasRemoved(source.machine()) || !showsToken(heartbeat)) {
             return Optional.empty();
         }
         long nowMs = eventLoop.nowMs();
-        Machine machine = new Machine(source.machine(), type, source.zone(), source.spot(), nowMs, nowMs);
+        Machine machine = new Machine(source.machine(), type.get(), source.zone(), source.spot(), nowMs, nowMs);
         cluster.add(machine);
         return Optional.of(machine);
     }
--- a/src/main/java/io/quartzgw/agent/LeaderContext.java
+++ b/src/main/java/io/quartzgw/agent/LeaderContext.java
@@ -1,8 +1,8 @@
 package io.quartzgw.agent;
 
 import io.quartzgw.eventloop.EventLoop;
-import io.quartzgw.fleet.MachineCatalog;
 import io.quartzgw.leadership.LeaderTerm;
+import io.quartzgw.model.MachineTypes;
 import io.quartzgw.scheduling.ClusterState;
 
 /**
@@ -11,6 +11,6 @@
  * @param eventLoop clock, timers, outbound calls and counters
  * @param term the term in which this node leads
  * @param cluster the leader's view of jobs, machines and allocations
- * @param catalog the machine types that the cloud offers
+ * @param machineTypes the machine types that the cloud offers
  */
-public record LeaderContext(EventLoop eventLoop, LeaderTerm term, ClusterState cluster, MachineCatalog catalog) {}
+public record LeaderContext(EventLoop eventLoop, LeaderTerm term, ClusterState cluster, MachineTypes machineTypes) {}
--- a/src/main/java/io/quartzgw/recovery/FailoverRecovery.java
+++ b/src/main/java/io/quartzgw/recovery/FailoverRecovery.java
@@ -141,7 +141,7 @@
                 .load(
                         state.machines(),
                         state.usedMachines(),
-                        leader.catalog(),
+                        leader.machineTypes(),
                         eventLoop.nowMs(),
                         unverifiedMachines::add);
     }
--- a/src/main/java/io/quartzgw/recovery/StateLoader.java
+++ b/src/main/java/io/quartzgw/recovery/StateLoader.java
@@ -36,7 +36,7 @@
         if (!leader.term().isCurrent()) {
             return;
         }
-        if (!leader.catalog().isKnown()) {
+        if (!leader.machineTypes().isKnown()) {
             retry();
             return;
         }
