--- a/src/main/java/io/quartzgw/scheduling/Allocation.java
+++ b/src/main/java/io/quartzgw/scheduling/Allocation.java
@@ -79,8 +79,13 @@
         return phase != Phase.ASSIGNED;
     }
 
-    /** Records the phase that the agent reports for this attempt. */
+    /** The former name of {@link #recordPhase}. */
     public void observed(Phase reported, long now) {
+        recordPhase(reported, now);
+    }
+
+    /** Records the phase that the agent reports for this attempt. */
+    public void recordPhase(Phase reported, long now) {
         if (reported == Phase.RUNNING && phase != Phase.RUNNING) {
             runningSince = now;
             machine.cacheImage(job.spec().image(), job.spec().imageGb());
--- a/src/main/java/io/quartzgw/scheduling/Consolidation.java
+++ b/src/main/java/io/quartzgw/scheduling/Consolidation.java
@@ -20,14 +20,14 @@
     private static final double MIN_RUNTIME_LEASES = 2;
 
     private final ClusterState cluster;
-    private final Predicate<Machine> usable;
+    private final Predicate<Machine> schedulable;
     private final TaskLauncher launcher;
     private final long minRuntimeMs;
 
-    /** @param usable whether tasks may be allocated to a machine now */
-    public Consolidation(ClusterState cluster, Predicate<Machine> usable, TaskLauncher launcher, long leaseMs) {
+    /** @param schedulable whether tasks may be allocated to a machine now */
+    public Consolidation(ClusterState cluster, Predicate<Machine> schedulable, TaskLauncher launcher, long leaseMs) {
         this.cluster = cluster;
-        this.usable = usable;
+        this.schedulable = schedulable;
         this.launcher = launcher;
         this.minRuntimeMs = (long) (MIN_RUNTIME_LEASES * leaseMs);
     }
@@ -42,7 +42,7 @@
         if (!cluster.pendingJobs().isEmpty()) {
             return Optional.empty();
         }
-        List<Machine> machines = cluster.machines().stream().filter(usable).toList();
+        List<Machine> machines = cluster.machines().stream().filter(schedulable).toList();
         List<Machine> candidates = machines.stream()
                 .filter(machine -> !machine.empty()
                         && utilization(machine) <= MAX_UTILIZATION
--- a/src/main/java/io/quartzgw/scheduling/Scheduler.java
+++ b/src/main/java/io/quartzgw/scheduling/Scheduler.java
@@ -79,10 +79,15 @@
     }
 
     /** Whether tasks may be allocated to the machine now. */
-    public boolean usable(Machine machine) {
+    public boolean isSchedulable(Machine machine) {
         return constraints.isSchedulable(machine);
     }
 
+    /** The former name of {@link #isSchedulable}. */
+    public boolean usable(Machine machine) {
+        return isSchedulable(machine);
+    }
+
     /** Runs one pass: allocates and starts all pending tasks that can run now. */
     public void schedule() {
         stopBrokenGangs();
--- a/src/test/java/io/quartzgw/scheduling/SchedulerTest.java
+++ b/src/test/java/io/quartzgw/scheduling/SchedulerTest.java
@@ -229,8 +229,8 @@
         eventLoop.processBatch(List.of(), new ClockReading(1_000, 1_000));
         scheduler.schedule();
         Allocation older = low.allocation(0);
-        older.observed(Allocation.Phase.RUNNING, 500);
-        low.allocation(1).observed(Allocation.Phase.RUNNING, 900);
+        older.recordPhase(Allocation.Phase.RUNNING, 500);
+        low.allocation(1).recordPhase(Allocation.Phase.RUNNING, 900);
         Job service = submit(productionService(2), 1, 2);
         scheduler.schedule();
         assertEquals(List.of(low.allocation(1)), stopped, "the one that has run for less time");
@@ -244,7 +244,7 @@
         Job low = submit(array(1).priority(Priority.LOW), 4, 2);
         eventLoop.processBatch(List.of(), new ClockReading(1_000, 1_000));
         scheduler.schedule();
-        low.allocations().forEach(allocation -> allocation.observed(Allocation.Phase.RUNNING, 1_000));
+        low.allocations().forEach(allocation -> allocation.recordPhase(Allocation.Phase.RUNNING, 1_000));
         Job normal = submit(array(2), 1, 4);
         scheduler.schedule();
         assertEquals(List.of(), stopped);
@@ -267,10 +267,10 @@
         Job batch = submit(array(1).spot(true), 2, 2);
         Job service = submit(productionService(2).spot(true), 1, 4);
         scheduler.schedule();
-        batch.allocation(0).observed(Allocation.Phase.RUNNING, 1_000);
+        batch.allocation(0).recordPhase(Allocation.Phase.RUNNING, 1_000);
         eventLoop.processBatch(List.of(), new ClockReading(8_000, 8_000));
-        batch.allocation(1).observed(Allocation.Phase.RUNNING, 8_000);
-        service.allocation(0).observed(Allocation.Phase.RUNNING, 8_000);
+        batch.allocation(1).recordPhase(Allocation.Phase.RUNNING, 8_000);
+        service.allocation(0).recordPhase(Allocation.Phase.RUNNING, 8_000);
         scheduler.schedule();
         assertEquals(List.of(), stopped, "no reclaim is announced");
         reclaimed.reclaimAt(14_000);
@@ -315,7 +315,7 @@
         Job first = submit(productionService(1), 4, 2);
         eventLoop.processBatch(List.of(), new ClockReading(1_000, 1_000));
         scheduler.schedule();
-        first.allocations().forEach(allocation -> allocation.observed(Allocation.Phase.RUNNING, 1_000));
+        first.allocations().forEach(allocation -> allocation.recordPhase(Allocation.Phase.RUNNING, 1_000));
         submit(productionService(2), 1, 2);
         scheduler.schedule();
         assertEquals(List.of(), stopped);
