--- a/src/main/java/io/quartzgw/leadership/PeerExchange.java
+++ b/src/main/java/io/quartzgw/leadership/PeerExchange.java
@@ -33,18 +33,15 @@
 
     private final EventLoop eventLoop;
     private final LeadershipTiming timing;
-    private final ControllerIdentity identity;
     private final Map<String, Endpoint> endpoints;
     private final Leadership leadership;
-    private final StoreClient store;
     private final CancellationRegistry cancellations;
     private final CancellationWatermark watermark;
     private final WriteBudgetExchange writeBudget;
-    private final long staleAfterMs;
     private final PeerRegistry peers;
     private final RedirectedAgents redirectedAgents;
+    private final PeerMessageFactory messages;
     private final Set<String> awaitingAnswer = new HashSet<>();
-    private long lastSequence;
     private PeerPayloads payloads = PeerPayloads.NONE;
 
     /** The parts of this controller whose state is announced to peers, and that learn from their messages. */
@@ -64,16 +61,15 @@
             Participants participants) {
         this.eventLoop = eventLoop;
         this.timing = timing;
-        this.identity = identity;
         this.endpoints = new LinkedHashMap<>(endpoints);
         this.leadership = participants.leadership();
-        this.store = participants.store();
         this.cancellations = participants.cancellations();
         this.watermark = participants.watermark();
         this.writeBudget = participants.writeBudget();
-        this.staleAfterMs = STALE_AFTER_HEARTBEATS * timing.heartbeatMs();
+        long staleAfterMs = STALE_AFTER_HEARTBEATS * timing.heartbeatMs();
         this.peers = new PeerRegistry(eventLoop, staleAfterMs);
         this.redirectedAgents = new RedirectedAgents(eventLoop, timing.heartbeatMs());
+        this.messages = new PeerMessageFactory(identity, participants, redirectedAgents, staleAfterMs);
     }
 
     /** Takes the participants one by one; use the constructor with {@link Participants}. */
@@ -122,7 +118,7 @@
     /** Sends a message to every peer at once, for example after this controller was elected. */
     public void broadcast() {
         writeBudget.measureDemand();
-        PeerMessage status = newMessage();
+        PeerMessage status = messages.create();
         int maxJobs = Math.max(1, MAX_JOBS_PER_MESSAGE - status.cancellations().size());
         Optional<JsonNode> counts = payloads.countsSource().apply(maxJobs);
         counts.ifPresent(payloads.countsListener());
@@ -133,12 +129,12 @@
 
     /** Sends a notice about a job to the leader, if another controller leads. */
     public void notifyLeader(JsonNode notice) {
-        postToLeader(newMessage().with(Attachments.ofNotice(notice)));
+        postToLeader(messages.create().with(Attachments.ofNotice(notice)));
     }
 
     /** Sends a message with the cancelled jobs to the leader at once, if another controller leads. */
     public void sendToLeader() {
-        postToLeader(newMessage());
+        postToLeader(messages.create());
     }
 
     private void postToLeader(PeerMessage message) {
@@ -170,22 +166,6 @@
         });
     }
 
-    private PeerMessage newMessage() {
-        PeerStatus status = new PeerStatus(
-                redirectedAgents.count(),
-                watermark.uptimeMs(),
-                leadership.leading() ? leadership.term() : 0,
-                leadership.highestTerm(),
-                store.reachable() && store.respondedWithin(staleAfterMs));
-        return new PeerMessage(
-                identity,
-                ++lastSequence,
-                status,
-                cancellations.announcement(),
-                writeBudget.demandPerS(),
-                Attachments.NONE);
-    }
-
     // ---- receiving
 
     /** Serves a peer's message. */
@@ -206,10 +186,10 @@
         peers.present(message.sender())
                 .ifPresentOrElse(
                         peer -> applyPresentState(peer, message),
-                        () -> send(message.sender().member(), newMessage()));
+                        () -> send(message.sender().member(), messages.create()));
         applyDurableFacts(message);
         message.attachments().notice().ifPresent(payloads.noticeListener());
-        PeerMessage answer = newMessage();
+        PeerMessage answer = messages.create();
         return writeBudget
                 .grantTo(message.sender().member(), message.writeDemandPerS())
                 .map(Attachments::ofWriteGrant)
--- /dev/null
+++ b/src/main/java/io/quartzgw/leadership/PeerMessageFactory.java
@@ -0,0 +1,49 @@
+package io.quartzgw.leadership;
+
+import io.quartzgw.leadership.PeerMessage.Attachments;
+
+/** Creates this controller's messages to its peers from the present state of its parts. */
+final class PeerMessageFactory {
+    private final ControllerIdentity identity;
+    private final PeerExchange.Participants participants;
+    private final RedirectedAgents redirectedAgents;
+    private final long staleAfterMs;
+    private long lastSequence;
+
+    /** @param staleAfterMs how long after its last response the state store counts as reachable */
+    PeerMessageFactory(
+            ControllerIdentity identity,
+            PeerExchange.Participants participants,
+            RedirectedAgents redirectedAgents,
+            long staleAfterMs) {
+        this.identity = identity;
+        this.participants = participants;
+        this.redirectedAgents = redirectedAgents;
+        this.staleAfterMs = staleAfterMs;
+    }
+
+    /** The next message, without attachments. */
+    PeerMessage create() {
+        return new PeerMessage(
+                identity,
+                ++lastSequence,
+                status(),
+                participants.cancellations().announcement(),
+                participants.writeBudget().demandPerS(),
+                Attachments.NONE);
+    }
+
+    private PeerStatus status() {
+        Leadership leadership = participants.leadership();
+        return new PeerStatus(
+                redirectedAgents.count(),
+                participants.watermark().uptimeMs(),
+                leadership.leading() ? leadership.term() : 0,
+                leadership.highestTerm(),
+                storeReachable());
+    }
+
+    private boolean storeReachable() {
+        return participants.store().reachable() && participants.store().respondedWithin(staleAfterMs);
+    }
+}
