--- a/src/main/java/io/quartzgw/agent/HeartbeatProcessor.java
+++ b/src/main/java/io/quartzgw/agent/HeartbeatProcessor.java
@@ -108,7 +108,7 @@
         AgentState agent = registry.agentOf(machine);
         boolean firstVerified = !liveness.verified();
         boolean epochChanged = !firstVerified && heartbeat.epoch() > liveness.epoch();
-        boolean reservationExpired = machine.removeAllocation();
+        boolean reservationExpired = machine.reservationExpired();
         machine.address(heartbeat.address());
         liveness.recordHeartbeat(heartbeat.id(), eventLoop.nowMs());
         machine.markUp();
--- a/src/main/java/io/quartzgw/agent/TaskReconciler.java
+++ b/src/main/java/io/quartzgw/agent/TaskReconciler.java
@@ -97,7 +97,7 @@
      * stopped.
      */
     void updateUnaccountedCapacity(Machine machine) {
-        cluster.unexplainedMachines(
+        cluster.setUnexplained(
                 machine,
                 cluster.machine(machine.id()) == machine
                         && !registry.agentOf(machine).orphans().isEmpty());
@@ -106,7 +106,7 @@
     private void reconcileRunning(AgentState agent, Heartbeat.TaskStatus task, Optional<Allocation> allocation) {
         Allocation.Phase phase = phaseOf(task.state());
         if (allocation.isPresent()) {
-            allocation.get().observed(phase, eventLoop.nowMs());
+            allocation.get().recordPhase(phase, eventLoop.nowMs());
             if (allocation.get().stopping()) {
                 registry.addPending(agent);
             }
@@ -116,7 +116,7 @@
         Optional<Job> job = attempt.openJob(cluster).filter(open -> needsAllocation(open, attempt));
         if (job.isPresent()) {
             cluster.allocate(job.get(), attempt.index(), agent.machine(), attempt.number())
-                    .observed(phase, eventLoop.nowMs());
+                    .recordPhase(phase, eventLoop.nowMs());
             return;
         }
         LOG.atInfo()
--- a/src/main/java/io/quartzgw/app/AcceptedJobNotice.java
+++ b/src/main/java/io/quartzgw/app/AcceptedJobNotice.java
@@ -3,6 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quartzgw.http.Json;
+import io.quartzgw.submission.JobRecordCodec;
 import io.quartzgw.submission.OpenJob;
 import java.util.Optional;
 
@@ -15,7 +16,7 @@
 
     static ObjectNode encode(OpenJob job) {
         ObjectNode notice = Json.object().put(REVISION, job.revision());
-        notice.set(JOB, OpenJob.record(job.spec(), job.acceptedAt()));
+        notice.set(JOB, JobRecordCodec.encodeOpen(job.spec(), job.acceptedAt()));
         return notice;
     }
 
@@ -24,7 +25,7 @@
         if (!notice.has(JOB)) {
             return Optional.empty();
         }
-        return Optional.of(
-                OpenJob.fromRecord(notice.path(JOB), notice.path(REVISION).asLong()));
+        return Optional.of(JobRecordCodec.decodeOpen(
+                notice.path(JOB), notice.path(REVISION).asLong()));
     }
 }
--- a/src/main/java/io/quartzgw/app/AgentReachability.java
+++ b/src/main/java/io/quartzgw/app/AgentReachability.java
@@ -35,7 +35,7 @@
         long running = 0;
         long silent = 0;
         for (Machine machine : cluster.machines()) {
-            if (machine.status() == Machine.Status.UP && !machine.removeAllocation()) {
+            if (machine.status() == Machine.Status.UP && !machine.reservationExpired()) {
                 running++;
                 silent += isSilent(machine) ? 1 : 0;
             }
--- a/src/main/java/io/quartzgw/app/LeaderRuntime.java
+++ b/src/main/java/io/quartzgw/app/LeaderRuntime.java
@@ -126,7 +126,7 @@
     private FleetManager newFleet(ControllerServices services, RecoveryTiming recoveryTiming) {
         Consolidation consolidation = new Consolidation(
                 cluster,
-                scheduler::usable,
+                scheduler::isSchedulable,
                 new AgentTaskLauncher(),
                 settings.agentTiming().leaseMs());
         FleetManager.Policy policy = new FleetManager.Policy(
@@ -229,7 +229,7 @@
     }
 
     private boolean knownTerminal(String id) {
-        return jobs.cachedTerminalState(id) != null || cancellations.contains(id);
+        return jobs.terminalState(id).isPresent() || cancellations.contains(id);
     }
 
     void jobCancelled(String id) {
--- a/src/main/java/io/quartzgw/app/OpenJobWatcher.java
+++ b/src/main/java/io/quartzgw/app/OpenJobWatcher.java
@@ -9,6 +9,7 @@
 import io.quartzgw.store.ListResult;
 import io.quartzgw.store.StoreClient;
 import io.quartzgw.submission.JobKeys;
+import io.quartzgw.submission.JobRecordCodec;
 import io.quartzgw.submission.OpenJob;
 import java.util.List;
 import java.util.Set;
@@ -92,7 +93,7 @@
             if (change.value() == null) {
                 events.onTerminated().accept(change.key().substring(JobKeys.OPEN.length()));
             } else {
-                add(OpenJob.fromRecord(change.value(), change.revision()));
+                add(JobRecordCodec.decodeOpen(change.value(), change.revision()));
             }
         }
     }
@@ -115,7 +116,7 @@
 
     private void applyListing(StoreClient.Listing listing) {
         List<OpenJob> open = listing.entries().stream()
-                .map(entry -> OpenJob.fromRecord(entry.value(), entry.revision()))
+                .map(entry -> JobRecordCodec.decodeOpen(entry.value(), entry.revision()))
                 .toList();
         terminateMissing(open, listing.revision());
         open.forEach(this::add);
--- a/src/main/java/io/quartzgw/fleet/FleetManager.java
+++ b/src/main/java/io/quartzgw/fleet/FleetManager.java
@@ -73,20 +73,6 @@
         this.scaleInRequests = new ScaleInRequests(context, this::remove);
     }
 
-    /** The former constructor; prefer the one with a {@link FleetContext}. */
-    public FleetManager(
-            EventLoop eventLoop,
-            CloudClient cloud,
-            LeaderTerm term,
-            ClusterState cluster,
-            MachineTypes machineTypes,
-            MachineRecords records,
-            Consolidation consolidation,
-            Policy policy,
-            Consumer<Machine> removed) {
-        this(new FleetContext(eventLoop, cloud, term, cluster, policy), machineTypes, records, consolidation, removed);
-    }
-
     /** Starts to read the cloud's machine list; nothing is rented or deleted before it is known. */
     public void start() {
         inventory.start();
--- a/src/main/java/io/quartzgw/fleet/MachineCatalog.java
+++ b/src/main/java/io/quartzgw/fleet/MachineCatalog.java
@@ -3,12 +3,11 @@
 import io.quartzgw.eventloop.EventLoop;
 import io.quartzgw.model.MachineType;
 import io.quartzgw.model.MachineTypes;
-import io.quartzgw.store.KeyValue;
+import io.quartzgw.store.ReadResult;
 import io.quartzgw.store.RequestUrgency;
 import io.quartzgw.store.StoreClient;
 import io.quartzgw.store.Transaction;
 import java.util.Collection;
-import java.util.List;
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.BooleanSupplier;
@@ -63,20 +62,14 @@
         return Optional.ofNullable(types.get(name));
     }
 
-    /** The type, or null when the table doesn't have it; prefer {@link #find}. */
-    public MachineType get(String name) {
-        return types.get(name);
-    }
-
     private void readStored() {
-        store.get(KEY, this::onStoredTable);
+        store.read(KEY, this::onStoredTable);
     }
 
-    /** Takes the stored table; the records are null when the state service did not respond. */
-    private void onStoredTable(List<KeyValue> records) {
-        if (records != null && !records.isEmpty()) {
+    private void onStoredTable(ReadResult result) {
+        if (result instanceof ReadResult.Found found) {
             Map<String, MachineType> stored =
-                    MachineTypeCodec.decodeTable(records.get(0).value());
+                    MachineTypeCodec.decodeTable(found.entry().value());
             if (!stored.isEmpty()) {
                 types = stored;
             }
--- a/src/main/java/io/quartzgw/leadership/Leadership.java
+++ b/src/main/java/io/quartzgw/leadership/Leadership.java
@@ -65,17 +65,6 @@
         this.candidacy = new Candidacy(eventLoop, store, timing, identity, state, new CandidacyOwner());
     }
 
-    /** Takes the identity in its parts; use the constructor with {@link ControllerIdentity}. */
-    public Leadership(
-            EventLoop eventLoop,
-            StoreClient store,
-            LeadershipTiming timing,
-            String member,
-            long process,
-            CancellationWatermark watermark) {
-        this(eventLoop, store, timing, new ControllerIdentity(member, process), watermark);
-    }
-
     /** Begins to watch the election keys and to take part in elections. */
     public void start(Listener listener) {
         this.listener = listener;
@@ -124,11 +113,6 @@
         return leading() ? Optional.of(identity.member()) : state.leader().map(LeaderRecord::member);
     }
 
-    /** The member that leads as far as this controller knows, or null; use {@link #leader()}. */
-    public String leaderMember() {
-        return leader().orElse(null);
-    }
-
     /** Whether this controller has read the election keys since it was started. */
     public boolean hasReadStore() {
         return state.initialized();
--- a/src/main/java/io/quartzgw/leadership/PeerExchange.java
+++ b/src/main/java/io/quartzgw/leadership/PeerExchange.java
@@ -15,8 +15,6 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import java.util.function.Consumer;
-import java.util.function.IntFunction;
 
 /**
  * Exchanges messages with the other controllers: once a heartbeat with each, and at once after an event. They announce
@@ -72,26 +70,6 @@
         this.messages = new PeerMessageFactory(identity, participants, redirectedAgents, staleAfterMs);
     }
 
-    /** Takes the participants one by one; use the constructor with {@link Participants}. */
-    public PeerExchange(
-            EventLoop eventLoop,
-            Leadership leadership,
-            StoreClient store,
-            LeadershipTiming timing,
-            String member,
-            long process,
-            Map<String, Endpoint> endpoints,
-            CancellationRegistry cancellations,
-            CancellationWatermark watermark,
-            WriteBudgetExchange writeBudget) {
-        this(
-                eventLoop,
-                timing,
-                new ControllerIdentity(member, process),
-                endpoints,
-                new Participants(leadership, store, cancellations, watermark, writeBudget));
-    }
-
     /** Begins to send messages. */
     public void start(PeerPayloads peerPayloads) {
         this.payloads = peerPayloads;
@@ -102,17 +80,6 @@
         });
     }
 
-    /**
-     * Begins to send messages; use {@link #start(PeerPayloads)}.
-     *
-     * @param countsSource see {@link PeerPayloads#countsSource}, with null for empty
-     */
-    public void start(
-            IntFunction<JsonNode> countsSource, Consumer<JsonNode> countsListener, Consumer<JsonNode> noticeListener) {
-        start(new PeerPayloads(
-                maxJobs -> Optional.ofNullable(countsSource.apply(maxJobs)), countsListener, noticeListener));
-    }
-
     // ---- sending
 
     /** Sends a message to every peer at once, for example after this controller was elected. */
--- a/src/main/java/io/quartzgw/progress/JobCompletionWriter.java
+++ b/src/main/java/io/quartzgw/progress/JobCompletionWriter.java
@@ -9,6 +9,7 @@
 import io.quartzgw.store.Transaction;
 import io.quartzgw.store.TransactionOutcome;
 import io.quartzgw.submission.JobKeys;
+import io.quartzgw.submission.JobRecordCodec;
 import io.quartzgw.submission.TerminalState;
 import java.util.HashSet;
 import java.util.Set;
@@ -57,7 +58,7 @@
                 .require(Leadership.TERM_KEY, term.termRevision())
                 .require(JobKeys.open(job.id()), job.open().revision())
                 .delete(JobKeys.open(job.id()))
-                .put(JobKeys.terminal(job.id()), terminalState.toJson());
+                .put(JobKeys.terminal(job.id()), JobRecordCodec.encodeTerminal(terminalState));
         store.commit(transaction, RequestUrgency.HIGH, outcome -> onOutcome(job, terminalState, outcome));
     }
 
--- a/src/main/java/io/quartzgw/recovery/FailoverRecovery.java
+++ b/src/main/java/io/quartzgw/recovery/FailoverRecovery.java
@@ -12,6 +12,7 @@
 import io.quartzgw.store.KeyValue;
 import io.quartzgw.store.StoreClient;
 import io.quartzgw.submission.JobKeys;
+import io.quartzgw.submission.JobRecordCodec;
 import io.quartzgw.submission.OpenJob;
 import java.util.List;
 import java.util.function.Predicate;
@@ -129,7 +130,7 @@
 
     private void loadIntoCluster(StoredState state) {
         for (KeyValue entry : state.openJobs().entries()) {
-            OpenJob job = OpenJob.fromRecord(entry.value(), entry.revision());
+            OpenJob job = JobRecordCodec.decodeOpen(entry.value(), entry.revision());
             // The job may have been cancelled while the open jobs were being read.
             if (!isKnownTerminal.test(job.spec().id())) {
                 cluster.add(job);
--- a/src/main/java/io/quartzgw/recovery/ReservationExpiry.java
+++ b/src/main/java/io/quartzgw/recovery/ReservationExpiry.java
@@ -33,8 +33,8 @@
 
     private boolean isExpired(Machine machine) {
         ClusterState cluster = leader.cluster();
-        boolean reserved =
-                !machine.removeAllocation() && (!machine.empty() || UnverifiedMachines.isUnverified(machine, cluster));
+        boolean reserved = !machine.reservationExpired()
+                && (!machine.empty() || UnverifiedMachines.isUnverified(machine, cluster));
         return reserved && leader.eventLoop().nowMs() - machine.liveness().lastResponseAt() > reservationMs;
     }
 
--- a/src/main/java/io/quartzgw/recovery/UnverifiedMachines.java
+++ b/src/main/java/io/quartzgw/recovery/UnverifiedMachines.java
@@ -36,7 +36,7 @@
     static boolean isUnverified(Machine machine, ClusterState cluster) {
         return machine.hasRunTasks()
                 && !machine.liveness().verified()
-                && !machine.removeAllocation()
+                && !machine.reservationExpired()
                 && cluster.machine(machine.id()) == machine;
     }
 
@@ -56,7 +56,7 @@
     /** Marks the machines that may run tasks, and the jobs whose tasks may run there. */
     void markUnaccounted() {
         machines.removeIf(machine -> !isUnverified(machine));
-        machines.forEach(machine -> cluster.unexplainedMachines(machine, true));
+        machines.forEach(machine -> cluster.setUnexplained(machine, true));
         List.copyOf(cluster.pendingJobs()).stream().filter(this::mayRunOnAny).forEach(cluster::markUnaccounted);
     }
 
--- a/src/main/java/io/quartzgw/scheduling/Allocation.java
+++ b/src/main/java/io/quartzgw/scheduling/Allocation.java
@@ -79,11 +79,6 @@
         return phase != Phase.ASSIGNED;
     }
 
-    /** The former name of {@link #recordPhase}. */
-    public void observed(Phase reported, long now) {
-        recordPhase(reported, now);
-    }
-
     /** Records the phase that the agent reports for this attempt. */
     public void recordPhase(Phase reported, long now) {
         if (reported == Phase.RUNNING && phase != Phase.RUNNING) {
--- a/src/main/java/io/quartzgw/scheduling/ClusterState.java
+++ b/src/main/java/io/quartzgw/scheduling/ClusterState.java
@@ -251,11 +251,6 @@
         }
     }
 
-    /** The former name of {@link #setUnexplained}. */
-    public void unexplainedMachines(Machine machine, boolean isUnexplained) {
-        setUnexplained(machine, isUnexplained);
-    }
-
     /** Whether anything has changed since the last call. */
     public boolean takeChanged() {
         boolean was = changed;
--- a/src/main/java/io/quartzgw/scheduling/Scheduler.java
+++ b/src/main/java/io/quartzgw/scheduling/Scheduler.java
@@ -1,10 +1,8 @@
 package io.quartzgw.scheduling;
 
 import io.quartzgw.eventloop.EventLoop;
-import io.quartzgw.liveness.AgentTiming;
 import io.quartzgw.model.Priority;
 import io.quartzgw.model.Resources;
-import io.quartzgw.model.TeamQuota;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -55,24 +53,6 @@
         this.evacuation = new ReclaimedMachineEvacuation(context);
     }
 
-    /** The former constructor; prefer the one with a {@link SchedulingPolicy}. */
-    public Scheduler(
-            EventLoop eventLoop,
-            ClusterState cluster,
-            Map<String, TeamQuota> teams,
-            ServiceLevelObjectives objectives,
-            boolean capacityReserved,
-            AgentTiming agentTiming,
-            BooleanSupplier cloudExhausted,
-            TaskLauncher launcher) {
-        this(
-                eventLoop,
-                cluster,
-                new SchedulingPolicy(teams, objectives, capacityReserved, agentTiming),
-                cloudExhausted,
-                launcher);
-    }
-
     /** The tasks that lacked free capacity in the last pass. */
     public List<UnplacedTasks> unplaced() {
         return unplaced;
@@ -83,11 +63,6 @@
         return constraints.isSchedulable(machine);
     }
 
-    /** The former name of {@link #isSchedulable}. */
-    public boolean usable(Machine machine) {
-        return isSchedulable(machine);
-    }
-
     /** Runs one pass: allocates and starts all pending tasks that can run now. */
     public void schedule() {
         stopBrokenGangs();
--- a/src/main/java/io/quartzgw/store/StoreClient.java
+++ b/src/main/java/io/quartzgw/store/StoreClient.java
@@ -93,17 +93,6 @@
                 codec.readRequest(key), RequestUrgency.NORMAL, reply -> callback.accept(StoreCodec.decodeRead(reply)));
     }
 
-    /** Reads one key: an empty list when there is none, null when the store is unavailable; use {@link #read}. */
-    public void get(String key, Consumer<List<KeyValue>> callback) {
-        read(key, result -> {
-            if (result instanceof ReadResult.Found found) {
-                callback.accept(List.of(found.entry()));
-            } else {
-                callback.accept(result instanceof ReadResult.Absent ? List.of() : null);
-            }
-        });
-    }
-
     /**
      * All keys with a prefix.
      *
@@ -117,13 +106,6 @@
         new PrefixReader(eventLoop, requests, codec, prefix, callback).start();
     }
 
-    /** Reads all keys with a prefix: null when the store is unavailable; use {@link #listPrefix}. */
-    public void list(String prefix, Consumer<Listing> callback) {
-        listPrefix(
-                prefix,
-                result -> callback.accept(result instanceof ListResult.Listed listed ? listed.listing() : null));
-    }
-
     // ---- transactions
 
     /** Sends a transaction; an outcome that is not known is reported as such and must not be taken for a failure. */
--- a/src/main/java/io/quartzgw/submission/JobCounts.java
+++ b/src/main/java/io/quartzgw/submission/JobCounts.java
@@ -1,7 +1,5 @@
 package io.quartzgw.submission;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.Map;
 import java.util.TreeMap;
 
@@ -18,16 +16,6 @@
         static final TaskCounts NONE = new TaskCounts(0, 0);
     }
 
-    /** Former name of {@link JobCountsCodec#decode}. */
-    public static JobCounts fromJson(JsonNode node) {
-        return JobCountsCodec.decode(node);
-    }
-
-    /** Former name of {@link JobCountsCodec#encode}. */
-    public ObjectNode toJson() {
-        return JobCountsCodec.encode(this);
-    }
-
     /** Replaces all counts of this page's range by those of the page. */
     void mergeInto(TreeMap<String, TaskCounts> known) {
         (upTo == null ? known.tailMap(after, false) : known.subMap(after, false, upTo, true)).clear();
--- a/src/main/java/io/quartzgw/submission/JobStore.java
+++ b/src/main/java/io/quartzgw/submission/JobStore.java
@@ -3,7 +3,7 @@
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
 import io.quartzgw.model.JobSpec;
-import io.quartzgw.store.KeyValue;
+import io.quartzgw.store.ReadResult;
 import io.quartzgw.store.RequestUrgency;
 import io.quartzgw.store.StoreClient;
 import io.quartzgw.store.Transaction;
@@ -82,11 +82,6 @@
         return Optional.ofNullable(terminalStates.getIfPresent(id));
     }
 
-    /** The terminal state of a job or null; prefer {@link #terminalState}. */
-    public TerminalState cachedTerminalState(String id) {
-        return terminalStates.getIfPresent(id);
-    }
-
     /** Records that a job is terminal, according to a committed transaction or a read. */
     public void recordTerminal(String id, TerminalState state) {
         terminalStates.put(id, state);
@@ -120,31 +115,30 @@
     // A job moves from open to terminal in one transaction, so reading in this order can't miss it.
     private void startRead(String id, SharedRead read) {
         reads.put(id, read);
-        store.get(JobKeys.open(id), records -> onOpenRecord(id, read, records));
+        store.read(JobKeys.open(id), result -> onOpenRecord(id, read, result));
     }
 
-    /** Continues a read; the records are null when the state service did not respond. */
-    private void onOpenRecord(String id, SharedRead read, List<KeyValue> records) {
-        if (records == null) {
-            finishRead(id, read, new LookupResult.Unavailable());
-        } else if (records.isEmpty()) {
-            store.get(JobKeys.terminal(id), terminal -> onTerminalRecord(id, read, terminal));
-        } else {
-            long revision = records.get(0).revision();
+    private void onOpenRecord(String id, SharedRead read, ReadResult result) {
+        if (result instanceof ReadResult.Found found) {
+            long revision = found.entry().revision();
             openRevisions.put(id, revision);
             finishRead(id, read, new LookupResult.Open(revision));
+        } else if (result instanceof ReadResult.Absent) {
+            store.read(JobKeys.terminal(id), terminal -> onTerminalRecord(id, read, terminal));
+        } else {
+            finishRead(id, read, new LookupResult.Unavailable());
         }
     }
 
-    private void onTerminalRecord(String id, SharedRead read, List<KeyValue> records) {
-        if (records == null) {
-            finishRead(id, read, new LookupResult.Unavailable());
-        } else if (records.isEmpty()) {
-            finishRead(id, read, new LookupResult.NotFound());
-        } else {
-            TerminalState state = JobRecordCodec.decodeTerminal(records.get(0).value());
+    private void onTerminalRecord(String id, SharedRead read, ReadResult result) {
+        if (result instanceof ReadResult.Found found) {
+            TerminalState state = JobRecordCodec.decodeTerminal(found.entry().value());
             recordTerminal(id, state);
             finishRead(id, read, new LookupResult.Terminal(state));
+        } else if (result instanceof ReadResult.Absent) {
+            finishRead(id, read, new LookupResult.NotFound());
+        } else {
+            finishRead(id, read, new LookupResult.Unavailable());
         }
     }
 
--- a/src/main/java/io/quartzgw/submission/TerminalState.java
+++ b/src/main/java/io/quartzgw/submission/TerminalState.java
@@ -1,17 +1,9 @@
 package io.quartzgw.submission;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
-
 /**
  * The final state of a job, which never changes.
  *
  * @param cancelled whether the job was cancelled; otherwise it is done
  * @param doneTasks how many tasks were done, for display
  */
-public record TerminalState(boolean cancelled, int doneTasks) {
-
-    /** Former name of {@link JobRecordCodec#encodeTerminal}. */
-    public ObjectNode toJson() {
-        return JobRecordCodec.encodeTerminal(this);
-    }
-}
+public record TerminalState(boolean cancelled, int doneTasks) {}
--- a/src/test/java/io/quartzgw/progress/ProgressRecorderTest.java
+++ b/src/test/java/io/quartzgw/progress/ProgressRecorderTest.java
@@ -13,6 +13,7 @@
 import io.quartzgw.simulation.JobSpecs;
 import io.quartzgw.simulation.LossyLink;
 import io.quartzgw.simulation.SimulatedStore;
+import io.quartzgw.store.ListResult;
 import io.quartzgw.store.StoreClient;
 import io.quartzgw.store.StoreLimits;
 import io.quartzgw.submission.OpenJob;
@@ -83,7 +84,10 @@
             ClusterState successor = new ClusterState(eventLoop, 2);
             cluster.jobs().forEach(job -> successor.add(job.open()));
             ProgressRecorder successorProgress = newRecorder();
-            store.list(ProgressBitmaps.PREFIX, listing -> successorProgress.load(listing.entries(), successor));
+            store.listPrefix(
+                    ProgressBitmaps.PREFIX,
+                    result -> successorProgress.load(
+                            ((ListResult.Listed) result).listing().entries(), successor));
             link.pass(1, false);
             for (Job job : cluster.jobs()) {
                 Job found = successor.job(job.id());
