--- /dev/null
+++ b/src/test/java/io/quartzgw/simulation/AgentTask.java
@@ -0,0 +1,20 @@
+package io.quartzgw.simulation;
+
+import java.util.Optional;
+
+/** One attempt to run a task on a simulated machine. */
+final class AgentTask {
+    final String name;
+    final long attempt;
+    final SimulatedAgent.Description job;
+    long startsAt;
+    long endsAt;
+    boolean running;
+    Optional<String> exitCause = Optional.empty();
+
+    AgentTask(String name, long attempt, SimulatedAgent.Description job) {
+        this.name = name;
+        this.attempt = attempt;
+        this.job = job;
+    }
+}
--- a/src/test/java/io/quartzgw/simulation/Elections.java
+++ b/src/test/java/io/quartzgw/simulation/Elections.java
@@ -8,27 +8,27 @@
 import java.util.List;
 import java.util.function.LongConsumer;
 
-/** Elects a node that stands alone, for tests of what only a leader does. */
+/** Elects a controller without peers as leader, for tests of what only a leader does. */
 public final class Elections {
     private static final int STEP_MS = 50;
-    private static final double REPORT_S = 2.5;
+    private static final double HEARTBEAT_S = 2.5;
     private static final double LEASE_S = 16;
     private static final double CANCEL_S = 36;
 
     private Elections() {}
 
-    /** A node that has no peers, as process 1 of its member. */
-    public static Leadership candidate(EventLoop kernel, StoreClient store) {
+    /** A candidate that has no peers, as process 1 of its controller. */
+    public static Leadership candidate(EventLoop eventLoop, StoreClient store) {
         return new Leadership(
-                kernel,
+                eventLoop,
                 store,
-                LeadershipTiming.of(REPORT_S, LEASE_S, CANCEL_S),
+                LeadershipTiming.of(HEARTBEAT_S, LEASE_S, CANCEL_S),
                 "rig-0",
                 1,
-                new CancellationWatermark(kernel, (long) (CANCEL_S * 1_000), List.of()));
+                new CancellationWatermark(eventLoop, (long) (CANCEL_S * 1_000), List.of()));
     }
 
-    /** Lets time pass until the node leads. */
+    /** Lets time pass until the candidate leads. */
     public static void elect(Leadership leadership, LongConsumer pass) {
         leadership.start(new Leadership.Listener() {
             @Override
--- a/src/test/java/io/quartzgw/simulation/LossyLink.java
+++ b/src/test/java/io/quartzgw/simulation/LossyLink.java
@@ -11,28 +11,28 @@
 import java.util.SplittableRandom;
 
 /**
- * Carries a kernel's calls to a state service. Where it is lossy, a transaction may be lost on the way, to be applied
- * late, or its answer may be.
+ * Carries an event loop's requests to a state service. Where it is lossy, a transaction may be lost on the way, to be
+ * applied late, or its response may be.
  */
 public final class LossyLink {
-    private final EventLoop kernel;
+    private final EventLoop eventLoop;
     private final SimulatedStore service;
     private final SplittableRandom random;
     private final List<Call> late = new ArrayList<>();
     private long now;
 
     /** @param random decides which messages get lost */
-    public LossyLink(EventLoop kernel, SimulatedStore service, SplittableRandom random) {
-        this.kernel = kernel;
+    public LossyLink(EventLoop eventLoop, SimulatedStore service, SplittableRandom random) {
+        this.eventLoop = eventLoop;
         this.service = service;
         this.random = random;
-        kernel.processBatch(List.of(), new ClockReading(now, now));
+        eventLoop.processBatch(List.of(), new ClockReading(now, now));
     }
 
-    /** Lets time pass and carries calls until the kernel sends nothing more. */
+    /** Lets time pass and carries requests until the event loop sends nothing more. */
     public void pass(long ms, boolean lossy) {
         now += ms;
-        List<Effect> effects = kernel.processBatch(List.of(), new ClockReading(now, now));
+        List<Effect> effects = eventLoop.processBatch(List.of(), new ClockReading(now, now));
         while (!effects.isEmpty()) {
             List<Command> ends = new ArrayList<>();
             for (Effect effect : effects) {
@@ -40,7 +40,7 @@
                     carry(send, lossy, ends);
                 }
             }
-            effects = ends.isEmpty() ? List.of() : kernel.processBatch(ends, new ClockReading(++now, now));
+            effects = ends.isEmpty() ? List.of() : eventLoop.processBatch(ends, new ClockReading(++now, now));
         }
     }
 
@@ -51,7 +51,7 @@
             ends.add(new Command.CallEnded(send.call(), Reply.lost()));
             return;
         }
-        // A follow is answered when something has changed, and is never waited for here.
+        // A watch gets a response when something has changed; nobody waits for it here.
         service.handle(
                 send.request(),
                 now,
--- a/src/test/java/io/quartzgw/simulation/MessageDigests.java
+++ b/src/test/java/io/quartzgw/simulation/MessageDigests.java
@@ -9,8 +9,8 @@
 import java.util.HexFormat;
 
 /**
- * A digest of everything that the controllers of a simulation send: calls to each other, to workers, to the state
- * service and to the cloud, and answers to requests, each with its moment. Equal digests mean equal decisions.
+ * A digest of everything that the controllers of a simulation send: requests to each other, to agents, to the state
+ * service and to the cloud, and responses, each with its time. Equal digests mean equal decisions.
  */
 final class MessageDigests {
     private static final int SHOWN_CHARACTERS = 16;
@@ -26,7 +26,7 @@
         }
     }
 
-    /** Adds what a controller sends at a moment. */
+    /** Adds what a controller sends at a time. */
     void add(long now, String from, Effect effect) {
         if (effect instanceof Effect.Answer answer) {
             Response response = answer.response();
--- a/src/test/java/io/quartzgw/simulation/ProtocolInvariants.java
+++ b/src/test/java/io/quartzgw/simulation/ProtocolInvariants.java
@@ -13,102 +13,99 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 
-/** Watches machines and users' answers, and notes every breach of the protocol's rules. */
+/**
+ * The invariants of the protocol. They are checked against what the machines run and what users are told, never against
+ * the state of controllers; each violation is recorded with its time and the name of the invariant.
+ */
 public final class ProtocolInvariants implements SimulatedAgent.Watcher {
-    /** Once all troubles are over, every job has an answered question in such a time. */
-    private static final long ANSWERED_MS = 75_000;
-    /** Once all troubles are over, no job waits so long while a machine that fits has room. */
-    private static final long WAITING_MS = 90_000;
+    /** After all faults, a request about any job succeeds within such a time. */
+    private static final long RESPONSE_LIMIT_MS = 75_000;
+    /** After all faults, no job waits for so long while a machine that fits has room. */
+    private static final long WAITING_LIMIT_MS = 90_000;
 
-    private final long cancelMs;
-    private final Map<String, Double> limits;
+    private static final String DONE = "done";
+    private static final String CANCELLED = "withdrawn";
+    private static final int CREATED = 201;
+
+    private final long cancelLimitMs;
+    private final LongSupplier clock;
+    private final PlacementRules placement;
     private final List<String> violations = new ArrayList<>();
-    private final Map<String, JsonNode> specs = new HashMap<>();
-    private final Map<String, SimulatedAgent> running = new HashMap<>();
     private final Map<String, Integer> starts = new HashMap<>();
     private final Map<String, Set<Integer>> completed = new HashMap<>();
-    private final Map<String, String> lastFinal = new HashMap<>();
-    private final Map<String, Long> cancelledAt = new HashMap<>();
-    private final Set<String> recordCancellationRequest = new HashSet<>();
+    private final Map<String, JobRecord> accepted = new HashMap<>();
+    private final Set<String> cancellationRequested = new HashSet<>();
     private final Map<String, Long> waitingSince = new HashMap<>();
     private int startsAfterCancellation;
-    private Consumer<String> lastTaskEnded = job -> {};
-    private final Set<String> accepted = new HashSet<>();
-    private final Map<String, Long> acceptedAt = new HashMap<>();
-    private final Map<String, Long> finalAt = new HashMap<>();
-    private final Map<String, Long> answeredAt = new HashMap<>();
-    private long troublesOverAt = Long.MAX_VALUE;
-    private final LongSupplier clock;
+    private Consumer<String> onLastTaskEnded = job -> {};
+    private long faultsOverAt = Long.MAX_VALUE;
 
-    /** @param limits how many CPUs the tasks of a team may take at once; no entry: as many as there are */
-    ProtocolInvariants(long cancelMs, Map<String, Double> limits, LongSupplier clock) {
-        this.cancelMs = cancelMs;
-        this.limits = limits;
+    /**
+     * @param cancelLimitMs within what time after a user is told of a cancellation the job's tasks are gone
+     * @param cpuLimits by team, how many CPUs its tasks may use at once; teams without an entry have no limit
+     * @param clock the simulated time
+     */
+    ProtocolInvariants(long cancelLimitMs, Map<String, Double> cpuLimits, LongSupplier clock) {
+        this.cancelLimitMs = cancelLimitMs;
+        this.placement = new PlacementRules(cpuLimits);
         this.clock = clock;
     }
 
+    // ---- what was observed
+
+    /** The violations so far. */
     public List<String> violations() {
         return violations;
     }
 
+    /** How many times tasks have begun to run. */
     public int startCount() {
         return starts.values().stream().mapToInt(Integer::intValue).sum();
     }
 
-    /** Tasks that began to run after a user was told that their job is cancelled. */
+    /** How many tasks began to run after a user was told that their job is cancelled. */
     public int startsAfterCancellation() {
         return startsAfterCancellation;
     }
 
-    /** Sets what is called with each job whose last task has just completed. */
-    void onLastTaskEnded(Consumer<String> action) {
-        this.lastTaskEnded = action;
-    }
-
-    void recordCancellationRequest(String job) {
-        recordCancellationRequest.add(job);
-    }
-
-    /** Open jobs of which a task runs, in the order of their names. */
+    /** The open jobs of which a task runs, in the order of their ids. */
     public List<String> runningJobs() {
-        return running.keySet().stream()
-                .map(ProtocolInvariants::job)
+        return placement.runningTasks().stream()
+                .map(PlacementRules::jobOf)
                 .distinct()
-                .filter(job -> !lastFinal.containsKey(job))
+                .filter(job -> !isFinal(job))
                 .sorted()
                 .toList();
     }
 
+    /** The tasks that run at present. */
+    public Set<String> runningTasks() {
+        return placement.runningTasks();
+    }
+
     /** The final phase of a job as users were told it; empty while it is open. */
     public Optional<String> finalPhase(String job) {
-        return Optional.ofNullable(lastFinal.get(job));
+        return Optional.ofNullable(accepted.get(job)).flatMap(JobRecord::finalPhase);
     }
 
     /** Whether users were told that a job has ended in a phase. */
     public boolean hasEndedIn(String phase, String job) {
-        return phase.equals(lastFinal.get(job));
+        return finalPhase(job).filter(phase::equals).isPresent();
     }
 
-    public Set<String> runningTasks() {
-        return running.keySet();
-    }
-
-    /** All troubles are over: from now on every accepted job stays known, however others fare. */
-    public void faultsOver(long now) {
-        troublesOverAt = now;
+    private boolean isFinal(String job) {
+        return finalPhase(job).isPresent();
     }
 
-    /** Tasks of accepted services that run nowhere, though nobody has cancelled them. */
+    /** The replicas of accepted services that run nowhere, though users were told of no cancellation. */
     public List<String> missingReplicas() {
         List<String> missing = new ArrayList<>();
-        for (String job : accepted) {
-            JsonNode spec = specs.get(job);
-            for (int i = 0;
-                    spec.path("shape").asText().equals("daemon")
-                            && !lastFinal.containsKey(job)
-                            && i < spec.path("shards").asInt();
-                    i++) {
-                if (!running.containsKey(job + "/" + i)) {
+        for (String job : accepted.keySet()) {
+            if (!placement.isService(job) || isFinal(job)) {
+                continue;
+            }
+            for (int i = 0; i < placement.taskCount(job); i++) {
+                if (!placement.runningTasks().contains(job + "/" + i)) {
                     missing.add(job + "/" + i);
                 }
             }
@@ -116,188 +113,188 @@
         return missing;
     }
 
-    void recordSubmission(JsonNode spec) {
-        specs.put(spec.path("id").asText(), spec);
+    /** Sets what is called with each job whose last task has just completed. */
+    void onLastTaskEnded(Consumer<String> action) {
+        this.onLastTaskEnded = action;
     }
 
-    private void breach(String rule, String what) {
-        violations.add(clock.getAsLong() + " ms: " + rule + ": " + what);
+    private void violated(String invariant, String details) {
+        violations.add(clock.getAsLong() + " ms: " + invariant + ": " + details);
     }
 
-    private static String job(String task) {
-        return task.substring(0, task.indexOf('/'));
-    }
+    // ---- tasks
 
     @Override
-    public void started(SimulatedAgent on, String task) {
+    public void started(SimulatedAgent agent, String task) {
         starts.merge(task, 1, Integer::sum);
-        JsonNode spec = specs.get(job(task));
-        if (running.containsKey(task)) {
-            breach("ran_twice", task + " on " + on.id + " and " + running.get(task).id);
+        String job = PlacementRules.jobOf(task);
+        placement
+                .agentOf(task)
+                .ifPresent(other -> violated("ran_twice", task + " on " + agent.id + " and " + other.id));
+        checkNotCancelled(task, job);
+        if (!placement.isMachineAllowed(job, agent)) {
+            violated("wrong_place", task + " on " + agent.id);
         }
-        Long cancelled = cancelledAt.get(job(task));
-        if (cancelled != null) {
-            startsAfterCancellation++;
-            if (clock.getAsLong() - cancelled > cancelMs) {
-                breach("ran_cancelled", task + " starts");
-            }
+        if (!placement.isSpreadKept(job, agent)) {
+            violated("wrong_place", task + " is one too many in " + agent.zone);
         }
-        if (on.spot && !spec.path("loaner").asBoolean()
-                || spec.hasNonNull("yard") && !spec.path("yard").asText().equals(on.zone)) {
-            breach("wrong_place", task + " on " + on.id);
+        if (!placement.isOneZoneKept(job, agent)) {
+            violated("wrong_place", task + " is not with the others in " + agent.zone);
         }
-        long inZone = running.entrySet().stream()
-                .filter(entry -> job(entry.getKey()).equals(job(task))
-                        && entry.getValue().zone.equals(on.zone))
-                .count();
-        if (spec.path("scatter").asBoolean()
-                && inZone + 1 > (spec.path("shards").asInt() + 1) / 2) {
-            breach("wrong_place", task + " is one too many in " + on.zone);
+        placement.add(task, agent);
+        if (placement.isQuotaExceeded(job)) {
+            String team = placement.team(job);
+            violated("quota", team + " uses " + placement.usedCpus(team));
         }
-        boolean elsewhere = running.entrySet().stream()
-                .anyMatch(entry -> job(entry.getKey()).equals(job(task))
-                        && !entry.getValue().zone.equals(on.zone));
-        if (spec.path("together").asBoolean() && elsewhere) {
-            breach("wrong_place", task + " is not with the others in " + on.zone);
+    }
+
+    private void checkNotCancelled(String task, String job) {
+        if (!isCancelled(job)) {
+            return;
         }
-        running.put(task, on);
-        String team = spec.path("crew").asText();
-        if (limits.containsKey(team) && used(team) > limits.get(team) + 1e-6) {
-            breach("quota", team + " uses " + used(team));
+        startsAfterCancellation++;
+        if (isCancellationOverdue(job, clock.getAsLong())) {
+            violated("ran_cancelled", task + " starts");
         }
     }
 
-    private double used(String team) {
-        return running.keySet().stream()
-                .map(other -> specs.get(job(other)))
-                .filter(other -> other.path("crew").asText().equals(team))
-                .mapToDouble(other -> other.path("cpus").asDouble())
-                .sum();
+    private boolean isCancelled(String job) {
+        return accepted.containsKey(job) && accepted.get(job).isCancelled();
+    }
+
+    private boolean isCancellationOverdue(String job, long now) {
+        return accepted.containsKey(job) && accepted.get(job).isCancelledLongerThan(cancelLimitMs, now);
     }
 
     @Override
-    public void ended(SimulatedAgent on, String task) {
-        if (running.get(task) == on) {
-            running.remove(task);
-        }
+    public void ended(SimulatedAgent agent, String task) {
+        placement.remove(task, agent);
     }
 
     @Override
     public void completed(String task) {
-        Set<Integer> ended = completed.computeIfAbsent(job(task), id -> new HashSet<>());
-        if (ended.add(Integer.parseInt(task.substring(task.indexOf('/') + 1)))
-                && ended.size() == specs.get(job(task)).path("shards").asInt()) {
-            lastTaskEnded.accept(job(task));
+        String job = PlacementRules.jobOf(task);
+        int index = Integer.parseInt(task.substring(task.indexOf('/') + 1));
+        boolean first = completed.computeIfAbsent(job, id -> new HashSet<>()).add(index);
+        if (first && completedCount(job) == placement.taskCount(job)) {
+            onLastTaskEnded.accept(job);
         }
     }
 
-    void recordRejection(String id, int status) {
-        if (accepted.contains(id) && (status == 400 || status == 422)) {
-            breach("forgotten", id + " is refused with " + status);
+    private int completedCount(String job) {
+        return completed.getOrDefault(job, Set.of()).size();
+    }
+
+    // ---- requests and responses
+
+    /** A user is about to submit a job, or to repeat its submission. */
+    void recordSubmission(JsonNode spec) {
+        placement.addJob(spec);
+    }
+
+    /** A user is about to cancel a job. */
+    void recordCancellationRequest(String job) {
+        cancellationRequested.add(job);
+    }
+
+    /** A submission got a response other than an acceptance: it must not reject a job that was accepted before. */
+    void recordRejection(String job, int status) {
+        if (accepted.containsKey(job) && (status == 400 || status == 422)) {
+            violated("forgotten", job + " is refused with " + status);
         }
     }
 
-    /** A job that can't run, or is no job, was answered. */
-    void recordResponseToInvalidJob(String what, int status) {
+    /** A job that can't run, or is no job, got a response: it must be rejected. */
+    void recordResponseToInvalidJob(String spec, int status) {
         if (status / 100 == 2 || status == 404) {
-            breach("accepted", what + " is answered " + status);
+            violated("accepted", spec + " is answered " + status);
         }
     }
 
-    /** Somebody asked about a job that nobody submitted. */
-    void recordResponseForUnknownJob(String id, int status) {
+    /** A request about a job that nobody submitted got a response: it must be no success. */
+    void recordResponseForUnknownJob(String job, int status) {
         if (status / 100 == 2) {
-            breach("invented", id);
+            violated("invented", job);
         }
     }
 
-    /** @param asked when the question was asked: an answer that was overtaken on its way is no older one */
-    void recordResponse(String id, Reply reply, long asked, long now) {
-        if (reply.status() == 404 && accepted.contains(id) && asked > acceptedAt.get(id)) {
-            breach("forgotten", id + " is answered 404");
+    /**
+     * A request about a job got a response.
+     *
+     * @param sentAt when the request was sent: a response to an earlier request may tell an earlier state
+     */
+    void recordResponse(String job, Reply reply, long sentAt, long now) {
+        JobRecord known = accepted.get(job);
+        if (reply.status() == 404 && known != null && sentAt > known.acceptedAt()) {
+            violated("forgotten", job + " is answered 404");
         }
-        if (!reply.ok() && reply.status() != 201) {
+        if (!reply.ok() && reply.status() != CREATED) {
             return;
         }
-        accepted.add(id);
-        acceptedAt.putIfAbsent(id, now);
-        answeredAt.put(id, now);
+        JobRecord jobRecord = accepted.computeIfAbsent(job, id -> new JobRecord(now));
+        jobRecord.responded(now);
         String phase = reply.json().path("phase").asText();
-        String before = lastFinal.get(id);
-        if (before != null && !before.equals(phase) && asked > finalAt.get(id)) {
-            breach("went_back", id + " was " + before + " and is " + phase);
+        if (jobRecord.contradicts(phase, sentAt)) {
+            violated("went_back", job + " was " + jobRecord.finalPhase().orElseThrow() + " and is " + phase);
         }
-        if (phase.equals("done") || phase.equals("withdrawn")) {
-            lastFinal.putIfAbsent(id, phase);
-            finalAt.putIfAbsent(id, now);
+        if (phase.equals(DONE)) {
+            recordDone(job, jobRecord, now);
+        } else if (phase.equals(CANCELLED)) {
+            recordCancelled(job, jobRecord, now);
         }
-        if (phase.equals("withdrawn")) {
-            cancelledAt.putIfAbsent(id, now);
-            if (!recordCancellationRequest.contains(id)) {
-                breach("went_back", id + " is cancelled though nobody asked for it");
-            }
+    }
+
+    private void recordDone(String job, JobRecord jobRecord, long now) {
+        jobRecord.end(DONE, now);
+        if (completedCount(job) < placement.taskCount(job)) {
+            violated("not_done", job);
         }
-        if (phase.equals("done")
-                && completed.getOrDefault(id, Set.of()).size()
-                        < specs.get(id).path("shards").asInt()) {
-            breach("not_done", id);
+    }
+
+    private void recordCancelled(String job, JobRecord jobRecord, long now) {
+        jobRecord.end(CANCELLED, now);
+        jobRecord.cancelled(now);
+        if (!cancellationRequested.contains(job)) {
+            violated("went_back", job + " is cancelled though nobody asked for it");
         }
     }
 
-    /** Looks for tasks that are on a machine too long after their job was cancelled. */
+    // ---- deadlines
+
+    /** All faults are over: from now on requests about every accepted job have to succeed in time. */
+    public void faultsOver(long now) {
+        faultsOverAt = now;
+    }
+
+    /** Checks that no task runs too long after its job's cancellation, and that no job is without responses. */
     public void checkDeadlines(long now) {
-        for (String job : accepted) {
-            if (now > troublesOverAt
-                    && !cancelledAt.containsKey(job)
-                    && now - Math.max(troublesOverAt, answeredAt.get(job)) > ANSWERED_MS) {
-                breach("forgotten", job + " gets no answer");
+        accepted.forEach((job, jobRecord) -> {
+            if (now > faultsOverAt
+                    && !jobRecord.isCancelled()
+                    && now - Math.max(faultsOverAt, jobRecord.lastResponseAt()) > RESPONSE_LIMIT_MS) {
+                violated("forgotten", job + " gets no answer");
             }
-        }
-        for (String task : running.keySet()) {
-            Long cancelled = cancelledAt.get(job(task));
-            if (cancelled != null && now - cancelled > cancelMs) {
-                breach("ran_cancelled", task + " is still there");
+        });
+        for (String task : placement.runningTasks()) {
+            if (isCancellationOverdue(PlacementRules.jobOf(task), now)) {
+                violated("ran_cancelled", task + " is still there");
             }
         }
     }
 
-    /** Looks for jobs that wait though a machine that fits has room; to be called once all troubles are over. */
-    public void checkWaitingJobs(Collection<SimulatedAgent> machines, long now) {
-        for (String job : accepted) {
-            boolean could = !lastFinal.containsKey(job)
-                    && specs.get(job).path("shards").asInt()
-                            > completed.getOrDefault(job, Set.of()).size()
-                                    + runningTasks(job).size()
-                    && machines.stream().anyMatch(machine -> fits(job, machine));
-            if (!could) {
+    /** Checks that no job waits too long while a machine that fits has room; for the time after all faults. */
+    public void checkWaitingJobs(Collection<SimulatedAgent> agents, long now) {
+        for (String job : accepted.keySet()) {
+            boolean couldStart = !isFinal(job)
+                    && placement.taskCount(job)
+                            > completedCount(job) + placement.agentsOf(job).size()
+                    && agents.stream().anyMatch(agent -> placement.fits(job, agent));
+            if (!couldStart) {
                 waitingSince.remove(job);
-            } else if (now - waitingSince.computeIfAbsent(job, id -> now) > WAITING_MS) {
-                breach("waiting", job + " waits though there is room");
+            } else if (now - waitingSince.computeIfAbsent(job, id -> now) > WAITING_LIMIT_MS) {
+                violated("waiting", job + " waits though there is room");
                 waitingSince.put(job, now);
             }
         }
     }
-
-    private List<Map.Entry<String, SimulatedAgent>> runningTasks(String job) {
-        return running.entrySet().stream()
-                .filter(entry -> job(entry.getKey()).equals(job))
-                .toList();
-    }
-
-    private boolean fits(String job, SimulatedAgent machine) {
-        JsonNode spec = specs.get(job);
-        double cpus = spec.path("cpus").asDouble();
-        String team = spec.path("crew").asText();
-        List<Map.Entry<String, SimulatedAgent>> others = runningTasks(job);
-        long inZone = others.stream()
-                .filter(entry -> entry.getValue().zone.equals(machine.zone))
-                .count();
-        return machine.freeCpus() >= cpus
-                && (!machine.spot || spec.path("loaner").asBoolean())
-                && (!spec.hasNonNull("yard") || spec.path("yard").asText().equals(machine.zone))
-                && (!spec.path("together").asBoolean() || inZone == others.size())
-                && (!spec.path("scatter").asBoolean()
-                        || inZone + 1 <= (spec.path("shards").asInt() + 1) / 2)
-                && (!limits.containsKey(team) || used(team) + cpus <= limits.get(team));
-    }
 }
--- a/src/test/java/io/quartzgw/simulation/SimulatedAgent.java
+++ b/src/test/java/io/quartzgw/simulation/SimulatedAgent.java
@@ -8,17 +8,27 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Function;
 
-/** A worker as its protocol page describes it: sessions, tokens, leases, orders; time is handed in. */
+/**
+ * The agent of a machine as the protocol describes it: it runs tasks by command, sends heartbeats, and drops all tasks
+ * and begins a new epoch when its lease expires. Commands are fenced by the token and the epoch that they carry. Time
+ * is handed in by callers.
+ */
 public final class SimulatedAgent {
     private static final double CPUS_SMALL = 8;
     private static final double CPUS_LARGE = 16;
 
     /**
-     * What a worker learns of a job; null where no such job was submitted.
+     * How the tasks of a job run.
      *
+     * @param cpus what each task takes
+     * @param runS how long the first task runs
      * @param longerS how much longer each task runs than the one before it
+     * @param imageS how long the image takes to load
+     * @param service whether tasks run until they are stopped
+     * @param faulty whether tasks end with an error
      */
     public record Description(
             double cpus, double runS, double longerS, double imageS, boolean service, boolean faulty) {}
@@ -35,22 +45,6 @@
         default void completed(String task) {}
     }
 
-    private static final class Task {
-        private final String name;
-        private final long attempt;
-        private final Description job;
-        private long runsAt;
-        private long doneAt;
-        private boolean running;
-        private String cause;
-
-        Task(String name, long attempt, Description job) {
-            this.name = name;
-            this.attempt = attempt;
-            this.job = job;
-        }
-    }
-
     public final String id;
     private final String address;
     public final String type;
@@ -59,15 +53,19 @@
     private final long leaseMs;
     private final Function<String, Description> jobs;
     private final Watcher watcher;
-    private final Map<String, Task> tasks = new LinkedHashMap<>();
+    private final Map<String, AgentTask> tasks = new LinkedHashMap<>();
     private long epoch = 1;
-    private long counter;
+    private long heartbeatCount;
     private long token;
     private long renewedAt;
     private boolean changed;
     private long reclaimAt = Long.MAX_VALUE;
 
-    /** Makes the worker of a machine, in its first session. */
+    /**
+     * Makes the agent of a machine, in its first epoch.
+     *
+     * @param jobs how the tasks of a job run, by the job's id; returns null for a job that nobody submitted
+     */
     public SimulatedAgent(
             String id,
             String address,
@@ -89,44 +87,50 @@
         this.watcher = watcher;
     }
 
-    /** The worker of this machine after it was started again: it knows no task and no token. */
-    SimulatedAgent replacement(long now, boolean counting) {
+    /**
+     * The agent of this machine after it was started again: it knows no task and no token.
+     *
+     * @param epochKept whether it counts its epochs on, or begins with the first again
+     */
+    SimulatedAgent replacement(long now, boolean epochKept) {
         SimulatedAgent next = new SimulatedAgent(id, address, type, zone, spot, leaseMs, now, jobs, watcher);
-        next.epoch = counting ? epoch + 1 : 1;
+        next.epoch = epochKept ? epoch + 1 : 1;
         return next;
     }
 
+    /** The epoch: it grows whenever the lease has expired. */
     public long epoch() {
         return epoch;
     }
 
+    /** The highest fencing token that the agent has seen. */
     public long token() {
         return token;
     }
 
-    /** The cloud has told when it takes the machine away. */
-    void reclaimAt(long moment) {
-        reclaimAt = moment;
+    /** The cloud has announced when it reclaims the machine. */
+    void reclaimAt(long time) {
+        reclaimAt = time;
         changed = true;
     }
 
-    /** Whether something has changed since the last report. */
+    /** Returns whether something has changed since the last call; a heartbeat is then due. */
     public boolean takeChanged() {
         boolean was = changed;
         changed = false;
         return was;
     }
 
-    /** The room that is left beside all that was started here. */
+    /** The CPUs that no task has taken which was started here and has not ended. */
     double freeCpus() {
-        return size()
+        return cpus()
                 - tasks.values().stream()
-                        .filter(task -> task.cause == null)
+                        .filter(task -> task.exitCause.isEmpty())
                         .mapToDouble(task -> task.job.cpus())
                         .sum();
     }
 
-    private double size() {
+    private double cpus() {
         return type.equals("large") ? CPUS_LARGE : CPUS_SMALL;
     }
 
@@ -138,21 +142,21 @@
                 .toList();
     }
 
-    /** The machine is gone, with all that is on it. */
+    /** Stops the machine, with all tasks on it. */
     public void stop() {
-        forgetAll();
+        dropTasks();
     }
 
-    /** Lets time pass up to a moment. */
+    /** Starts and ends the tasks that are due, and lets the lease expire. */
     public void advanceTo(long now) {
         expireLease(now);
-        for (Task task : List.copyOf(tasks.values())) {
-            if (task.cause == null && !task.running && now >= task.runsAt) {
+        for (AgentTask task : List.copyOf(tasks.values())) {
+            if (task.exitCause.isEmpty() && !task.running && now >= task.startsAt) {
                 task.running = true;
                 changed = true;
                 watcher.started(this, task.name);
             }
-            if (task.cause == null && task.running && !task.job.service() && now >= task.doneAt) {
+            if (task.exitCause.isEmpty() && task.running && !task.job.service() && now >= task.endsAt) {
                 if (!task.job.faulty()) {
                     watcher.completed(task.name);
                 }
@@ -161,61 +165,61 @@
         }
     }
 
-    /** Ends the session when its lease has run out; a machine that hangs past it runs nothing any more. */
+    /** Ends the epoch when its lease has expired; also a machine that hangs then runs nothing any more. */
     public void expireLease(long now) {
         if (now - renewedAt > leaseMs) {
-            forgetAll();
+            dropTasks();
             epoch++;
             renewedAt = now;
             changed = true;
         }
     }
 
-    private void forgetAll() {
+    private void dropTasks() {
         tasks.values().stream().filter(task -> task.running).forEach(task -> watcher.ended(this, task.name));
         tasks.clear();
     }
 
-    private void end(Task task, String cause) {
+    private void end(AgentTask task, String cause) {
         if (task.running) {
             task.running = false;
             watcher.ended(this, task.name);
         }
-        task.cause = cause;
+        task.exitCause = Optional.of(cause);
         changed = true;
     }
 
-    /** Makes the next report, as sent to controllers. */
+    /** Makes the body of the next heartbeat. */
     public ObjectNode heartbeat(long now) {
-        ObjectNode report = Json.object()
+        ObjectNode heartbeat = Json.object()
                 .put("host", id)
                 .put("address", address)
                 .put("host_type", type)
                 .put("yard", zone)
                 .put("loaner", spot)
                 .put("tenure", epoch)
-                .put("counter", ++counter)
+                .put("counter", ++heartbeatCount)
                 .put("baton", token);
         if (reclaimAt == Long.MAX_VALUE) {
-            report.putNull("reclaim_in_s");
+            heartbeat.putNull("reclaim_in_s");
         } else {
-            report.put("reclaim_in_s", Math.max(0, reclaimAt - now) / 1000.0);
+            heartbeat.put("reclaim_in_s", Math.max(0, reclaimAt - now) / 1000.0);
         }
-        ArrayNode list = report.putArray("shards");
-        for (Task task : tasks.values()) {
+        ArrayNode list = heartbeat.putArray("shards");
+        for (AgentTask task : tasks.values()) {
             ObjectNode node = list.addObject().put("shard", task.name).put("try_no", task.attempt);
-            node.put("phase", task.cause != null ? "ended" : task.running ? "running" : "fetching");
-            if (task.cause != null) {
-                node.put("exit_cause", task.cause);
+            node.put("phase", task.exitCause.isPresent() ? "ended" : task.running ? "running" : "fetching");
+            if (task.exitCause.isPresent()) {
+                node.put("exit_cause", task.exitCause.get());
             }
         }
-        return report;
+        return heartbeat;
     }
 
-    /** Takes the response to a report that was sent in a session at a moment. */
-    public void receiveHeartbeatResponse(Reply reply, long sentIn, long sentAt, long now) {
+    /** Handles the response to a heartbeat that was sent in an epoch at a time: it renews the lease. */
+    public void receiveHeartbeatResponse(Reply reply, long sentInEpoch, long sentAt, long now) {
         JsonNode body = reply.json();
-        if (!reply.ok() || sentIn != epoch || body.path("baton").asLong() < token || !body.has("baton")) {
+        if (!reply.ok() || sentInEpoch != epoch || body.path("baton").asLong() < token || !body.has("baton")) {
             return;
         }
         token = body.path("baton").asLong();
@@ -223,15 +227,15 @@
         execute(body.path("orders"), now);
     }
 
-    /** Serves a direct order. */
+    /** Handles a request with direct commands. */
     public Reply receiveCommands(JsonNode body, long now) {
-        long told = body.path("baton").asLong();
+        long received = body.path("baton").asLong();
         if (!body.has("baton") || !body.has("tenure")) {
             return SimulatedStore.reply(400, Json.object());
         }
-        boolean stale = told < token;
-        if (told > token) {
-            token = told;
+        boolean stale = received < token;
+        if (received > token) {
+            token = received;
             changed = true;
         }
         if (stale || body.path("tenure").asLong() != epoch) {
@@ -241,24 +245,24 @@
         return SimulatedStore.reply(200, heartbeat(now));
     }
 
-    private void execute(JsonNode orders, long now) {
-        for (JsonNode order : orders) {
-            String name = order.path("shard").asText();
-            long attempt = order.path("try_no").asLong();
-            Task known = tasks.get(name + "#" + attempt);
-            switch (order.path("verb").asText()) {
+    private void execute(JsonNode commands, long now) {
+        for (JsonNode command : commands) {
+            String name = command.path("shard").asText();
+            long attempt = command.path("try_no").asLong();
+            AgentTask known = tasks.get(name + "#" + attempt);
+            switch (command.path("verb").asText()) {
                 case "run" -> {
                     if (known == null) {
                         run(name, attempt, now);
                     }
                 }
                 case "kill" -> {
-                    if (known != null && known.cause == null) {
+                    if (known != null && known.exitCause.isEmpty()) {
                         end(known, "stopped");
                     }
                 }
                 default -> {
-                    if (known != null && known.cause != null) {
+                    if (known != null && known.exitCause.isPresent()) {
                         tasks.remove(name + "#" + attempt);
                     }
                 }
@@ -268,18 +272,18 @@
 
     private void run(String name, long attempt, long now) {
         Description job = jobs.apply(name.substring(0, name.indexOf('/')));
-        Task task = new Task(name, attempt, job);
+        AgentTask task = new AgentTask(name, attempt, job);
         boolean busy = tasks.values().stream().anyMatch(other -> other.name.equals(name));
         if (job == null) {
-            task.cause = "unknown";
+            task.exitCause = Optional.of("unknown");
         } else if (busy) {
-            task.cause = "busy";
+            task.exitCause = Optional.of("busy");
         } else if (job.cpus() > freeCpus()) {
-            task.cause = "no_room";
+            task.exitCause = Optional.of("no_room");
         } else {
-            task.runsAt = now + (long) (job.imageS() * 1000);
+            task.startsAt = now + (long) (job.imageS() * 1000);
             int index = Integer.parseInt(name.substring(name.indexOf('/') + 1));
-            task.doneAt = task.runsAt + (long) ((job.runS() + index * job.longerS()) * 1000);
+            task.endsAt = task.startsAt + (long) ((job.runS() + index * job.longerS()) * 1000);
         }
         tasks.put(name + "#" + attempt, task);
         changed = true;
--- a/src/test/java/io/quartzgw/simulation/SimulatedCloud.java
+++ b/src/test/java/io/quartzgw/simulation/SimulatedCloud.java
@@ -17,15 +17,22 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 
-/** The cloud as its protocol page describes it, with a machine list that lags; time is handed in. */
+/**
+ * The cloud API as its protocol describes it: machines are rented by idempotent requests, boot, may fail or be
+ * reclaimed, and appear late in the list of machines. Time is handed in by callers.
+ */
 public final class SimulatedCloud {
+    private static final String DEFAULT_PAGE_SIZE = "500";
+
     private final long lagMs;
     private long setBootMs;
     private final int capacity;
-    private final TreeMap<String, Rented> machines = new TreeMap<>();
-    private final Map<String, List<String>> answered = new HashMap<>();
+    private final TreeMap<String, Machine> machines = new TreeMap<>();
+    private final Map<String, List<String>> machinesByRequest = new HashMap<>();
     private final List<Snapshot> history = new ArrayList<>();
     private final Function<String, String> addresses;
+    private final Set<String> booted = new HashSet<>();
+    private int nextMachine;
     private BootListener onBoot = (id, type, zone, spot) -> {};
     private Consumer<String> onRemoval = id -> {};
 
@@ -34,16 +41,16 @@
         void booted(String id, String type, String zone, boolean spot);
     }
 
-    private record Rented(String type, String zone, boolean spot, long since, boolean failed) {}
-
-    private record Snapshot(long at, Map<String, Rented> machines) {}
+    private record Machine(String type, String zone, boolean spot, long rentedAt, boolean failed) {}
 
-    private final Set<String> up = new HashSet<>();
+    /** All machines as they were at a time. */
+    private record Snapshot(long time, Map<String, Machine> machines) {}
 
     /**
-     * @param lagMs by how much the machine list is late
+     * @param lagMs how old the state is that the list of machines shows
      * @param setBootMs how long a machine boots
-     * @param capacity how many machines there are in all
+     * @param capacity how many machines can be rented at a time
+     * @param addresses the address of a machine's agent, by the machine's name
      */
     public SimulatedCloud(long lagMs, long bootMs, int capacity, Function<String, String> addresses) {
         this.addresses = addresses;
@@ -58,21 +65,21 @@
         this.onRemoval = removal;
     }
 
-    /** A machine stops on its own. */
+    /** A machine fails; it is listed as failed from then on. */
     public void fail(String id, long now) {
-        Rented machine = machines.get(id);
+        Machine machine = machines.get(id);
         if (machine != null) {
-            machines.put(id, new Rented(machine.type, machine.zone, machine.spot, machine.since, true));
+            machines.put(id, new Machine(machine.type, machine.zone, machine.spot, machine.rentedAt, true));
             onRemoval.accept(id);
-            note(now);
+            addSnapshot(now);
         }
     }
 
-    /** The cloud takes a machine back: it is gone, and in no list any more. */
+    /** The cloud reclaims a machine: it is gone, and in no later list any more. */
     public void reclaim(String id, long now) {
         if (machines.remove(id) != null) {
             onRemoval.accept(id);
-            note(now);
+            addSnapshot(now);
         }
     }
 
@@ -81,52 +88,52 @@
         setBootMs = ms;
     }
 
-    /** The machines that are up. */
+    /** The machines that have booted and have not failed. */
     public List<String> running() {
         return machines.keySet().stream()
-                .filter(id -> up.contains(id) && !machines.get(id).failed)
+                .filter(id -> booted.contains(id) && !machines.get(id).failed)
                 .toList();
     }
 
-    /** Lets time pass up to a moment. */
+    /** Lets machines boot up to a time. */
     public void advanceTo(long now) {
         machines.forEach((id, machine) -> {
-            if (!machine.failed && now - machine.since >= setBootMs && up.add(id)) {
+            if (!machine.failed && now - machine.rentedAt >= setBootMs && booted.add(id)) {
                 onBoot.booted(id, machine.type, machine.zone, machine.spot);
             }
         });
     }
 
-    /** Answers a call of the cloud API. */
-    public void handle(Call call, long now, Consumer<Reply> then) {
+    /** Handles a request to the cloud API. */
+    public void handle(Call call, long now, Consumer<Reply> onReply) {
         URI uri = URI.create(call.path());
         JsonNode body = call.body() == null ? null : Json.readOrNull(call.body());
         switch (uri.getPath()) {
-            case "/machine_types" -> then.accept(SimulatedStore.reply(200, types()));
+            case "/machine_types" -> onReply.accept(SimulatedStore.reply(200, types()));
             case "/rentals/delete" -> {
                 body.path("hosts").forEach(host -> {
                     if (machines.remove(host.asText()) != null) {
                         onRemoval.accept(host.asText());
                     }
                 });
-                note(now);
-                then.accept(SimulatedStore.reply(200, Json.object()));
+                addSnapshot(now);
+                onReply.accept(SimulatedStore.reply(200, Json.object()));
             }
-            case "/rentals" -> then.accept(body == null ? list(uri, now) : rent(body, now));
-            default -> then.accept(SimulatedStore.reply(404, Json.object()));
+            case "/rentals" -> onReply.accept(body == null ? list(uri, now) : rent(body, now));
+            default -> onReply.accept(SimulatedStore.reply(404, Json.object()));
         }
     }
 
     private Reply rent(JsonNode body, long now) {
         String request = body.path("hire").asText();
-        List<String> ids = answered.get(request);
+        List<String> ids = machinesByRequest.get(request);
         if (ids == null) {
             ids = new ArrayList<>();
             while (ids.size() < body.path("number").asInt() && machines.size() < capacity) {
-                String id = String.format("i-%06d", nextId++);
+                String id = Hosts.machine(nextMachine++);
                 machines.put(
                         id,
-                        new Rented(
+                        new Machine(
                                 body.path("host_type").asText(),
                                 body.path("yard").asText(),
                                 body.path("loaner").asBoolean(),
@@ -137,24 +144,22 @@
             if (ids.isEmpty()) {
                 return SimulatedStore.reply(503, Json.object().put("error", "no capacity"));
             }
-            answered.put(request, ids);
-            note(now);
+            machinesByRequest.put(request, ids);
+            addSnapshot(now);
         }
         ObjectNode answer = Json.object();
         ids.forEach(answer.putArray("hosts")::add);
         return SimulatedStore.reply(200, answer);
     }
 
-    private int nextId;
-
-    private void note(long now) {
+    private void addSnapshot(long now) {
         history.add(new Snapshot(now, Map.copyOf(machines)));
     }
 
     private Reply list(URI uri, long now) {
         long asOf = now - lagMs;
-        Map<String, Rented> seen = new TreeMap<>(history.stream()
-                .filter(snapshot -> snapshot.at <= asOf)
+        Map<String, Machine> listed = new TreeMap<>(history.stream()
+                .filter(snapshot -> snapshot.time <= asOf)
                 .reduce((first, second) -> second)
                 .map(Snapshot::machines)
                 .orElse(Map.of()));
@@ -162,13 +167,13 @@
         ArrayNode list = body.putArray("hosts");
         Map<String, String> query = SimulatedStore.query(uri);
         String since = query.getOrDefault("since", "");
-        int most = Integer.parseInt(query.getOrDefault("most", "500"));
+        int pageSize = Integer.parseInt(query.getOrDefault("most", DEFAULT_PAGE_SIZE));
         body.put(
                 "more",
-                seen.keySet().stream().filter(id -> id.compareTo(since) > 0).count() > most);
-        seen.forEach((id, machine) -> {
-            if (id.compareTo(since) > 0 && list.size() < most) {
-                String phase = machine.failed ? "failed" : asOf - machine.since >= setBootMs ? "running" : "booting";
+                listed.keySet().stream().filter(id -> id.compareTo(since) > 0).count() > pageSize);
+        listed.forEach((id, machine) -> {
+            if (id.compareTo(since) > 0 && list.size() < pageSize) {
+                String phase = machine.failed ? "failed" : asOf - machine.rentedAt >= setBootMs ? "running" : "booting";
                 list.addObject()
                         .put("id", id)
                         .put("address", addresses.apply(id))
@@ -176,13 +181,14 @@
                         .put("yard", machine.zone)
                         .put("loaner", machine.spot)
                         .put("phase", phase)
-                        .put("held_s", (asOf - machine.since) / 1000.0);
+                        .put("held_s", (asOf - machine.rentedAt) / 1000.0);
             }
         });
         return SimulatedStore.reply(200, body);
     }
 
-    static ObjectNode types() {
+    /** The machine types, as the cloud API lists them. */
+    private static ObjectNode types() {
         ObjectNode body = Json.object();
         ArrayNode list = body.putArray("host_types");
         for (String name : List.of("small", "large")) {
--- a/src/test/java/io/quartzgw/simulation/SimulatedStore.java
+++ b/src/test/java/io/quartzgw/simulation/SimulatedStore.java
@@ -9,313 +9,247 @@
 import io.quartzgw.store.StoreLimits;
 import io.quartzgw.store.TokenBucket;
 import java.net.URI;
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.TreeMap;
+import java.util.Optional;
 import java.util.function.Consumer;
 
-/** The state service as its protocol page describes it; time is handed in. */
+/**
+ * The state service as its protocol describes it: keys with revisions, guarded transactions, leases and watches. Time
+ * is handed in by callers.
+ */
 public final class SimulatedStore {
-    private static final StoreLimits BINDING_NOWHERE = new StoreLimits(300, 120, 8192, 16);
-    private static final int TXN_BYTES = 64 * 1024;
-    private final TreeMap<String, Item> items = new TreeMap<>();
-    private final Map<Long, Hold> holds = new HashMap<>();
-    private final List<News> news = new ArrayList<>();
-    private final List<Follow> follows = new ArrayList<>();
+    private static final StoreLimits UNLIMITED = new StoreLimits(300, 120, 8192, 16);
+    private static final int MAX_TRANSACTION_BYTES = 64 * 1024;
+    /** A transaction may have so many guards for each of its changes that the limits allow. */
+    private static final int MAX_GUARDS_PER_WRITE = 4;
+
+    private final Map<Long, Lease> leases = new HashMap<>();
+    private final StoreWatches watches = new StoreWatches();
+    private final StoreEntries entries = new StoreEntries(watches);
     private final StoreLimits limits;
-    /** What it still takes; null when it takes all. */
-    private final TokenBucket writes;
+    /** The changes that the service still takes; empty when it takes all. */
+    private final Optional<TokenBucket> writeBudget;
 
     private int rejectedTransactions;
-    private long revision;
-    private long forgottenTo;
-    private long permits;
-    private boolean setOutage;
-    private boolean followsHeld;
+    private long lastLeaseId;
+    private boolean outage;
     private long now;
 
-    private record Item(JsonNode value, long revision, Long permit) {}
-
-    private record News(String key, JsonNode value, long revision) {}
+    private static final class Lease {
+        private final long durationMs;
+        private long expiresAt;
 
-    private record Follow(String prefix, long since, long until, Consumer<Reply> then) {}
-
-    private static final class Hold {
-        private final long life;
-        private long until;
+        Lease(long durationMs, long now) {
+            this.durationMs = durationMs;
+            renew(now);
+        }
 
-        Hold(long life, long until) {
-            this.life = life;
-            this.until = until;
+        void renew(long now) {
+            expiresAt = now + durationMs;
         }
     }
 
     /** A service that takes as many changes as come. */
     public SimulatedStore() {
-        this.limits = BINDING_NOWHERE;
-        this.writes = null;
+        this.limits = UNLIMITED;
+        this.writeBudget = Optional.empty();
     }
 
-    /** A service that refuses changes beyond its limits. */
+    /** A service that rejects transactions beyond its limits. */
     SimulatedStore(StoreLimits limits) {
         this.limits = limits;
-        this.writes = new TokenBucket(limits.writesPerS(), 0);
+        this.writeBudget = Optional.of(new TokenBucket(limits.writesPerS(), 0));
     }
 
     StoreLimits limits() {
         return limits;
     }
 
-    /** How many transactions were refused since they exceeded the limit of changes. */
+    /** How many transactions were rejected because they exceeded the rate of changes. */
     public int rejectedTransactions() {
         return rejectedTransactions;
     }
 
-    /** An outage refuses everything but open follows; after it every hold has its full time again. */
+    // ---- faults
+
+    /** Begins or ends an outage, which rejects all but open watches; after it every lease has its full time again. */
     public void setOutage(boolean on) {
-        if (setOutage && !on) {
-            holds.values().forEach(hold -> hold.until = now + hold.life);
+        if (outage && !on) {
+            leases.values().forEach(lease -> lease.renew(now));
         }
-        setOutage = on;
+        outage = on;
     }
 
-    /** Answers no follow for a while, while all else is answered. */
+    /** Pauses watches, or resumes them: none is answered meanwhile, while all other requests are. */
     public void setWatchesPaused(boolean on) {
-        followsHeld = on;
+        watches.setPaused(on);
     }
 
-    /** Ends every open follow without an answer of use. */
+    /** Ends every open watch with an error. */
     public void abortWatches() {
-        List<Follow> open = List.copyOf(follows);
-        follows.clear();
-        open.forEach(follow -> follow.then().accept(reply(503, Json.object().put("error", "trouble"))));
+        watches.abort(unavailable());
     }
 
-    /** Forgets all changes so far: a follow from before them gets 410. */
+    /** Forgets all changes so far: a watch from before them is rejected as outdated. */
     public void compactHistory() {
-        news.clear();
-        forgottenTo = revision;
+        watches.compact();
     }
 
+    // ---- state
+
+    /** The value of a key; null when there is none. */
     public JsonNode value(String key) {
-        Item item = items.get(key);
-        return item == null ? null : item.value;
+        return entries.value(key).orElse(null);
     }
 
+    /** How many keys have a prefix. */
     public int count(String prefix) {
-        return items.subMap(prefix, prefix + Character.MAX_VALUE).size();
+        return entries.count(prefix);
     }
 
-    /** Lets time pass up to a moment. */
-    public void advanceTo(long at) {
-        now = at;
-        if (setOutage) {
+    /** Lets leases expire and answers watches up to a time. */
+    public void advanceTo(long time) {
+        now = time;
+        if (outage) {
             return;
         }
-        for (Long permit : List.copyOf(holds.keySet())) {
-            if (holds.get(permit).until < now) {
-                end(permit);
-            }
-        }
-        for (Follow follow : followsHeld ? List.<Follow>of() : List.copyOf(follows)) {
-            if (!changes(follow).isEmpty() || now >= follow.until) {
-                follows.remove(follow);
-                follow.then.accept(followed(follow));
+        for (Long id : List.copyOf(leases.keySet())) {
+            if (leases.get(id).expiresAt < now) {
+                endLease(id);
             }
         }
+        watches.advanceTo(now);
     }
 
-    /** Answers a call of the state service. */
-    public void handle(Call call, long at, Consumer<Reply> then) {
-        advanceTo(at);
+    // ---- requests
+
+    /** Handles a request to the state service. */
+    public void handle(Call call, long time, Consumer<Reply> onReply) {
+        advanceTo(time);
         URI uri = URI.create(call.path());
-        if (setOutage) {
-            then.accept(reply(503, Json.object().put("error", "trouble")));
+        if (outage) {
+            onReply.accept(unavailable());
         } else if (uri.getPath().equals("/follow")) {
-            Map<String, String> query = query(uri);
-            Follow follow = new Follow(
-                    query.get("starts"),
-                    Long.parseLong(query.get("since")),
-                    now + Long.parseLong(query.getOrDefault("hold_ms", "0")),
-                    then);
-            if (follow.since < forgottenTo) {
-                then.accept(reply(410, Json.object()));
-            } else if (followsHeld || changes(follow).isEmpty()) {
-                follows.add(follow);
-            } else {
-                then.accept(followed(follow));
-            }
+            watch(query(uri), onReply);
         } else {
-            then.accept(answer(call, uri));
+            onReply.accept(response(call, uri));
         }
-        advanceTo(at);
+        advanceTo(time);
     }
 
-    private Reply answer(Call call, URI uri) {
+    private void watch(Map<String, String> query, Consumer<Reply> onReply) {
+        long deadline = now + Long.parseLong(query.getOrDefault("hold_ms", "0"));
+        watches.open(
+                new StoreWatches.Watch(query.get("starts"), Long.parseLong(query.get("since")), deadline, onReply));
+    }
+
+    private Reply response(Call call, URI uri) {
         String path = uri.getPath();
         if (path.equals("/keys")) {
-            return list(query(uri));
+            return entries.list(query(uri));
         }
         if (path.startsWith("/keys/")) {
-            Item item = items.get(path.substring("/keys/".length()));
-            return item == null
-                    ? reply(404, Json.object().put("store_rev", revision))
-                    : reply(200, node(path.substring("/keys/".length()), item));
+            return entries.read(path.substring("/keys/".length()));
         }
         if (path.equals("/multi")) {
-            return multi(Json.readOrNull(call.body()));
+            return transact(Json.readOrNull(call.body()));
         }
         if (path.equals("/holds")) {
-            long life = Json.readOrNull(call.body()).path("life_ms").asLong();
-            holds.put(++permits, new Hold(life, now + life));
-            return reply(200, Json.object().put("permit", permits));
-        }
-        String[] parts = path.split("/");
-        long permit = Long.parseLong(parts[2]);
-        Hold hold = holds.get(permit);
-        if (hold == null) {
-            return reply(404, Json.object());
-        }
-        if (call.method().equals("DELETE")) {
-            end(permit);
-        } else {
-            hold.until = now + hold.life;
+            return grantLease(Json.readOrNull(call.body()).path("life_ms").asLong());
         }
-        return reply(200, Json.object().put("permit", permit));
+        return changeLease(call.method(), Long.parseLong(path.split("/")[2]));
     }
 
-    private Reply list(Map<String, String> query) {
-        String prefix = query.get("starts");
-        String since = query.getOrDefault("since", "");
-        int most = Integer.parseInt(query.getOrDefault("most", "1000"));
-        ObjectNode body = Json.object().put("store_rev", revision);
-        ArrayNode list = body.putArray("items");
-        boolean more = false;
-        for (Map.Entry<String, Item> entry : items.tailMap(prefix).entrySet()) {
-            if (!entry.getKey().startsWith(prefix)) {
-                break;
-            }
-            if (entry.getKey().compareTo(since) > 0) {
-                more = list.size() == most;
-                if (more) {
-                    break;
-                }
-                list.add(node(entry.getKey(), entry.getValue()));
-            }
-        }
-        return reply(200, body.put("more", more));
-    }
+    // ---- leases
 
-    private static ObjectNode node(String key, Item item) {
-        ObjectNode node = Json.object().put("path", key).put("key_rev", item.revision);
-        node.set("data", item.value);
-        return node;
+    private Reply grantLease(long durationMs) {
+        leases.put(++lastLeaseId, new Lease(durationMs, now));
+        return reply(200, Json.object().put("permit", lastLeaseId));
     }
 
-    private boolean tooMuch(JsonNode body) {
-        if (body.path("apply").size() > limits.maxTransactionWrites()
-                || body.path("guards").size() > 4 * limits.maxTransactionWrites()
-                || Json.write(body).length > TXN_BYTES) {
-            return true;
+    private Reply changeLease(String method, long id) {
+        Lease lease = leases.get(id);
+        if (lease == null) {
+            return reply(404, Json.object());
         }
-        for (JsonNode write : body.path("apply")) {
-            if (write.has("data") && Json.write(write.get("data")).length > limits.maxValueBytes()) {
-                return true;
-            }
+        if (method.equals("DELETE")) {
+            endLease(id);
+        } else {
+            lease.renew(now);
         }
-        return false;
+        return reply(200, Json.object().put("permit", id));
     }
 
-    private Reply multi(JsonNode body) {
-        if (tooMuch(body)) {
+    private void endLease(long id) {
+        leases.remove(id);
+        entries.deleteOfLease(id);
+    }
+
+    // ---- transactions
+
+    private Reply transact(JsonNode body) {
+        if (exceedsLimits(body)) {
             return reply(400, Json.object().put("error", "too much"));
         }
-        int changes = body.path("apply").size();
-        if (writes != null && changes > 0) {
-            if (writes.waitMsFor(changes, now) > 0) {
-                rejectedTransactions++;
-                return reply(429, Json.object().put("error", "too many changes"));
-            }
-            writes.take(changes, now);
-        }
-        ArrayNode failed = Json.object().putArray("failed");
-        for (JsonNode guard : body.path("guards")) {
-            Item item = items.get(guard.path("path").asText());
-            if ((item == null ? 0 : item.revision) != guard.path("key_rev").asLong()) {
-                failed.add(guard.path("path").asText());
-            }
+        JsonNode writes = body.path("apply");
+        if (!takeFromBudget(writes.size())) {
+            rejectedTransactions++;
+            return reply(429, Json.object().put("error", "too many changes"));
         }
+        ArrayNode failed = entries.failedGuards(body.path("guards"));
         if (!failed.isEmpty()) {
-            ObjectNode conflict = Json.object().put("store_rev", revision);
+            ObjectNode conflict = Json.object().put("store_rev", watches.revision());
             conflict.set("failed", failed);
             return reply(409, conflict);
         }
-        for (JsonNode write : body.path("apply")) {
-            if (write.has("permit") && !holds.containsKey(write.path("permit").asLong())) {
+        for (JsonNode write : writes) {
+            if (write.has("permit") && !leases.containsKey(write.path("permit").asLong())) {
                 return reply(400, Json.object().put("error", "no such lease"));
             }
         }
-        if (body.path("apply").size() > 0) {
-            revision++;
-        }
-        for (JsonNode write : body.path("apply")) {
-            if (write.has("drop")) {
-                change(write.path("drop").asText(), null, null);
-            } else {
-                change(
-                        write.path("write").asText(),
-                        write.path("data"),
-                        write.has("permit") ? (Long) write.path("permit").asLong() : null);
-            }
+        if (writes.size() > 0) {
+            watches.nextRevision();
         }
-        return reply(200, Json.object().put("store_rev", revision));
+        writes.forEach(entries::apply);
+        return reply(200, Json.object().put("store_rev", watches.revision()));
     }
 
-    private void change(String key, JsonNode value, Long permit) {
-        if (value == null) {
-            if (items.remove(key) == null) {
-                return;
+    private boolean exceedsLimits(JsonNode body) {
+        if (body.path("apply").size() > limits.maxTransactionWrites()
+                || body.path("guards").size() > MAX_GUARDS_PER_WRITE * limits.maxTransactionWrites()
+                || Json.write(body).length > MAX_TRANSACTION_BYTES) {
+            return true;
+        }
+        for (JsonNode write : body.path("apply")) {
+            if (write.has("data") && Json.write(write.get("data")).length > limits.maxValueBytes()) {
+                return true;
             }
-        } else {
-            items.put(key, new Item(value, revision, permit));
         }
-        news.add(new News(key, value, revision));
+        return false;
     }
 
-    private void end(long permit) {
-        holds.remove(permit);
-        List<String> held = items.entrySet().stream()
-                .filter(entry -> entry.getValue().permit != null && entry.getValue().permit == permit)
-                .map(Map.Entry::getKey)
-                .toList();
-        if (!held.isEmpty()) {
-            revision++;
-            held.forEach(key -> change(key, null, null));
+    private boolean takeFromBudget(int changes) {
+        if (writeBudget.isEmpty() || changes == 0) {
+            return true;
+        }
+        TokenBucket budget = writeBudget.get();
+        if (budget.waitMsFor(changes, now) > 0) {
+            return false;
         }
+        budget.take(changes, now);
+        return true;
     }
 
-    private List<News> changes(Follow follow) {
-        return news.stream()
-                .filter(item -> item.revision > follow.since && item.key.startsWith(follow.prefix))
-                .toList();
-    }
+    // ---- HTTP
 
-    private Reply followed(Follow follow) {
-        ObjectNode body = Json.object().put("store_rev", revision);
-        ArrayNode list = body.putArray("news");
-        for (News item : changes(follow)) {
-            ObjectNode node = list.addObject()
-                    .put(item.value == null ? "drop" : "write", item.key)
-                    .put("key_rev", item.revision);
-            if (item.value != null) {
-                node.set("data", item.value);
-            }
-        }
-        return reply(200, body);
+    /** The reply of a service that is out. */
+    static Reply unavailable() {
+        return reply(503, Json.object().put("error", "trouble"));
     }
 
+    /** The parameters of a request's query. */
     static Map<String, String> query(URI uri) {
         Map<String, String> query = new HashMap<>();
         for (String pair : uri.getQuery().split("&")) {
@@ -325,6 +259,7 @@
         return query;
     }
 
+    /** A reply with a JSON body. */
     static Reply reply(int status, JsonNode body) {
         return new Reply(status, Json.write(body));
     }
--- a/src/test/java/io/quartzgw/simulation/StoreRejections.java
+++ b/src/test/java/io/quartzgw/simulation/StoreRejections.java
@@ -1,7 +1,6 @@
 package io.quartzgw.simulation;
 
 import io.quartzgw.http.Call;
-import io.quartzgw.http.Json;
 import io.quartzgw.http.Reply;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -39,7 +38,7 @@
     /** Serves a request to the state service, unless its sender is rejected. */
     void handle(String from, Call call, long now, Consumer<Reply> onReply) {
         if (rejected.contains(from)) {
-            onReply.accept(SimulatedStore.reply(503, Json.object().put("error", "trouble")));
+            onReply.accept(SimulatedStore.unavailable());
             return;
         }
         store.handle(call, now, reply -> {
