--- a/src/test/java/io/quartzgw/app/BadInputTest.java
+++ b/src/test/java/io/quartzgw/app/BadInputTest.java
@@ -31,22 +31,22 @@
     private final HttpClient http =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
     private LoopbackCluster cluster;
-    private ControllerProcess service;
+    private ControllerProcess controller;
 
     @BeforeEach
     void start() throws Exception {
         cluster = new LoopbackCluster(1);
-        service = new ControllerProcess(SettingsReader.read(cluster.settings(0, folder)), 100);
-        service.start();
+        controller = new ControllerProcess(SettingsReader.read(cluster.settings(0, folder)), 100);
+        controller.start();
     }
 
     @AfterEach
     void stop() {
-        service.stop();
+        controller.stop();
         cluster.close();
     }
 
-    private HttpResponse<String> ask(String method, String path, String body) throws Exception {
+    private HttpResponse<String> send(String method, String path, String body) throws Exception {
         HttpRequest request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + cluster.clientPort(0) + path))
                 .method(method, HttpRequest.BodyPublishers.ofString(body))
                 .build();
@@ -54,11 +54,11 @@
     }
 
     private int status(String method, String path, String body) throws Exception {
-        return ask(method, path, body).statusCode();
+        return send(method, path, body).statusCode();
     }
 
     private static ObjectNode job(String id) {
-        return FailureTest.job(id, "blue", "array", 1, 1, 1);
+        return JobRequests.array(id, "blue", 1, 1, 1);
     }
 
     private void untilReady() throws Exception {
@@ -120,10 +120,10 @@
     void whatCannotBeDecidedGets503WithRetryAfter() throws Exception {
         untilReady();
         cluster.storeOutage(true);
-        HttpResponse<String> refused = ask("POST", JOBS, job("j-000001").toString());
+        HttpResponse<String> refused = send("POST", JOBS, job("j-000001").toString());
         for (int i = 0; i < TRIES && refused.statusCode() != 503; i++) {
             LoopbackCluster.pause(50);
-            refused = ask("POST", JOBS, job("j-00" + (1_000 + i)).toString());
+            refused = send("POST", JOBS, job("j-00" + (1_000 + i)).toString());
         }
         assertEquals(503, refused.statusCode());
         int retryAfterS =
--- a/src/test/java/io/quartzgw/app/CancellationTest.java
+++ b/src/test/java/io/quartzgw/app/CancellationTest.java
@@ -1,5 +1,6 @@
 package io.quartzgw.app;
 
+import static io.quartzgw.app.ClusterFixtures.clusterWithServices;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -14,82 +15,81 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Jobs that are cancelled while their leader is in trouble. The tasks are gone within the cancel limit, whichever
- * controller told the user, in whichever answer, and whatever becomes of the controllers next.
+ * Jobs that are cancelled while their leader has a fault. The tasks are gone within the cancel limit, whichever
+ * controller told the user, in whichever response, and whatever faults the controllers have next.
  */
 class CancellationTest {
     private static final String JOB = "j-000001";
     private static final long OUTAGE_MS = 60_000;
 
-    private final List<Reply> told = new ArrayList<>();
+    private final List<Reply> userReplies = new ArrayList<>();
 
-    private void assertTold() {
+    private void assertUserToldOfCancellation() {
         assertTrue(
-                told.stream()
+                userReplies.stream()
                         .anyMatch(reply -> reply.ok()
                                 && reply.json().path("phase").asText().equals("withdrawn")),
                 "a user was told");
     }
 
-    private static void assertGone(ClusterSimulation simulation) {
-        assertGone(simulation, JOB);
+    private static void assertNoTaskRuns(ClusterSimulation simulation) {
+        assertNoTaskRuns(simulation, JOB);
     }
 
-    private static void assertGone(ClusterSimulation simulation, String job) {
+    private static void assertNoTaskRuns(ClusterSimulation simulation, String job) {
         assertEquals(List.of(), simulation.invariants().violations());
         assertTrue(simulation.invariants().runningTasks().stream().noneMatch(task -> task.startsWith(job + "/")));
         assertEquals(0, simulation.failedCommands());
     }
 
-    private static int other(int node, int by) {
-        return (node + by) % 3;
+    private static int other(int controller, int offset) {
+        return (controller + offset) % 3;
     }
 
-    /** The state service refuses the leader alone, then something is done to the job, then it is out for all. */
-    private ClusterSimulation gap(long refusedMs, BiConsumer<ClusterSimulation, Integer> cancelling) {
-        ClusterSimulation simulation = ScenarioTest.withServices();
+    /** The state service rejects the leader alone, then the job is cancelled in some way, then there is an outage. */
+    private ClusterSimulation cancelBeforeOutage(long rejectedMs, BiConsumer<ClusterSimulation, Integer> cancelling) {
+        ClusterSimulation simulation = clusterWithServices();
         int leader = simulation.leader();
         simulation.setStoreRejects(leader, true);
         simulation.runChecked(200);
         cancelling.accept(simulation, leader);
-        simulation.runChecked(refusedMs - 200);
+        simulation.runChecked(rejectedMs - 200);
         simulation.store().setOutage(true);
-        assertEquals(leader, simulation.leader(), "workers report to the old leader");
+        assertEquals(leader, simulation.leader(), "agents send heartbeats to the old leader");
         return simulation;
     }
 
-    private void afterOutage(ClusterSimulation simulation, int leader) {
+    private void assertCancelledThroughOutage(ClusterSimulation simulation, int leader) {
         simulation.runChecked(OUTAGE_MS);
-        assertTold();
-        assertGone(simulation);
+        assertUserToldOfCancellation();
+        assertNoTaskRuns(simulation);
         simulation.setStoreRejects(leader, false);
         simulation.store().setOutage(false);
         simulation.runChecked(40_000);
-        assertGone(simulation);
+        assertNoTaskRuns(simulation);
         assertEquals(List.of(), simulation.invariants().missingReplicas(), "what was not cancelled runs");
     }
 
     @Test
     void anotherControllerTellsTheUserAndThenNobodyReachesTheStateService() {
-        ClusterSimulation simulation =
-                gap(2_000, (cluster, leader) -> cluster.users().cancelJob(other(leader, 1), JOB, told::add));
-        afterOutage(simulation, simulation.leader());
+        ClusterSimulation simulation = cancelBeforeOutage(
+                2_000, (cluster, leader) -> cluster.users().cancelJob(other(leader, 1), JOB, userReplies::add));
+        assertCancelledThroughOutage(simulation, simulation.leader());
     }
 
-    // Times around the lease, the grace and the cancel limit, machines that hang or hear nothing meanwhile, messages
-    // between controllers that come late, and both operators' figures: there cancel limit less lease is 20 and 30 s.
+    // Times around the lease, the grace and the cancellation limit, machines that hang or receive nothing, messages
+    // between controllers that are duplicated, and two timings: cancellation limit less lease is 20 and 30 s.
     @Test
     void neighboursOfTheGap() {
         List<AgentTiming> timings =
                 List.of(new AgentTiming(2_500, 16_000, 36_000), new AgentTiming(2_500, 18_000, 48_000));
         SplittableRandom random = new SplittableRandom(4);
         for (int i = 0; i < 40; i++) {
-            told.clear();
-            ClusterSimulation simulation = ScenarioTest.withServices(
+            userReplies.clear();
+            ClusterSimulation simulation = clusterWithServices(
                     ClusterSimulation.builder(i).timing(timings.get(i % 2)).build());
             simulation.network().duplicateMessageShare(i % 3 == 0 ? 0.2 : 0);
             int leader = simulation.leader();
-            List<String> some = simulation.agents().machineIds().subList(0, 2);
             simulation.setStoreRejects(leader, true);
             long outageAt = simulation.now() + random.nextInt(5_000);
             long outageEnds = outageAt + 10_000 + random.nextInt(60_000);
@@ -97,67 +97,71 @@
             simulation.schedule(outageEnds, () -> simulation.store().setOutage(false));
             simulation.schedule(outageEnds + random.nextInt(4_000), () -> simulation.setStoreRejects(leader, false));
             for (int job = 0; job < 4; job++) {
-                String id = "j-00000" + job;
-                int node = other(leader, 1 + job % 2);
+                String id = JobRequests.id(job);
+                int controller = other(leader, 1 + job % 2);
                 simulation.schedule(
                         simulation.now() + random.nextInt(5_000),
-                        () -> simulation.users().cancelJob(node, id, told::add));
-            }
-            long trouble = simulation.now() + random.nextInt(6_000);
-            long lasts = 1_000 + random.nextInt(15_000);
-            switch (i % 5) {
-                case 0 ->
-                    some.forEach(machine -> {
-                        simulation.schedule(trouble, () -> simulation.agents().setHanging(machine, true));
-                        simulation.schedule(
-                                trouble + lasts, () -> simulation.agents().setHanging(machine, false));
-                    });
-                case 1 ->
-                    some.forEach(machine -> {
-                        simulation.schedule(trouble, () -> simulation.network().setInboundBlocked(machine, true));
-                        simulation.schedule(
-                                trouble + lasts, () -> simulation.network().setInboundBlocked(machine, false));
-                    });
-                case 2 -> {
-                    simulation.schedule(trouble, () -> simulation
-                            .network()
-                            .partition(Hosts.controller(leader), Hosts.controller(other(leader, 1))));
-                    simulation.schedule(trouble + lasts, () -> simulation
-                            .network()
-                            .heal(Hosts.controller(leader), Hosts.controller(other(leader, 1))));
-                }
-                case 3 -> {
-                    simulation.schedule(trouble, () -> simulation.crash(other(leader, 1)));
-                    simulation.schedule(trouble + lasts, () -> simulation.start(other(leader, 1)));
-                }
-                default -> simulation.network().delayCommandShare(0.5);
+                        () -> simulation.users().cancelJob(controller, id, userReplies::add));
             }
+            long faultAt = simulation.now() + random.nextInt(6_000);
+            long durationMs = 1_000 + random.nextInt(15_000);
+            scheduleFault(simulation, i % 5, faultAt, faultAt + durationMs);
             simulation.runChecked(150_000);
-            assertEquals(List.of(), simulation.invariants().violations(), "simulation " + i);
-            assertEquals(List.of(), simulation.invariants().missingReplicas(), "simulation " + i);
+            assertEquals(List.of(), simulation.invariants().violations(), "run " + i);
+            assertEquals(List.of(), simulation.invariants().missingReplicas(), "run " + i);
             assertEquals(0, simulation.failedCommands());
         }
     }
 
-    // Guards answers that come after they were given up: to the abort, to the leader's renewals, to its follow.
+    /** Schedules a fault of machines, of a controller or of the network, each of its own kind by its number. */
+    private static void scheduleFault(ClusterSimulation simulation, int kind, long from, long until) {
+        int leader = simulation.leader();
+        int follower = other(leader, 1);
+        List<String> machines = simulation.agents().machineIds().subList(0, 2);
+        switch (kind) {
+            case 0 ->
+                machines.forEach(machine -> {
+                    simulation.schedule(from, () -> simulation.agents().setHanging(machine, true));
+                    simulation.schedule(until, () -> simulation.agents().setHanging(machine, false));
+                });
+            case 1 ->
+                machines.forEach(machine -> {
+                    simulation.schedule(from, () -> simulation.network().setInboundBlocked(machine, true));
+                    simulation.schedule(until, () -> simulation.network().setInboundBlocked(machine, false));
+                });
+            case 2 -> {
+                String one = Hosts.controller(leader);
+                String other = Hosts.controller(follower);
+                simulation.schedule(from, () -> simulation.network().partition(one, other));
+                simulation.schedule(until, () -> simulation.network().heal(one, other));
+            }
+            case 3 -> {
+                simulation.schedule(from, () -> simulation.crash(follower));
+                simulation.schedule(until, () -> simulation.start(follower));
+            }
+            default -> simulation.network().delayCommandShare(0.5);
+        }
+    }
+
+    // Responses that arrive after their timeout: to the cancellation, to the leader's renewals, to its watch.
     @Test
     void theStateServiceAnswersSlowlyThenRefusesTheLeaderThenEverybody() {
-        for (long mostMs : List.of(1_000L, 2_500L, 5_000L)) {
-            told.clear();
-            ClusterSimulation simulation = ScenarioTest.withServices();
-            simulation.network().delayStoreUpTo(mostMs);
+        for (long maxDelayMs : List.of(1_000L, 2_500L, 5_000L)) {
+            userReplies.clear();
+            ClusterSimulation simulation = clusterWithServices();
+            simulation.network().delayStoreUpTo(maxDelayMs);
             for (int second = 0; second < 12; second++) {
-                for (int node = 0; node < 3; node++) {
-                    simulation.users().queryJob(node, "j-00000" + second % 3, reply -> {});
+                for (int controller = 0; controller < 3; controller++) {
+                    simulation.users().queryJob(controller, JobRequests.id(second % 3), reply -> {});
                     if (second % 4 == 0) {
-                        simulation.users().cancelJob(node, "j-00000" + second % 3, told::add);
+                        simulation.users().cancelJob(controller, JobRequests.id(second % 3), userReplies::add);
                     }
                 }
                 simulation.runChecked(1_000);
             }
             int leader = simulation.leaderOrFirst();
             simulation.setStoreRejects(leader, true);
-            simulation.users().cancelJob(other(leader, 1), "j-000002", told::add);
+            simulation.users().cancelJob(other(leader, 1), "j-000002", userReplies::add);
             simulation.runChecked(2_000);
             simulation.store().setOutage(true);
             simulation.runChecked(OUTAGE_MS);
@@ -165,48 +169,49 @@
             simulation.setStoreRejects(leader, false);
             simulation.store().setOutage(false);
             simulation.runChecked(40_000);
-            assertTold();
+            assertUserToldOfCancellation();
             assertEquals(List.of(), simulation.invariants().violations());
             assertEquals(List.of(), simulation.invariants().missingReplicas());
             assertEquals(0, simulation.failedCommands());
         }
     }
 
-    // Guards the first word: the transaction was carried out, its answer got lost, and the user hears of the end from
-    // another controller, in the answer to a repeated abort, to a poll, or to a repeated submission.
+    // The transaction was carried out, its response got lost, and the user is told of the end by
+    // another controller, in the response to a repeated cancellation, a query, or a repeated submission.
     @Test
     void theAnswerToTheAbortIsLostAndAnotherAnswerTellsTheUser() {
-        List<BiConsumer<ClusterSimulation, Integer>> again = List.of(
-                (cluster, node) -> cluster.users().cancelJob(node, JOB, told::add),
-                (cluster, node) -> cluster.users().queryJob(node, JOB, told::add),
-                (cluster, node) -> cluster.users()
-                        .submitOnce(node, cluster.users().submittedSpec(JOB).orElseThrow(), told::add));
-        for (BiConsumer<ClusterSimulation, Integer> ask : again) {
+        List<BiConsumer<ClusterSimulation, Integer>> requests = List.of(
+                (cluster, controller) -> cluster.users().cancelJob(controller, JOB, userReplies::add),
+                (cluster, controller) -> cluster.users().queryJob(controller, JOB, userReplies::add),
+                (cluster, controller) -> cluster.users()
+                        .submitOnce(
+                                controller, cluster.users().submittedSpec(JOB).orElseThrow(), userReplies::add));
+        for (BiConsumer<ClusterSimulation, Integer> request : requests) {
             for (int by = 1; by <= 2; by++) {
-                int teller = by;
-                told.clear();
-                ClusterSimulation simulation = gap(1_500, (cluster, leader) -> {
+                int receiver = by;
+                userReplies.clear();
+                ClusterSimulation simulation = cancelBeforeOutage(1_500, (cluster, leader) -> {
                     cluster.network().loseTransactionResponses(1);
                     cluster.users().cancelJob(other(leader, 1), JOB, reply -> {});
                     cluster.runChecked(300);
                     cluster.network().loseTransactionResponses(0);
-                    ask.accept(cluster, other(leader, teller));
+                    request.accept(cluster, other(leader, receiver));
                 });
-                afterOutage(simulation, simulation.leader());
+                assertCancelledThroughOutage(simulation, simulation.leader());
             }
         }
     }
 
-    // Guards what a process told between its last answer and its end, also where a second restart follows.
+    // What a process told between its last response to a peer and its crash, also where a second restart follows.
     @Test
     void theControllerThatToldTheUserIsRestartedOnceOrTwice() {
         for (int restarts = 1; restarts <= 2; restarts++) {
-            told.clear();
-            ClusterSimulation simulation = gap(2_000, (cluster, leader) -> {
-                // Nothing that the teller says reaches the others before it ends.
+            userReplies.clear();
+            ClusterSimulation simulation = cancelBeforeOutage(2_000, (cluster, leader) -> {
+                // Nothing that this controller sends reaches the others before it crashes.
                 cluster.network().partition(Hosts.controller(other(leader, 1)), Hosts.controller(leader));
                 cluster.network().partition(Hosts.controller(other(leader, 1)), Hosts.controller(other(leader, 2)));
-                cluster.users().cancelJob(other(leader, 1), JOB, told::add);
+                cluster.users().cancelJob(other(leader, 1), JOB, userReplies::add);
                 cluster.runChecked(300);
                 cluster.crash(other(leader, 1));
                 cluster.network().healDroppingPackets(Hosts.controller(other(leader, 1)), Hosts.controller(leader));
@@ -220,21 +225,21 @@
                 simulation.start(other(leader, 1));
                 simulation.runChecked(2_500);
             }
-            afterOutage(simulation, leader);
+            assertCancelledThroughOutage(simulation, leader);
         }
     }
 
-    // Guards the memory of the others: the leader can't hear the teller for longer than the grace, and hears it again
-    // just before its workers' leases would end.
+    // The leader is partitioned from the controller that told the user for longer than the grace, and connected again
+    // just before its agents' leases would expire.
     @Test
     void theLeaderHearsTheTellerAgainOnlyAfterItsGrace() {
         for (long silentMs = 28_000; silentMs <= 30_400; silentMs += 200) {
-            told.clear();
+            userReplies.clear();
             long cutMs = silentMs;
-            ClusterSimulation simulation = gap(2_000, (cluster, leader) -> {
+            ClusterSimulation simulation = cancelBeforeOutage(2_000, (cluster, leader) -> {
                 cluster.network().partition(Hosts.controller(other(leader, 1)), Hosts.controller(leader));
                 cluster.network().partition(Hosts.controller(other(leader, 1)), Hosts.controller(other(leader, 2)));
-                cluster.users().cancelJob(other(leader, 1), JOB, told::add);
+                cluster.users().cancelJob(other(leader, 1), JOB, userReplies::add);
                 cluster.schedule(cluster.now() + cutMs, () -> {
                     cluster.network().healDroppingPackets(Hosts.controller(other(leader, 1)), Hosts.controller(leader));
                     cluster.network()
@@ -242,25 +247,26 @@
                                     Hosts.controller(other(leader, 1)), Hosts.controller(other(leader, 2)));
                 });
             });
-            afterOutage(simulation, simulation.leader());
+            assertCancelledThroughOutage(simulation, simulation.leader());
         }
     }
 
-    // Guards a new leader that can't read: it renews leases without knowing what is open.
+    // A new leader that can't read the state service renews leases without knowing which jobs are open.
     @Test
     void aNewLeaderIsElectedAndTheOutageKeepsItFromReading() {
         for (long seed = 5; seed < 13; seed++) {
-            told.clear();
-            ClusterSimulation simulation = ScenarioTest.withServices(seed);
+            userReplies.clear();
+            ClusterSimulation simulation = clusterWithServices(seed);
             int former = simulation.leader();
             simulation.network().partition(Hosts.controller(former), Hosts.controller(other(former, 1)));
             if (seed % 2 == 0) {
-                // Nobody tells the former leader, which would stop the tasks: it is heard again once it is deposed.
+                // Nothing reaches the former leader, which would stop the tasks: it is connected again once it is
+                // deposed.
                 simulation.network().partition(Hosts.controller(former), Hosts.controller(other(former, 2)));
             }
             simulation.setStoreRejects(former, true);
             simulation.runChecked(200);
-            simulation.users().cancelJob(other(former, 1), JOB, told::add);
+            simulation.users().cancelJob(other(former, 1), JOB, userReplies::add);
             simulation.runUntil(simulation.now() + 1_000);
             while (simulation.leader() == former || !simulation.hasLeader()) {
                 simulation.runUntil(simulation.now() + 1);
@@ -268,17 +274,17 @@
             simulation.store().setOutage(true);
             simulation.network().healDroppingPackets(Hosts.controller(former), Hosts.controller(other(former, 1)));
             simulation.network().healDroppingPackets(Hosts.controller(former), Hosts.controller(other(former, 2)));
-            afterOutage(simulation, former);
+            assertCancelledThroughOutage(simulation, former);
         }
     }
 
-    // Guards chains of leaders none of which reads: each renews leases with its first answers.
+    // Several leaders in turn, none of which reads the state service: each renews leases with its first responses.
     @Test
     void leadersFollowEachOtherWithoutReadingAnything() {
-        ClusterSimulation simulation = ScenarioTest.withServices();
+        ClusterSimulation simulation = clusterWithServices();
         int first = simulation.leader();
         simulation.crash(first);
-        simulation.users().cancelJob(other(first, 1), JOB, told::add);
+        simulation.users().cancelJob(other(first, 1), JOB, userReplies::add);
         simulation.runChecked(500);
         simulation.start(first);
         for (int change = 0; change < 10; change++) {
@@ -286,7 +292,7 @@
                 simulation.runUntil(simulation.now() + 1);
             }
             int leader = simulation.leader();
-            assertTrue(leader >= 0, "somebody is elected");
+            assertTrue(leader >= 0, "a leader is elected");
             simulation.store().setOutage(true);
             simulation.runChecked(4_500);
             simulation.crash(leader);
@@ -294,33 +300,33 @@
             simulation.start(leader);
         }
         simulation.runChecked(60_000);
-        assertTold();
-        assertGone(simulation);
+        assertUserToldOfCancellation();
+        assertNoTaskRuns(simulation);
     }
 
-    // Guards an acceptance that is told after the end, by a notice that was held up, while no follow tells of either.
+    // The notice of a submission is delayed and arrives after that of the cancellation, while watches are paused.
     @Test
     void anAcceptanceThatComesAfterTheCancellationStartsNothing() {
         for (long seed = 5; seed < 13; seed++) {
-            told.clear();
-            ClusterSimulation simulation = ScenarioTest.withServices(seed);
+            userReplies.clear();
+            ClusterSimulation simulation = clusterWithServices(seed);
             int leader = simulation.leader();
-            int teller = other(leader, 1);
+            int receiver = other(leader, 1);
             simulation.store().setWatchesPaused(true);
-            simulation.network().partition(Hosts.controller(teller), Hosts.controller(leader));
-            simulation.users().submitOnce(teller, FailureTest.job("j-000070", "blue", "daemon", 2, 2, 0), reply -> {});
+            simulation.network().partition(Hosts.controller(receiver), Hosts.controller(leader));
+            simulation.users().submitOnce(receiver, JobRequests.service("j-000070", "blue", 2, 2), reply -> {});
             simulation.runChecked(400);
-            simulation.users().cancelJob(teller, "j-000070", told::add);
+            simulation.users().cancelJob(receiver, "j-000070", userReplies::add);
             simulation.runChecked(300);
             int before = simulation.invariants().startCount();
-            // Held back, and delivered in any order now.
-            simulation.network().heal(Hosts.controller(teller), Hosts.controller(leader));
+            // The packets that were held back are delivered in any order now.
+            simulation.network().heal(Hosts.controller(receiver), Hosts.controller(leader));
             simulation.runChecked(10_000);
             simulation.store().setWatchesPaused(false);
             simulation.runChecked(30_000);
-            assertTold();
+            assertUserToldOfCancellation();
             assertEquals(before, simulation.invariants().startCount(), "nothing starts after the confirmation");
-            assertGone(simulation, "j-000070");
+            assertNoTaskRuns(simulation, "j-000070");
         }
     }
 }
--- a/src/test/java/io/quartzgw/app/DelayedCommandsTest.java
+++ b/src/test/java/io/quartzgw/app/DelayedCommandsTest.java
@@ -1,6 +1,9 @@
 package io.quartzgw.app;
 
-import static io.quartzgw.app.PairedFaultsTest.LEASE_MS;
+import static io.quartzgw.app.ClusterAssertions.assertAllEnded;
+import static io.quartzgw.app.ClusterAssertions.assertHealthy;
+import static io.quartzgw.app.ClusterFixtures.LEASE_MS;
+import static io.quartzgw.app.ClusterFixtures.clusterWithServices;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -19,63 +22,63 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Every direct order is carried out late, by up to most of a lease, while the same starts also leave in the responses
- * to reports, tasks are stopped soon after they began and leaders change: no rule may break.
+ * Every direct command is delayed, by up to most of a lease, while the same starts are also sent in the responses to
+ * heartbeats, tasks are stopped soon after they began, and leaders change: every invariant has to hold.
  */
 class DelayedCommandsTest {
-    private static final long MOST_LATE_MS = 16_000;
-    private static final int MOST_BATCH_MS = 400;
-    /** A report, its response, an order or its answer takes up to so long. */
-    private static final int MOST_SLOW_LINK_MS = 1_500;
-    /** The share of reports of which a copy comes later. */
-    private static final double LATE_COPIES = 0.02;
+    private static final long MAX_COMMAND_DELAY_MS = 16_000;
+    private static final int MAX_BATCH_DELAY_MS = 400;
+    /** How long a heartbeat, a command or a response to either takes at most. */
+    private static final int MAX_LINK_DELAY_MS = 1_500;
+    /** The share of heartbeats that arrive again, late. */
+    private static final double DUPLICATE_SHARE = 0.02;
 
     private static final long FAULTS_END = 120_000;
     private static final long END = 230_000;
     private static final int MACHINES = 8;
-    /** Workers report often beside the time for which a direct order is waited for, as they do when tasks change. */
+    /** The heartbeat period is short beside the timeout of direct commands, as it is in effect when tasks change. */
     private static final AgentTiming TIMING = new AgentTiming(5_000, 26_500, 56_500);
 
     static LongStream seeds() {
         return SeedRanges.range("late", 1, 120);
     }
 
-    /** Seeds in which a task ran twice, or was refused for ever by a machine, before removals waited for every copy. */
+    /**
+     * Seeds in which a task ran twice, or a machine rejected it for ever, before removals waited for every duplicate.
+     */
     @ParameterizedTest
     @ValueSource(longs = {11, 306, 318, 415, 440, 476, 491, 492})
     void seedsThatOnceBrokeARuleKeepIt(long seed) {
-        play(seed, false);
+        run(seed, false);
     }
 
     @ParameterizedTest
     @MethodSource("seeds")
     void rulesHoldWhileEveryDirectOrderIsLate(long seed) {
-        play(seed, false);
+        run(seed, false);
     }
 
-    /** Orders may reach a worker that has replaced the one they were sent to. */
+    /** Commands may reach an agent that has replaced the one they were sent to. */
     @ParameterizedTest
     @MethodSource("seeds")
     void rulesHoldWhileMachinesAreAlsoBackAtOnce(long seed) {
-        play(seed, true);
+        run(seed, true);
     }
 
     /**
-     * A start reaches a worker whose predecessor had ended the attempt: the new one does not know that it has ended.
+     * A start reaches an agent whose predecessor had ended the attempt: the new one does not know that it has ended.
      */
     @ParameterizedTest
     @ValueSource(longs = {245})
     void aReplacedWorkerRunsNoAttemptThatHasEnded(long seed) {
-        play(seed, true);
+        run(seed, true);
     }
 
-    /**
-     * A machine hears nothing until its session ends, is then started again, and counts its sessions from the first.
-     */
+    /** A machine receives nothing until its epoch ends, then reboots, and counts its epochs from the first. */
     @Test
     void aStartOfAFormerSessionRunsOnNoWorkerThatCountsItsSessionsAnew() {
-        ClusterSimulation simulation = ScenarioTest.withServices();
-        ObjectNode filling = FailureTest.job("j-000700", "blue", "array", 4, 4, 90);
+        ClusterSimulation simulation = clusterWithServices();
+        ObjectNode filling = JobRequests.array("j-000700", "blue", 4, 4, 90);
         simulation.users().submitUntilAccepted(filling);
         simulation.runChecked(30_000);
         String machine = simulation
@@ -83,7 +86,7 @@
                 .machineIds()
                 .get(simulation.agents().machineIds().size() - 1);
         simulation.network().setInboundBlocked(machine, true);
-        simulation.users().submitUntilAccepted(FailureTest.job("j-000701", "blue", "array", 4, 2, 60));
+        simulation.users().submitUntilAccepted(JobRequests.array("j-000701", "blue", 4, 2, 60));
         simulation.runChecked(LEASE_MS + 8_000);
         simulation.agents().reboot(machine, false);
         simulation.network().setInboundBlocked(machine, false);
@@ -91,16 +94,16 @@
         assertEquals(List.of(), simulation.invariants().violations());
     }
 
-    private static void play(long seed, boolean reboots) {
+    private static void run(long seed, boolean reboots) {
         ClusterSimulation simulation = ClusterSimulation.builder(seed)
                 .machines(MACHINES)
                 .timing(TIMING)
                 .build();
         SplittableRandom random = new SplittableRandom(seed);
-        simulation.batchCommandsUpTo(1 + random.nextInt(MOST_BATCH_MS));
-        simulation.network().delayCommandsUpTo(MOST_LATE_MS);
-        simulation.network().delayLinksUpTo(random.nextInt(MOST_SLOW_LINK_MS));
-        simulation.network().duplicateMessageShare(LATE_COPIES);
+        simulation.batchCommandsUpTo(1 + random.nextInt(MAX_BATCH_DELAY_MS));
+        simulation.network().delayCommandsUpTo(MAX_COMMAND_DELAY_MS);
+        simulation.network().delayLinksUpTo(random.nextInt(MAX_LINK_DELAY_MS));
+        simulation.network().duplicateMessageShare(DUPLICATE_SHARE);
         List<String> arrays = load(simulation, random);
         faults(simulation, random, reboots);
         simulation.runChecked(FAULTS_END);
@@ -111,27 +114,20 @@
             simulation.runChecked(1_000);
             simulation.checkWaitingJobs();
         }
-        assertEquals(List.of(), simulation.invariants().violations());
-        assertEquals(0, simulation.failedCommands(), "commands that failed inside a node");
-        assertEquals(List.of(), simulation.invariants().missingReplicas(), "every service runs");
-        assertEquals(
-                List.of(),
-                arrays.stream()
-                        .filter(id -> simulation.invariants().finalPhase(id).isEmpty())
-                        .toList(),
-                "every array is over, long after the last failure");
+        assertHealthy(simulation);
+        assertAllEnded(simulation, arrays);
         assertTrue(simulation.invariants().startCount() > 20, "tasks were started");
     }
 
-    /** Low work that urgent work stops, jobs that fail at their start until they are cancelled, and cancellations. */
+    /** Low-priority jobs that urgent ones preempt, jobs that fail at their start until cancelled, and cancellations. */
     private static List<String> load(ClusterSimulation simulation, SplittableRandom random) {
         List<String> arrays = new ArrayList<>();
         for (int i = 0; i < 24; i++) {
-            String id = String.format("j-%06d", 3000 + i);
+            String id = JobRequests.id(3000 + i);
             boolean faulty = i % 4 == 1;
             ObjectNode spec = i % 6 == 0
-                    ? FailureTest.job(id, "blue", "daemon", 1 + random.nextInt(2), 2, 0)
-                    : FailureTest.job(id, "blue", "array", 1 + random.nextInt(8), 4, 2 + random.nextInt(14));
+                    ? JobRequests.service(id, "blue", 1 + random.nextInt(2), 2)
+                    : JobRequests.array(id, "blue", 1 + random.nextInt(8), 4, 2 + random.nextInt(14));
             spec.put("loaner", i % 6 != 0 && random.nextInt(4) > 0);
             spec.put("pull_gb", random.nextInt(4) * 0.5);
             if (i % 6 != 0) {
--- a/src/test/java/io/quartzgw/app/EndToEndTest.java
+++ b/src/test/java/io/quartzgw/app/EndToEndTest.java
@@ -14,64 +14,65 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Three whole services over real HTTP on loopback, with stand-ins of the outside systems. */
+/** Three whole controllers over HTTP on loopback, with a simulated state service, cloud and agents. */
 class EndToEndTest {
 
     @Test
     @Timeout(120)
     void jobsRunThroughTheLossOfANode(@TempDir Path folder) throws Exception {
         try (LoopbackCluster cluster = new LoopbackCluster(3)) {
-            ControllerProcess[] services = new ControllerProcess[3];
+            ControllerProcess[] controllers = new ControllerProcess[3];
             for (int i = 0; i < 3; i++) {
-                services[i] = new ControllerProcess(SettingsReader.read(cluster.settings(i, folder)), 100 + i);
-                services[i].start();
+                controllers[i] = new ControllerProcess(SettingsReader.read(cluster.settings(i, folder)), 100 + i);
+                controllers[i].start();
             }
-            ObjectNode array = FailureTest.job("j-000001", "blue", "array", 3, 2, 0.3);
-            until(() -> cluster.submit(0, array).status() / 100 == 2);
+            ObjectNode array = JobRequests.array("j-000001", "blue", 3, 2, 0.3);
+            until(() -> isAccepted(cluster.submit(0, array)));
             until(() -> phase(cluster, 1, "j-000001").equals("done"));
 
-            until(() -> cluster.submit(1, FailureTest.job("j-000002", "blue", "daemon", 2, 2, 0))
-                                    .status()
-                            / 100
-                    == 2);
+            until(() -> isAccepted(cluster.submit(1, JobRequests.service("j-000002", "blue", 2, 2))));
             until(() -> phase(cluster, 2, "j-000002").equals("running"));
-            services[0].stop();
-            until(() -> cluster.submit(1, FailureTest.job("j-000003", "blue", "array", 2, 2, 0.3))
-                                    .status()
-                            / 100
-                    == 2);
+            controllers[0].stop();
+            until(() -> isAccepted(cluster.submit(1, JobRequests.array("j-000003", "blue", 2, 2, 0.3))));
             until(() -> phase(cluster, 2, "j-000003").equals("done"));
-            Reply aborted = cluster.request(2, "POST", "/submissions/j-000002/abort", Json.object());
-            assertEquals(200, aborted.status());
-            assertEquals("withdrawn", aborted.json().path("phase").asText());
+            Reply cancelled = cluster.request(2, "POST", "/submissions/j-000002/abort", Json.object());
+            assertEquals(200, cancelled.status());
+            assertEquals("withdrawn", cancelled.json().path("phase").asText());
 
-            assertEquals(200, cluster.request(1, "GET", "/ready", null).status());
-            assertEquals(
-                    400,
-                    cluster.raw(1, "POST", "/submissions", HttpRequest.BodyPublishers.ofString("{"))
-                            .status());
-            assertEquals(
-                    413,
-                    cluster.raw(1, "POST", "/submissions", HttpRequest.BodyPublishers.ofByteArray(new byte[70_000]))
-                            .status());
-            Reply figures = cluster.peer(1, "/metrics");
-            assertEquals(200, figures.status());
-            assertEquals(0, figures.json().path("counts").path("failures").asLong(-1));
-            assertTrue(figures.json().path("counts").path("store.requests").asLong() > 0);
-            assertTrue(figures.json()
-                            .path("process")
-                            .path("requests")
-                            .path("count")
-                            .asDouble()
-                    > 0);
-            for (ControllerProcess service : services) {
-                service.stop();
+            assertEquals(200, cluster.request(1, "GET", "/ready").status());
+            assertInvalidRequestsAreRejected(cluster);
+            assertMetricsAreServed(cluster);
+            for (ControllerProcess controller : controllers) {
+                controller.stop();
             }
         }
     }
 
-    private static String phase(LoopbackCluster cluster, int node, String job) {
-        return cluster.request(node, "GET", "/submissions/" + job, null)
+    private static void assertInvalidRequestsAreRejected(LoopbackCluster cluster) {
+        assertEquals(
+                400,
+                cluster.raw(1, "POST", "/submissions", HttpRequest.BodyPublishers.ofString("{"))
+                        .status());
+        assertEquals(
+                413,
+                cluster.raw(1, "POST", "/submissions", HttpRequest.BodyPublishers.ofByteArray(new byte[70_000]))
+                        .status());
+    }
+
+    private static void assertMetricsAreServed(LoopbackCluster cluster) {
+        Reply metrics = cluster.peer(1, "/metrics");
+        assertEquals(200, metrics.status());
+        assertEquals(0, metrics.json().path("counts").path("failures").asLong(-1));
+        assertTrue(metrics.json().path("counts").path("store.requests").asLong() > 0);
+        assertTrue(metrics.json().path("process").path("requests").path("count").asDouble() > 0);
+    }
+
+    private static boolean isAccepted(Reply reply) {
+        return reply.status() / 100 == 2;
+    }
+
+    private static String phase(LoopbackCluster cluster, int controller, String job) {
+        return cluster.request(controller, "GET", "/submissions/" + job)
                 .json()
                 .path("phase")
                 .asText();
--- a/src/test/java/io/quartzgw/app/FiveControllersTest.java
+++ b/src/test/java/io/quartzgw/app/FiveControllersTest.java
@@ -1,5 +1,6 @@
 package io.quartzgw.app;
 
+import static io.quartzgw.app.ClusterFixtures.REPLICAS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -15,14 +16,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Five controllers on a state service that takes few changes and holds small values. */
+/** Five controllers with a state service that limits the rate of changes and the size of values. */
 class FiveControllersTest {
     private static final int CONTROLLERS = 5;
     private static final int MACHINES = 40;
     private static final AgentTiming TIMING = new AgentTiming(2_500, 14_000, 44_000);
     private static final StoreLimits LIMITS = new StoreLimits(100, 15, 4096, 12);
 
-    private static ClusterSimulation simulation(long seed) {
+    private static ClusterSimulation clusterWithLimits(long seed) {
         return ClusterSimulation.builder(seed)
                 .controllers(CONTROLLERS)
                 .machines(MACHINES)
@@ -32,18 +33,22 @@
                 .build();
     }
 
-    /** Five services at once, and arrays one after the other. */
+    /** Schedules five services at once, and arrays one after the other; returns the ids of the arrays. */
     private static List<String> load(ClusterSimulation simulation, int arrayCount, int tasks, long pauseMs) {
         List<String> arrays = new ArrayList<>();
         for (int i = 0; i < arrayCount; i++) {
-            ObjectNode spec = FailureTest.job(String.format("j-%06d", 100 + i), "blue", "array", tasks, 4, 8);
+            ObjectNode spec = JobRequests.array(JobRequests.id(100 + i), "blue", tasks, 4, 8);
             arrays.add(spec.path("id").asText());
             simulation.schedule(5_000 + pauseMs * i, () -> simulation.users().submitUntilAccepted(spec));
         }
-        for (int i = 0; i < ScenarioTest.SERVICES; i++) {
-            ObjectNode spec = FailureTest.job("j-00000" + i, "blue", "daemon", 2, 2, 0);
-            simulation.schedule(1_000, () -> simulation.users().submitUntilAccepted(spec));
-        }
+        ClusterFixtures.scheduleServices(simulation);
+        return arrays;
+    }
+
+    /** Runs half of the time in which jobs are submitted; returns the ids of all arrays. */
+    private static List<String> runUnderLoad(ClusterSimulation simulation) {
+        List<String> arrays = load(simulation, 30, 10, 2_000);
+        simulation.runChecked(30_000);
         return arrays;
     }
 
@@ -51,32 +56,28 @@
         assertEquals(List.of(), simulation.invariants().violations());
         arrays.forEach(
                 id -> assertEquals(Optional.of("done"), simulation.invariants().finalPhase(id), id));
-        assertEquals(
-                ScenarioTest.SERVICES * 2,
-                simulation.invariants().runningTasks().size(),
-                "replicas run, and nothing else");
+        assertEquals(REPLICAS, simulation.invariants().runningTasks().size(), "replicas run, and nothing else");
         assertEquals(0, simulation.failedCommands());
     }
 
-    // Guards the limit of changes that all controllers share, and what has to be done within it.
+    // All controllers share the limit of changes, and the jobs have to be done within it.
     @Test
     void aSmallStateServiceRefusesNothingAndAllIsDone() {
-        ClusterSimulation simulation = simulation(1);
+        ClusterSimulation simulation = clusterWithLimits(1);
         List<String> arrays = load(simulation, 200, 2, 20);
         simulation.runChecked(120_000);
         assertEquals(0, simulation.store().rejectedTransactions(), "together they stay within the limit");
         assertServed(simulation, arrays);
     }
 
-    // Guards what waits for every other controller: with one or two of them away all goes on, also through the loss of
-    // the leader.
+    // Nothing may wait for every other controller: jobs are done with one or two of them down, also when
+    // the leader crashes.
     @ParameterizedTest
     @ValueSource(ints = {1, 2})
-    void allGoesOnWithControllersAway(int away) {
-        ClusterSimulation simulation = simulation(10 + away);
-        List<String> arrays = load(simulation, 30, 10, 2_000);
-        simulation.runChecked(30_000);
-        for (int i = 0; i < away; i++) {
+    void allGoesOnWithControllersAway(int count) {
+        ClusterSimulation simulation = clusterWithLimits(10 + count);
+        List<String> arrays = runUnderLoad(simulation);
+        for (int i = 0; i < count; i++) {
             simulation.crash((simulation.leader() + 1 + i) % CONTROLLERS);
         }
         simulation.runChecked(20_000);
@@ -85,22 +86,21 @@
         assertServed(simulation, arrays);
     }
 
-    // The same with controllers that run and reach nobody.
+    // The same with controllers that run and can reach no other host.
     @ParameterizedTest
     @ValueSource(ints = {1, 2})
-    void allGoesOnWithControllersCutOff(int away) {
-        ClusterSimulation simulation = simulation(20 + away);
-        List<String> arrays = load(simulation, 30, 10, 2_000);
-        simulation.runChecked(30_000);
+    void allGoesOnWithControllersCutOff(int count) {
+        ClusterSimulation simulation = clusterWithLimits(20 + count);
+        List<String> arrays = runUnderLoad(simulation);
         int leader = simulation.leader();
-        List<Integer> cutOff = new ArrayList<>();
-        for (int i = 0; i < away; i++) {
+        List<Integer> partitioned = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
             // The leader itself is one of them.
-            cutOff.add((leader + i) % CONTROLLERS);
+            partitioned.add((leader + i) % CONTROLLERS);
         }
-        cutOff.forEach(node -> simulation.network().partition(Hosts.controller(node), Hosts.ALL));
+        partitioned.forEach(controller -> simulation.network().partition(Hosts.controller(controller), Hosts.ALL));
         simulation.runChecked(40_000);
-        assertTrue(simulation.hasLeader() && !cutOff.contains(simulation.leader()), "another one leads");
+        assertTrue(simulation.hasLeader() && !partitioned.contains(simulation.leader()), "another controller leads");
         simulation.runChecked(90_000);
         assertServed(simulation, arrays);
     }
--- /dev/null
+++ b/src/test/java/io/quartzgw/app/JobRequests.java
@@ -0,0 +1,50 @@
+package io.quartzgw.app;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.quartzgw.http.Json;
+
+/** Submissions as users send them, with defaults for what a test does not set. */
+final class JobRequests {
+    private static final String ARRAY = "array";
+    private static final String SERVICE = "daemon";
+    /** Jobs of different sizes use different images. */
+    private static final int IMAGES = 3;
+
+    private JobRequests() {}
+
+    /** The id of a job by its number. */
+    static String id(int number) {
+        return String.format("j-%06d", number);
+    }
+
+    /** An array of tasks, each of which takes some CPUs and runs for a time. */
+    static ObjectNode array(String id, String team, int tasks, double cpus, double runS) {
+        return job(id, team, ARRAY, tasks, cpus).put("urgency", "standard").put("runtime_guess_s", runS);
+    }
+
+    /** A service whose replicas take some CPUs each, and run until it is cancelled. */
+    static ObjectNode service(String id, String team, int replicas, double cpus) {
+        return job(id, team, SERVICE, replicas, cpus).put("urgency", "critical").put("runtime_guess_s", 0.0);
+    }
+
+    private static ObjectNode job(String id, String team, String shape, int tasks, double cpus) {
+        return Json.object()
+                .put("id", id)
+                .put("workload", shape)
+                .put("crew", team)
+                .put("shape", shape)
+                .put("urgency", "")
+                .put("shards", tasks)
+                .put("cpus", cpus)
+                .put("gpus", 0.0)
+                .put("ram_gb", 1.0)
+                .put("bundle", "img-" + tasks % IMAGES)
+                .put("pull_gb", 1.0)
+                .put("together", false)
+                .put("scatter", false)
+                .put("loaner", false)
+                .put("runtime_guess_s", 0.0)
+                .put("snapshot_every_s", 0.0)
+                .put("snapshot_cost_s", 0.0);
+    }
+}
--- a/src/test/java/io/quartzgw/app/PairedFaultsTest.java
+++ b/src/test/java/io/quartzgw/app/PairedFaultsTest.java
@@ -1,5 +1,13 @@
 package io.quartzgw.app;
 
+import static io.quartzgw.app.ClusterAssertions.assertAllDone;
+import static io.quartzgw.app.ClusterAssertions.assertAllEnded;
+import static io.quartzgw.app.ClusterAssertions.assertHealthy;
+import static io.quartzgw.app.ClusterFixtures.LEASE_MS;
+import static io.quartzgw.app.ClusterFixtures.REPLICAS;
+import static io.quartzgw.app.ClusterFixtures.clusterWithServices;
+import static io.quartzgw.app.ClusterFixtures.firstHalf;
+import static io.quartzgw.app.ClusterFixtures.submitArrays;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -12,95 +20,57 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Two troubles at once, as operators have met them; docs/design.md lists them all. */
+/** Two faults at once, as operators have seen them; docs/design.md lists them all. */
 class PairedFaultsTest {
-    static final long LEASE_MS = 16_000;
-
-    static void assertAllWell(ClusterSimulation simulation) {
-        assertEquals(List.of(), simulation.invariants().violations());
-        assertEquals(List.of(), simulation.invariants().missingReplicas());
-        assertEquals(0, simulation.failedCommands());
-    }
-
-    static List<String> arrays(ClusterSimulation simulation, int jobs, int tasks, double runS, String crew) {
-        List<String> ids = new ArrayList<>();
-        for (int i = 0; i < jobs; i++) {
-            String id = String.format("j-%06d", 300 + i);
-            ids.add(id);
-            simulation.users().submitUntilAccepted(FailureTest.job(id, crew, "array", tasks, 4, runS));
-        }
-        return ids;
-    }
-
-    static void assertAllEnded(ClusterSimulation simulation, List<String> jobs) {
-        assertEquals(
-                List.of(),
-                jobs.stream()
-                        .filter(id -> simulation.invariants().finalPhase(id).isEmpty())
-                        .toList());
-    }
-
-    static void assertDone(ClusterSimulation simulation, List<String> jobs) {
-        assertEquals(
-                List.of(),
-                jobs.stream()
-                        .filter(id -> !simulation.invariants().hasEndedIn("done", id))
-                        .toList());
-    }
-
-    static List<String> firstHalf(List<String> machines) {
-        return machines.subList(0, (machines.size() + 1) / 2);
-    }
-
     @Test
     void allControllersAreAwayForLongerThanALease() {
-        ClusterSimulation simulation = ScenarioTest.withServices();
-        List<String> jobs = arrays(simulation, 4, 5, 25, "red");
+        ClusterSimulation simulation = clusterWithServices();
+        List<String> jobs = submitArrays(simulation, 4, 5, 25, "red");
         simulation.runChecked(10_000);
         IntStream.range(0, 3).forEach(simulation::crash);
         simulation.runChecked(LEASE_MS + 9_000);
         IntStream.range(0, 3).forEach(simulation::start);
         simulation.runChecked(30_000);
-        assertAllWell(simulation);
+        assertHealthy(simulation);
         simulation.runChecked(90_000);
-        assertDone(simulation, jobs);
+        assertAllDone(simulation, jobs);
     }
 
-    // Guards ends that are in nobody's record yet: a worker tells of them until they are, whoever leads.
+    // Ends of tasks that no controller has recorded: agents send them until they are, whoever leads.
     @Test
     void tasksOfOneJobEndFarApartAcrossAChangeOfLeader() {
         for (long crashAt = 4_000; crashAt <= 40_000; crashAt += 2_000) {
-            ClusterSimulation simulation = ScenarioTest.withServices();
+            ClusterSimulation simulation = clusterWithServices();
             List<String> jobs = new ArrayList<>();
             for (int i = 0; i < 6; i++) {
-                ObjectNode spec = FailureTest.job("j-00040" + i, "blue", "array", 2 + i % 2, 4, 3);
+                ObjectNode spec = JobRequests.array(JobRequests.id(400 + i), "blue", 2 + i % 2, 4, 3);
                 simulation.users().submitUntilAccepted(spec.put("each_longer_s", 10 + 2 * i));
-                jobs.add("j-00040" + i);
+                jobs.add(JobRequests.id(400 + i));
             }
             simulation.runChecked(crashAt);
             simulation.crash(simulation.leader(), 5_000);
             simulation.runChecked(75_000);
-            assertAllWell(simulation);
-            assertDone(simulation, jobs);
+            assertHealthy(simulation);
+            assertAllDone(simulation, jobs);
         }
     }
 
     @Test
     void jobsBoundToAZoneLoseMachines() {
-        ClusterSimulation simulation = ScenarioTest.withServices();
+        ClusterSimulation simulation = clusterWithServices();
         List<String> jobs = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
-            ObjectNode spec = FailureTest.job("j-00040" + i, "blue", "array", 4 + i, 4, 15);
+            ObjectNode spec = JobRequests.array(JobRequests.id(400 + i), "blue", 4 + i, 4, 15);
             simulation
                     .users()
                     .submitUntilAccepted(
                             i % 2 == 0 ? spec.put("yard", i % 4 == 0 ? "a" : "b") : spec.put("together", true));
-            jobs.add("j-00040" + i);
+            jobs.add(JobRequests.id(400 + i));
         }
         simulation
                 .users()
                 .submitUntilAccepted(
-                        FailureTest.job("j-000410", "blue", "daemon", 3, 2, 0).put("yard", "a"));
+                        JobRequests.service("j-000410", "blue", 3, 2).put("yard", "a"));
         simulation.runChecked(14_000);
         List<String> lost = simulation.agents().machineIds();
         for (int i = 0; i < lost.size(); i += 2) {
@@ -118,40 +88,40 @@
             }
         }
         simulation.runChecked(10_000);
-        IntStream.range(0, 3).filter(node -> !simulation.isUp(node)).forEach(simulation::start);
+        IntStream.range(0, 3).filter(controller -> !simulation.isUp(controller)).forEach(simulation::start);
         simulation.runChecked(120_000);
-        assertAllWell(simulation);
-        assertDone(simulation, jobs);
+        assertHealthy(simulation);
+        assertAllDone(simulation, jobs);
     }
 
-    // Guards leases that end while every order is answered: what was on such a machine runs elsewhere, once.
+    // Leases expire while commands still get responses: the tasks of such a machine run elsewhere, once.
     @Test
     void workersThatReachNoControllerStillTakeOrders() {
-        for (boolean leaderEnds : List.of(false, true)) {
-            ClusterSimulation simulation = ScenarioTest.withServices();
-            List<String> jobs = arrays(simulation, 5, 4, 30, "red");
+        for (boolean leaderCrashes : List.of(false, true)) {
+            ClusterSimulation simulation = clusterWithServices();
+            List<String> jobs = submitArrays(simulation, 5, 4, 30, "red");
             simulation.runChecked(8_000);
-            List<String> mute = firstHalf(simulation.agents().machineIds());
-            mute.forEach(machine -> simulation.network().setHeartbeatsBlocked(machine, true));
+            List<String> silent = firstHalf(simulation.agents().machineIds());
+            silent.forEach(machine -> simulation.network().setHeartbeatsBlocked(machine, true));
             simulation.users().cancelRunningJobs(2);
-            if (leaderEnds) {
+            if (leaderCrashes) {
                 simulation.runChecked(1_000);
                 simulation.crash(simulation.leader(), 5_000);
             }
             simulation.runChecked(3 * LEASE_MS);
-            assertEquals(List.of(), simulation.invariants().missingReplicas(), "replicas run where reports arrive");
-            mute.forEach(machine -> simulation.network().setHeartbeatsBlocked(machine, false));
+            assertEquals(List.of(), simulation.invariants().missingReplicas(), "replicas run where heartbeats arrive");
+            silent.forEach(machine -> simulation.network().setHeartbeatsBlocked(machine, false));
             simulation.runChecked(90_000);
-            assertAllWell(simulation);
+            assertHealthy(simulation);
             assertAllEnded(simulation, jobs);
         }
     }
 
     @Test
     void transactionsAreCarriedOutLateAfterNewerOnes() {
-        ClusterSimulation simulation = ScenarioTest.withServices();
+        ClusterSimulation simulation = clusterWithServices();
         simulation.network().delayTransactionShare(0.3);
-        List<String> jobs = arrays(simulation, 8, 5, 6, "red");
+        List<String> jobs = submitArrays(simulation, 8, 5, 6, "red");
         simulation.runChecked(8_000);
         simulation.crash(simulation.leader(), 700);
         simulation.runChecked(10_000);
@@ -159,22 +129,22 @@
         simulation.runChecked(20_000);
         simulation.network().delayTransactionShare(0);
         simulation.runChecked(100_000);
-        assertAllWell(simulation);
+        assertHealthy(simulation);
         assertAllEnded(simulation, jobs);
     }
 
-    // Guards the first end: whatever meets the last task's end is told the same by every controller from then on.
+    // Requests at the moment of the last task's end: every controller tells the same final phase from then on.
     @Test
     void cancellationsQuestionsAndRepeatsMeetTheEndOfTheLastTask() {
-        ClusterSimulation simulation = ScenarioTest.withServices();
+        ClusterSimulation simulation = clusterWithServices();
         simulation.users().cancelJobsAtLastTaskEnd(1);
         List<String> jobs = new ArrayList<>();
         for (int i = 0; i < 24; i++) {
-            String id = String.format("j-%06d", 500 + i);
+            String id = JobRequests.id(500 + i);
             int tasks = i % 3;
-            simulation.schedule(simulation.now() + 700L * i, () -> simulation
-                    .users()
-                    .submitUntilAccepted(FailureTest.job(id, "blue", "array", 1 + tasks, 2, 4)));
+            simulation.schedule(
+                    simulation.now() + 700L * i,
+                    () -> simulation.users().submitUntilAccepted(JobRequests.array(id, "blue", 1 + tasks, 2, 4)));
             jobs.add(id);
         }
         for (int step = 0; step < 1_500; step++) {
@@ -193,22 +163,22 @@
             }
         }
         simulation.runChecked(60_000);
-        assertAllWell(simulation);
+        assertHealthy(simulation);
         assertTrue(
                 jobs.stream()
                         .allMatch(id -> simulation.invariants().finalPhase(id).isPresent()),
-                "every end is told");
+                "users are told of every end");
         assertTrue(
                 jobs.stream().anyMatch(id -> simulation.invariants().hasEndedIn("withdrawn", id)),
-                "some were called off in time");
+                "some were cancelled in time");
         assertTrue(jobs.stream().anyMatch(id -> simulation.invariants().hasEndedIn("done", id)), "some were not");
     }
 
     @Test
     void ordersAndTheirAnswersAreHeldUpAndTheMachinesGoOn() {
-        ClusterSimulation simulation = ScenarioTest.withServices();
+        ClusterSimulation simulation = clusterWithServices();
         simulation.network().delayCommandShare(0.5);
-        List<String> jobs = arrays(simulation, 8, 4, 8, "red");
+        List<String> jobs = submitArrays(simulation, 8, 4, 8, "red");
         simulation.runChecked(12_000);
         simulation.cancelRunningJobsWhileMachinesHang(3, 3_000);
         simulation.runChecked(8_000);
@@ -216,20 +186,20 @@
         simulation.runChecked(30_000);
         simulation.network().delayCommandShare(0);
         simulation.runChecked(90_000);
-        assertAllWell(simulation);
+        assertHealthy(simulation);
         assertAllEnded(simulation, jobs);
     }
 
-    // Guards the order of stops and starts where every message takes long.
+    // The order of stops and starts where every message takes long.
     @Test
     void thereIsMoreWorkThanRoomUrgentAndNotOverSlowLinks() {
-        ClusterSimulation simulation = ScenarioTest.withServices();
+        ClusterSimulation simulation = clusterWithServices();
         simulation.network().delayLinksUpTo(600);
         List<String> jobs = new ArrayList<>();
         for (int i = 0; i < 24; i++) {
-            String id = String.format("j-%06d", 500 + i);
+            String id = JobRequests.id(500 + i);
             int level = i % 3;
-            ObjectNode spec = FailureTest.job(id, i % 2 == 0 ? "blue" : "red", "array", 12, 4, 12);
+            ObjectNode spec = JobRequests.array(id, i % 2 == 0 ? "blue" : "red", 12, 4, 12);
             simulation.schedule(simulation.now() + 900L * i, () -> simulation
                     .users()
                     .submitUntilAccepted(spec.put(
@@ -241,22 +211,22 @@
             simulation.runChecked(1_000);
             simulation.checkWaitingJobs();
         }
-        assertAllWell(simulation);
-        assertDone(simulation, jobs);
+        assertHealthy(simulation);
+        assertAllDone(simulation, jobs);
     }
 
-    // Guards work that is placed twice or never: in each term something is accepted, started, stopped and ended.
+    // No task may be placed twice or never: in each term some are accepted, started, stopped and ended.
     @Test
     void leadersChangeTenTimesInTwoMinutesAlsoInsideAnOutage() {
         for (boolean outage : List.of(false, true)) {
-            ClusterSimulation simulation = ScenarioTest.withServices();
+            ClusterSimulation simulation = clusterWithServices();
             List<String> jobs = new ArrayList<>();
             for (int change = 0; change < 10; change++) {
-                String id = "j-00060" + change;
+                String id = JobRequests.id(600 + change);
                 simulation
                         .users()
                         .submitUntilAccepted(
-                                FailureTest.job(id, "red", "array", 5, 4, 6),
+                                JobRequests.array(id, "red", 5, 4, 6),
                                 change % 4 == 3 ? OptionalLong.of(simulation.now() + 9_000) : OptionalLong.empty());
                 jobs.add(id);
                 simulation.runChecked(6_000);
@@ -271,17 +241,18 @@
                 simulation.start(leader);
             }
             simulation.runChecked(100_000);
-            assertAllWell(simulation);
+            assertHealthy(simulation);
             assertAllEnded(simulation, jobs);
         }
     }
 
-    // Guards the other side of a cut: there a controller answers the workers for its grace, here their room is held.
+    // Inside the partition a controller responds to agents for its grace; outside, the resources of their tasks are
+    // held.
     @Test
     void aZoneWithWorkersAndAControllerIsCutOffForLongerThanALease() {
         for (boolean leads : List.of(true, false)) {
-            ClusterSimulation simulation = ScenarioTest.withServices();
-            List<String> jobs = arrays(simulation, 5, 4, 20, "red");
+            ClusterSimulation simulation = clusterWithServices();
+            List<String> jobs = submitArrays(simulation, 5, 4, 20, "red");
             simulation.runChecked(10_000);
             int inside = leads ? simulation.leader() : (simulation.leader() + 1) % 3;
             List<String> zone = firstHalf(simulation.agents().machineIds());
@@ -301,22 +272,22 @@
                 zone.forEach(machine -> simulation.network().heal(machine, far));
             });
             simulation.runChecked(120_000);
-            assertAllWell(simulation);
+            assertHealthy(simulation);
             assertAllEnded(simulation, jobs);
         }
     }
 
     @Test
     void aLeaderEndsWhileMachinesWithLongTasksAreSilentOrDeaf() {
-        for (boolean deaf : List.of(true, false)) {
-            for (long goneMs : List.of(6_000L, 14_000L, 40_000L)) {
-                ClusterSimulation simulation = ScenarioTest.withServices();
-                List<String> jobs = arrays(simulation, 4, 4, 45, "red");
+        for (boolean inboundOnly : List.of(true, false)) {
+            for (long partitionMs : List.of(6_000L, 14_000L, 40_000L)) {
+                ClusterSimulation simulation = clusterWithServices();
+                List<String> jobs = submitArrays(simulation, 4, 4, 45, "red");
                 simulation.runChecked(12_000);
                 List<String> some = firstHalf(simulation.agents().machineIds());
                 int leader = simulation.leader();
                 some.forEach(machine -> {
-                    if (deaf) {
+                    if (inboundOnly) {
                         simulation.network().setInboundBlocked(machine, true);
                     } else {
                         simulation.network().partition(machine, Hosts.ALL);
@@ -324,27 +295,27 @@
                 });
                 simulation.runChecked(500);
                 simulation.crash(leader, 5_000);
-                simulation.runChecked(goneMs);
+                simulation.runChecked(partitionMs);
                 some.forEach(machine -> {
-                    if (deaf) {
+                    if (inboundOnly) {
                         simulation.network().setInboundBlocked(machine, false);
                     } else {
                         simulation.network().heal(machine, Hosts.ALL);
                     }
                 });
                 simulation.runChecked(150_000);
-                assertAllWell(simulation);
-                assertDone(simulation, jobs);
+                assertHealthy(simulation);
+                assertAllDone(simulation, jobs);
             }
         }
     }
 
-    // Guards the quota: a job that is called off leaves the open jobs at once, and its tasks run on where nobody asks.
+    // A cancelled job is no open job any more, and its tasks run on where no command arrives: they count.
     @Test
     void aTeamAtItsLimitLosesItsLeaderWhileMachinesAreSilentAndAJobIsCancelled() {
         for (long cancelAfterMs : List.of(-300L, 200L, 1_500L, 6_000L)) {
-            ClusterSimulation simulation = ScenarioTest.withServices();
-            List<String> jobs = arrays(simulation, 6, 5, 25, "green");
+            ClusterSimulation simulation = clusterWithServices();
+            List<String> jobs = submitArrays(simulation, 6, 5, 25, "green");
             simulation.runChecked(20_000);
             List<String> silent = firstHalf(simulation.agents().machineIds());
             silent.forEach(machine -> simulation.network().partition(machine, Hosts.ALL));
@@ -356,7 +327,7 @@
             simulation.runChecked(12_000);
             silent.forEach(machine -> simulation.network().heal(machine, Hosts.ALL));
             simulation.runChecked(250_000);
-            assertAllWell(simulation);
+            assertHealthy(simulation);
             assertAllEnded(simulation, jobs);
         }
     }
@@ -365,7 +336,7 @@
     void controllersHandOverAndBackThenAllEndAndOneReturnsWithinASecond() {
         for (int returns = 0; returns < 3; returns++) {
             for (long downMs : List.of(50L, 400L, 900L)) {
-                ClusterSimulation simulation = ScenarioTest.withServices();
+                ClusterSimulation simulation = clusterWithServices();
                 int back = returns;
                 simulation.runChecked(1_000);
                 for (int i = 0; i < 3; i++) {
@@ -375,33 +346,32 @@
                 IntStream.range(0, 3).forEach(simulation::crash);
                 simulation.schedule(simulation.now() + downMs, () -> simulation.start(back));
                 simulation.runChecked(10_000);
-                IntStream.range(0, 3).filter(node -> node != back).forEach(simulation::start);
+                IntStream.range(0, 3).filter(controller -> controller != back).forEach(simulation::start);
                 simulation.runChecked(60_000);
-                assertAllWell(simulation);
-                assertEquals(
-                        2 * ScenarioTest.SERVICES, simulation.invariants().startCount(), "nothing was started anew");
+                assertHealthy(simulation);
+                assertEquals(REPLICAS, simulation.invariants().startCount(), "nothing was started again");
             }
         }
     }
 
-    // Guards what a controller read before it stood still: on waking it answers nobody by it, and deposes nobody.
+    // What a controller read before it was paused: it responds to nobody by it once it resumes, and deposes nobody.
     @Test
     void aControllerStandsStillWhileJobsAreCancelledAndGoesOn() {
         for (boolean leads : List.of(true, false)) {
-            for (long stillMs : List.of(3_000L, 9_000L, 20_000L, 70_000L)) {
-                ClusterSimulation simulation = ScenarioTest.withServices();
-                List<String> jobs = arrays(simulation, 4, 4, 12, "red");
+            for (long pauseMs : List.of(3_000L, 9_000L, 20_000L, 70_000L)) {
+                ClusterSimulation simulation = clusterWithServices();
+                List<String> jobs = submitArrays(simulation, 4, 4, 12, "red");
                 simulation.runChecked(5_000);
-                int node = leads ? simulation.leader() : (simulation.leader() + 1) % 3;
-                simulation.pauseController(node, stillMs);
+                int controller = leads ? simulation.leader() : (simulation.leader() + 1) % 3;
+                simulation.pauseController(controller, pauseMs);
                 simulation.schedule(
-                        simulation.now() + stillMs / 2, () -> simulation.cancelRunningJobsWhileMachinesHang(3, 2_000));
-                simulation.runChecked(stillMs);
+                        simulation.now() + pauseMs / 2, () -> simulation.cancelRunningJobsWhileMachinesHang(3, 2_000));
+                simulation.runChecked(pauseMs);
                 int leader = simulation.leader();
                 simulation.runChecked(15_000);
-                assertTrue(leads || simulation.leader() == leader, "who wakes deposes nobody");
+                assertTrue(leads || simulation.leader() == leader, "a controller that resumes deposes nobody");
                 simulation.runChecked(75_000);
-                assertAllWell(simulation);
+                assertHealthy(simulation);
                 assertAllEnded(simulation, jobs);
             }
         }
--- a/src/test/java/io/quartzgw/app/ScaleTest.java
+++ b/src/test/java/io/quartzgw/app/ScaleTest.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** Some 1,700 machines in the simulated simulation; what is bounded is counted work, never time on a clock. */
+/** A simulated cluster of some 1,700 machines; what is bounded is counted work, never real time. */
 class ScaleTest {
     private static final int MACHINES = 1_700;
     private static final int SERVICES = 30;
@@ -21,21 +21,17 @@
     /** A task of this size fills a machine of the cheaper type. */
     private static final double CPUS = 16;
 
-    private long of(ClusterSimulation simulation, String count) {
-        return simulation.counters().getOrDefault(count, 0L);
-    }
-
-    // Guards against work that grows with the square of the fleet: a pass, a report or a takeover may look at
-    // every machine or job now and then, but not for each other one.
+    // Work must not grow with the square of the fleet: a scheduling pass, a heartbeat or a takeover may look at
+    // every machine or job once, but not for each other one.
     @Test
     void aLargeFleetStartsRunsAndIsTakenOverWithBoundedWork() {
         ClusterSimulation simulation =
                 ClusterSimulation.builder(3).machines(MACHINES).agentStepMs(500).build();
         for (int i = 0; i < SERVICES; i++) {
-            String id = String.format("j-%06d", i);
-            simulation.schedule(1_000 + 50 * i, () -> simulation
-                    .users()
-                    .submitUntilAccepted(FailureTest.job(id, "blue", "daemon", REPLICAS, CPUS, 0)));
+            String id = JobRequests.id(i);
+            simulation.schedule(
+                    1_000 + 50 * i,
+                    () -> simulation.users().submitUntilAccepted(JobRequests.service(id, "blue", REPLICAS, CPUS)));
         }
         simulation.runUntil(60_000);
         assertEquals(
@@ -44,52 +40,53 @@
                 "every replica is up within a minute");
         long started = simulation.invariants().startCount();
         assertEquals(SERVICES * REPLICAS, started);
-        assertTrue(of(simulation, "placement.looks") < 40 * started, of(simulation, "placement.looks") + " looks");
-        assertTrue(of(simulation, "orders.calls") < 5 * started, of(simulation, "orders.calls") + " orders");
+        assertTrue(
+                simulation.counter("placement.looks") < 40 * started, simulation.counter("placement.looks") + " looks");
+        assertTrue(simulation.counter("orders.calls") < 5 * started, simulation.counter("orders.calls") + " orders");
 
         steadyLoadCostsLittle(simulation);
         aTakeoverAmongSilentMachinesKeepsWhatRuns(simulation);
         aBurstThatHasNoRoomIsPlannedWithBoundedWork(simulation);
     }
 
-    // Guards the leader's hold: a plan that looks at each machine for each waiting task takes seconds.
+    // The leader would lose its lease: a plan that looks at each machine for each waiting task takes seconds.
     private void aBurstThatHasNoRoomIsPlannedWithBoundedWork(ClusterSimulation simulation) {
-        long looks = of(simulation, "fleet.looks");
-        long plans = of(simulation, "fleet.plans");
+        long looks = simulation.counter("fleet.looks");
+        long plans = simulation.counter("fleet.plans");
         for (int i = 0; i < BURST; i++) {
             simulation
                     .users()
-                    .submitUntilAccepted(
-                            FailureTest.job(String.format("j-%06d", 3000 + i), "blue", "array", REPLICAS, CPUS, 20));
+                    .submitUntilAccepted(JobRequests.array(JobRequests.id(3000 + i), "blue", REPLICAS, CPUS, 20));
         }
         simulation.runUntil(simulation.now() + 10_000);
-        long perPlan = (of(simulation, "fleet.looks") - looks) / Math.max(1, of(simulation, "fleet.plans") - plans);
-        // Every job looks at every machine that is coming or wanted once at the most.
+        long perPlan =
+                (simulation.counter("fleet.looks") - looks) / Math.max(1, simulation.counter("fleet.plans") - plans);
+        // For every job each machine that is rented or planned is looked at once at the most.
         assertTrue(perPlan > 0 && perPlan < (long) BURST * BURST * REPLICAS, perPlan + " looks a plan");
         assertEquals(List.of(), simulation.invariants().violations());
     }
 
     private void steadyLoadCostsLittle(ClusterSimulation simulation) {
-        long writes = of(simulation, "store.writes");
-        long read = of(simulation, "reports.read");
+        long writes = simulation.counter("store.writes");
+        long read = simulation.counter("reports.read");
         for (int i = 0; i < ARRAYS; i++) {
-            String id = String.format("j-%06d", 1000 + i);
-            simulation.schedule(simulation.now() + 1_000 * i, () -> simulation
-                    .users()
-                    .submitUntilAccepted(FailureTest.job(id, "blue", "array", TASKS, CPUS, 10)));
+            String id = JobRequests.id(1000 + i);
+            simulation.schedule(
+                    simulation.now() + 1_000 * i,
+                    () -> simulation.users().submitUntilAccepted(JobRequests.array(id, "blue", TASKS, CPUS, 10)));
         }
         simulation.runUntil(simulation.now() + 60_000);
         for (int i = 0; i < ARRAYS; i++) {
-            assertEquals(Optional.of("done"), simulation.invariants().finalPhase(String.format("j-%06d", 1000 + i)));
+            assertEquals(Optional.of("done"), simulation.invariants().finalPhase(JobRequests.id(1000 + i)));
         }
         long tasks = ARRAYS * TASKS;
         assertTrue(
-                of(simulation, "store.writes") - writes < 2 * tasks,
-                of(simulation, "store.writes") - writes + " changes");
-        // Machines that run nothing new have their reports compared, not read.
+                simulation.counter("store.writes") - writes < 2 * tasks,
+                simulation.counter("store.writes") - writes + " changes");
+        // Heartbeats of machines with no change are compared, not parsed.
         assertTrue(
-                of(simulation, "reports.read") - read < 10 * tasks,
-                of(simulation, "reports.read") - read + " reports read");
+                simulation.counter("reports.read") - read < 10 * tasks,
+                simulation.counter("reports.read") - read + " reports read");
     }
 
     private void aTakeoverAmongSilentMachinesKeepsWhatRuns(ClusterSimulation simulation) {
@@ -100,31 +97,31 @@
         }
         long before = simulation.invariants().startCount();
         for (int i = 0; i < 3; i++) {
-            int node = i;
-            simulation.crash(node);
-            simulation.schedule(simulation.now() + 5_000 + 300L * i, () -> simulation.start(node));
+            int controller = i;
+            simulation.crash(controller);
+            simulation.schedule(simulation.now() + 5_000 + 300L * i, () -> simulation.start(controller));
         }
         silent.forEach(machine -> simulation.network().partition(machine, Hosts.ALL));
         simulation.runUntil(simulation.now() + 12_000);
-        assertTrue(simulation.hasLeader(), "somebody leads");
+        assertTrue(simulation.hasLeader(), "there is a leader");
         assertEquals(
                 before,
                 simulation.invariants().startCount(),
-                "what a silent machine may hold is not started anew before its hold ends");
-        // New work does not wait for the silent.
-        simulation.users().submitUntilAccepted(FailureTest.job("j-002000", "blue", "array", TASKS, CPUS, 1));
+                "what a silent machine may run is not started again before its hold ends");
+        // New jobs do not wait for silent machines.
+        simulation.users().submitUntilAccepted(JobRequests.array("j-002000", "blue", TASKS, CPUS, 1));
         simulation.runUntil(simulation.now() + 8_000);
         assertEquals(Optional.of("done"), simulation.invariants().finalPhase("j-002000"));
         assertTrue(
-                of(simulation, "orders.calls") < 6L * machines.size(),
-                of(simulation, "orders.calls") + " calls to ask the machines");
+                simulation.counter("orders.calls") < 6L * machines.size(),
+                simulation.counter("orders.calls") + " calls to ask the machines");
         simulation.runUntil(simulation.now() + 50_000);
         assertEquals(List.of(), simulation.invariants().violations());
         assertEquals(0, simulation.failedCommands());
         assertEquals(List.of(), simulation.invariants().missingReplicas(), "placed again after the hold");
-        long again = simulation.invariants().startCount() - before - TASKS;
+        long restarts = simulation.invariants().startCount() - before - TASKS;
         assertTrue(
-                again <= silent.size(),
-                again + " replicas were started anew for " + silent.size() + " silent machines");
+                restarts <= silent.size(),
+                restarts + " replicas were started again for " + silent.size() + " silent machines");
     }
 }
--- a/src/test/java/io/quartzgw/app/ScenarioTest.java
+++ b/src/test/java/io/quartzgw/app/ScenarioTest.java
@@ -1,5 +1,7 @@
 package io.quartzgw.app;
 
+import static io.quartzgw.app.ClusterFixtures.REPLICAS;
+import static io.quartzgw.app.ClusterFixtures.clusterWithServices;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -11,43 +13,21 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** Single failures, each with what users notice of it. */
+/** Single faults, each with what users notice of it. */
 class ScenarioTest {
-    static final int SERVICES = 5;
-
-    static ClusterSimulation withServices() {
-        return withServices(5);
-    }
-
-    /** A simulation in which five services of two replicas each run. */
-    static ClusterSimulation withServices(long seed) {
-        return withServices(new ClusterSimulation(seed, 3));
-    }
-
-    static ClusterSimulation withServices(ClusterSimulation simulation) {
-        for (int i = 0; i < SERVICES; i++) {
-            ObjectNode spec = FailureTest.job("j-00000" + i, "blue", "daemon", 2, 2, 0);
-            simulation.schedule(1_000, () -> simulation.users().submitUntilAccepted(spec));
-        }
-        simulation.runUntil(60_000);
-        assertEquals(SERVICES * 2, simulation.invariants().runningTasks().size());
-        assertEquals(SERVICES * 2, simulation.invariants().startCount());
-        return simulation;
-    }
-
     private static void assertNothingRestarted(ClusterSimulation simulation) {
         assertEquals(List.of(), simulation.invariants().violations());
-        assertEquals(SERVICES * 2, simulation.invariants().runningTasks().size());
-        assertEquals(SERVICES * 2, simulation.invariants().startCount(), "no replica was started anew");
+        assertEquals(REPLICAS, simulation.invariants().runningTasks().size());
+        assertEquals(REPLICAS, simulation.invariants().startCount(), "no replica was started again");
     }
 
     @Test
     void aCrashOfTheLeaderRestartsNothing() {
-        ClusterSimulation simulation = withServices();
+        ClusterSimulation simulation = clusterWithServices();
         int leader = simulation.leader();
         simulation.crash(leader);
         simulation.runUntil(75_000);
-        assertTrue(simulation.hasLeader() && simulation.leader() != leader, "another node leads");
+        assertTrue(simulation.hasLeader() && simulation.leader() != leader, "another controller leads");
         simulation.start(leader);
         simulation.runUntil(120_000);
         assertNothingRestarted(simulation);
@@ -55,37 +35,37 @@
 
     @Test
     void aCrashOfAllControllersRestartsNothing() {
-        ClusterSimulation simulation = withServices();
+        ClusterSimulation simulation = clusterWithServices();
         for (int i = 0; i < 3; i++) {
             simulation.crash(i);
-            int node = i;
-            simulation.schedule(simulation.now() + 6_000 + 500L * i, () -> simulation.start(node));
+            int controller = i;
+            simulation.schedule(simulation.now() + 6_000 + 500L * i, () -> simulation.start(controller));
         }
         simulation.runUntil(120_000);
         assertNothingRestarted(simulation);
     }
 
-    // Guards healthy machines: a leader that stood still has heard none of them when it wakes, and may not have heard
+    // A paused leader has received no heartbeat when it resumes, and may not have heard
     // of its successor either.
     @Test
     void aLeaderThatStoodStillGivesUpNoMachine() {
-        for (long stillMs : List.of(3_000L, 9_000L, 30_000L, 70_000L)) {
-            ClusterSimulation simulation = withServices();
+        for (long pauseMs : List.of(3_000L, 9_000L, 30_000L, 70_000L)) {
+            ClusterSimulation simulation = clusterWithServices();
             String leader = Hosts.controller(simulation.leader());
-            simulation.pauseController(simulation.leader(), stillMs);
+            simulation.pauseController(simulation.leader(), pauseMs);
             simulation.network().partition(leader, Hosts.ALL);
-            simulation.runUntil(simulation.now() + stillMs + 2_000);
+            simulation.runUntil(simulation.now() + pauseMs + 2_000);
             simulation.network().heal(leader, Hosts.ALL);
             simulation.runUntil(simulation.now() + 30_000);
             assertNothingRestarted(simulation);
-            assertEquals(0, simulation.counters().getOrDefault("machines.given_up", 0L));
+            assertEquals(0, simulation.counter("machines.given_up"));
         }
     }
 
-    // Guards the grace: it counts from the moment up to which the leader knows all cancellations.
+    // The grace counts from the time up to which the leader knows all cancellations.
     @Test
     void anOutageLongerThanGraceAndLeaseRestartsNothing() {
-        ClusterSimulation simulation = withServices();
+        ClusterSimulation simulation = clusterWithServices();
         simulation.store().setOutage(true);
         simulation.runUntil(simulation.now() + 60_000);
         simulation.store().setOutage(false);
@@ -93,49 +73,49 @@
         assertNothingRestarted(simulation);
     }
 
-    // Guards against leadership that is judged by the state service alone.
+    // Whether a leader is able to lead is not judged by its access to the state service alone.
     @Test
     void aLeaderCutFromTheWorkersHandsOver() {
-        ClusterSimulation simulation = withServices();
+        ClusterSimulation simulation = clusterWithServices();
         int leader = simulation.leader();
         List<String> machines = simulation.agents().machineIds();
         machines.forEach(machine -> simulation.network().partition(Hosts.controller(leader), machine));
         simulation.runUntil(simulation.now() + 30_000);
-        assertTrue(simulation.hasLeader() && simulation.leader() != leader, "another node leads");
+        assertTrue(simulation.hasLeader() && simulation.leader() != leader, "another controller leads");
         machines.forEach(machine -> simulation.network().heal(Hosts.controller(leader), machine));
         simulation.runUntil(simulation.now() + 30_000);
         assertNothingRestarted(simulation);
     }
 
-    // Guards a part of the workers: their leases count as much as a takeover of a second.
+    // The leases of a few agents count more than a takeover of a second.
     @Test
     void aLeaderCutFromAPartOfTheWorkersHandsOver() {
-        ClusterSimulation simulation = withServices();
+        ClusterSimulation simulation = clusterWithServices();
         int leader = simulation.leader();
         String machine = simulation.agents().machineIds().get(0);
         simulation.network().partition(Hosts.controller(leader), machine);
         simulation.runUntil(simulation.now() + 30_000);
-        assertTrue(simulation.hasLeader() && simulation.leader() != leader, "another node leads");
+        assertTrue(simulation.hasLeader() && simulation.leader() != leader, "another controller leads");
         assertNothingRestarted(simulation);
     }
 
     @Test
     void aLeaderCutFromAllButItsWorkersStopsAnsweringThem() {
-        ClusterSimulation simulation = withServices();
+        ClusterSimulation simulation = clusterWithServices();
         int leader = simulation.leader();
         for (String other : List.of(Hosts.controller(0), Hosts.controller(1), Hosts.controller(2), Hosts.STORE)) {
             simulation.network().partition(Hosts.controller(leader), other);
         }
         simulation.runUntil(simulation.now() + 30_000);
-        assertTrue(simulation.hasLeader() && simulation.leader() != leader, "another node leads");
+        assertTrue(simulation.hasLeader() && simulation.leader() != leader, "another controller leads");
         assertNothingRestarted(simulation);
     }
 
-    // Guards unaccounted tasks: a machine that is silent to the successor may be answered by the former leader for
-    // longer than the window lasts, and its tasks run on.
+    // Unaccounted tasks: a machine that is silent to the new leader may get responses from the former one for
+    // longer than the recovery window lasts, and its tasks run on.
     @Test
     void tasksThatOnlyTheFormerLeaderReachesRunNowhereElse() {
-        ClusterSimulation simulation = withServices();
+        ClusterSimulation simulation = clusterWithServices();
         int leader = simulation.leader();
         String machine = simulation.agents().machineIds().get(0);
         for (String other : List.of(Hosts.controller(0), Hosts.controller(1), Hosts.controller(2))) {
@@ -145,32 +125,32 @@
             }
         }
         simulation.network().partition(Hosts.controller(leader), Hosts.STORE);
-        // No other machine may show the former leader the new token.
+        // No other machine may show the new token to the former leader.
         simulation.agents().machineIds().stream()
                 .filter(other -> !other.equals(machine))
                 .forEach(other -> simulation.network().partition(Hosts.controller(leader), other));
         simulation.runUntil(simulation.now() + 90_000);
         assertEquals(List.of(), simulation.invariants().violations());
-        assertEquals(SERVICES * 2, simulation.invariants().runningTasks().size(), "placed again after the hold");
+        assertEquals(REPLICAS, simulation.invariants().runningTasks().size(), "placed again after the hold");
     }
 
-    // Guards against a leader that takes machines which hear nobody for its own fault, and against renting anew
-    // for them without bound: half of them hear nothing for several leases, while all their reports arrive.
+    // The leader must not take machines that receive nothing for a fault of its own, nor rent others
+    // for them without bound: half of them receive nothing for several leases, while their heartbeats arrive.
     @Test
     void machinesThatHearNothingDeposeNobodyAndAreNotReplacedForEver() {
-        ClusterSimulation simulation = withServices();
+        ClusterSimulation simulation = clusterWithServices();
         int leader = simulation.leader();
         int before = simulation.agents().machineIds().size();
-        List<String> deaf = simulation.agents().machineIds().subList(0, (before + 1) / 2);
-        deaf.forEach(machine -> simulation.network().setInboundBlocked(machine, true));
-        int most = before;
+        List<String> blocked = simulation.agents().machineIds().subList(0, (before + 1) / 2);
+        blocked.forEach(machine -> simulation.network().setInboundBlocked(machine, true));
+        int maxMachines = before;
         for (int second = 0; second < 90; second++) {
             if (second == 40) {
-                // By now their leases are over, and they look empty.
-                simulation.users().submitUntilAccepted(FailureTest.job("j-000090", "blue", "daemon", 2, 2, 0));
+                // By now their leases have expired, and they look empty.
+                simulation.users().submitUntilAccepted(JobRequests.service("j-000090", "blue", 2, 2));
             }
             simulation.runUntil(simulation.now() + 1_000);
-            most = Math.max(most, simulation.agents().machineIds().size());
+            maxMachines = Math.max(maxMachines, simulation.agents().machineIds().size());
             if (second == 60) {
                 assertTrue(
                         simulation.invariants().runningTasks().contains("j-000090/0"),
@@ -178,47 +158,47 @@
             }
         }
         assertEquals(leader, simulation.leader(), "the leader stays");
-        assertTrue(most <= 2 * before + 1, most + " machines where " + before + " do");
-        deaf.forEach(machine -> simulation.network().setInboundBlocked(machine, false));
+        assertTrue(maxMachines <= 2 * before + 1, maxMachines + " machines where " + before + " do");
+        blocked.forEach(machine -> simulation.network().setInboundBlocked(machine, false));
         simulation.runUntil(simulation.now() + 40_000);
         assertEquals(List.of(), simulation.invariants().violations());
         assertEquals(List.of(), simulation.invariants().missingReplicas());
     }
 
-    // Guards the word of a former process: its hold still stands, and the others may not have noticed.
+    // The lease of the former process is still valid, and the other controllers may not have noticed.
     @Test
     void aLeaderThatIsBackAtOnceRestartsNothing() {
         for (long downMs : List.of(50L, 200L, 600L)) {
-            ClusterSimulation simulation = withServices();
+            ClusterSimulation simulation = clusterWithServices();
             int leader = simulation.leader();
             simulation.crash(leader);
             simulation.runUntil(simulation.now() + downMs);
             simulation.start(leader);
             simulation.runUntil(simulation.now() + 8_000);
-            assertTrue(simulation.hasLeader(), "somebody leads again");
+            assertTrue(simulation.hasLeader(), "there is a leader again");
             simulation.runUntil(simulation.now() + 60_000);
             assertNothingRestarted(simulation);
         }
     }
 
-    // Guards against a machine that is back before its silence shows: its new worker counts from the start or
-    // from the next session, and what ran there is gone.
+    // A machine is back before its silence shows: its new agent counts its epochs from the first or
+    // from the next one, and what ran there is gone.
     @Test
     void aMachineThatIsBackAtOnceRunsItsReplicasAgain() {
-        for (boolean counting : List.of(true, false)) {
-            ClusterSimulation simulation = withServices();
+        for (boolean epochKept : List.of(true, false)) {
+            ClusterSimulation simulation = clusterWithServices();
             String machine = simulation.agents().machineIds().get(0);
-            simulation.agents().reboot(machine, counting);
+            simulation.agents().reboot(machine, epochKept);
             simulation.runUntil(simulation.now() + 15_000);
             assertEquals(List.of(), simulation.invariants().violations());
             assertEquals(List.of(), simulation.invariants().missingReplicas(), "long before a hold would have ended");
         }
     }
 
-    // Guards the hold: late copies of a lost machine's reports must not show it as alive.
+    // Late duplicates of a lost machine's heartbeats must not show it as alive.
     @Test
     void lateCopiesDoNotHoldALostMachinesReplicas() {
-        ClusterSimulation simulation = withServices();
+        ClusterSimulation simulation = clusterWithServices();
         simulation.network().duplicateMessageShare(1);
         simulation.runUntil(simulation.now() + 30_000);
         String machine = simulation.agents().machineIds().get(0);
@@ -228,15 +208,15 @@
         assertEquals(List.of(), simulation.invariants().missingReplicas(), "placed again when the hold has ended");
     }
 
-    // Guards the gather window: to a new leader a late copy looks like a machine's first word, and hides what
-    // was started since. The machine itself is cut off for less than its lease, so all of that runs on.
+    // To a new leader a late duplicate looks like a machine's first heartbeat in the recovery window, and hides what
+    // was started since. The machine itself is partitioned for less than its lease, so all of that runs on.
     @Test
     void lateCopiesDoNotSpeakForAMachineToANewLeader() {
-        ClusterSimulation simulation = withServices();
+        ClusterSimulation simulation = clusterWithServices();
         simulation.network().duplicateMessageShare(1);
         simulation.runUntil(simulation.now() + 20_000);
         for (int i = 0; i < 6; i++) {
-            ObjectNode spec = FailureTest.job("j-00005" + i, "blue", "array", 4, 2, 60);
+            ObjectNode spec = JobRequests.array(JobRequests.id(50 + i), "blue", 4, 2, 60);
             simulation.users().submitUntilAccepted(spec);
         }
         simulation.runUntil(simulation.now() + 20_000);
@@ -251,10 +231,10 @@
         assertEquals(List.of(), simulation.invariants().violations());
     }
 
-    // Guards cancellations that the leader can't hear of: it answers its workers for the grace at the most.
+    // Cancellations that can't reach the leader: it responds to its agents for the grace at the most.
     @Test
     void aJobThatIsCancelledBehindACutOffLeadersBackEndsInTime() {
-        ClusterSimulation simulation = withServices();
+        ClusterSimulation simulation = clusterWithServices();
         int leader = simulation.leader();
         for (String other : List.of(Hosts.controller(0), Hosts.controller(1), Hosts.controller(2), Hosts.STORE)) {
             simulation.network().partition(Hosts.controller(leader), other);
@@ -271,11 +251,11 @@
         assertTrue(simulation.invariants().runningTasks().stream().noneMatch(task -> task.startsWith("j-000001/")));
     }
 
-    // Guards jobs that a leader hears of in no ordinary way: the notice is lost with a cut between controllers,
-    // and the changes are gone from the state service before the leader can follow again.
+    // Jobs that the leader learns of in no ordinary way: the notice is lost with a partition between controllers,
+    // and the changes are gone from the state service before the leader can watch again.
     @Test
     void aJobThatNeitherNoticeNorFollowToldOfRuns() {
-        ClusterSimulation simulation = withServices();
+        ClusterSimulation simulation = clusterWithServices();
         int leader = simulation.leader();
         for (int i = 0; i < 3; i++) {
             if (i != leader) {
@@ -283,7 +263,7 @@
             }
         }
         simulation.store().abortWatches();
-        ObjectNode spec = FailureTest.job("j-000077", "blue", "array", 3, 2, 5);
+        ObjectNode spec = JobRequests.array("j-000077", "blue", 3, 2, 5);
         int[] status = new int[1];
         simulation
                 .users()
@@ -298,32 +278,32 @@
 
     @Test
     void aDeadMachinesReplicasMoveOnce() {
-        ClusterSimulation simulation = withServices();
+        ClusterSimulation simulation = clusterWithServices();
         String machine = simulation.agents().machineIds().get(0);
         simulation.cloud().fail(machine, simulation.now());
         simulation.runUntil(simulation.now() + 60_000);
         assertEquals(List.of(), simulation.invariants().violations());
-        assertEquals(SERVICES * 2, simulation.invariants().runningTasks().size());
+        assertEquals(REPLICAS, simulation.invariants().runningTasks().size());
     }
 
     @Test
     void withoutTheStateServiceUsersAreToldAtOnce() {
-        ClusterSimulation simulation = withServices();
+        ClusterSimulation simulation = clusterWithServices();
         simulation.store().setOutage(true);
         simulation.runUntil(simulation.now() + 2_000);
-        long asked = simulation.now();
+        long sentAt = simulation.now();
         long[] answeredAt = new long[1];
         int[] status = new int[1];
         simulation.users().sendRequest(0, "GET", "/submissions/j-000001", reply -> {
             answeredAt[0] = simulation.now();
             status[0] = reply.status();
         });
-        simulation.runUntil(asked + 1_000);
+        simulation.runUntil(sentAt + 1_000);
         assertEquals(503, status[0]);
-        assertTrue(answeredAt[0] - asked < 10, "at once");
+        assertTrue(answeredAt[0] - sentAt < 10, "at once");
     }
 
-    // Guards against a node that counts as unable because its users are quiet.
+    // A controller must not count as unable because it has no requests.
     @Test
     void aQuietNodeIsReady() {
         ClusterSimulation simulation = new ClusterSimulation(7, 3);
@@ -338,8 +318,8 @@
 
     @Test
     void badInputIsAnsweredAsTheProtocolSays() {
-        ClusterSimulation simulation = withServices();
-        ObjectNode good = FailureTest.job("j-000100", "blue", "array", 2, 2, 5);
+        ClusterSimulation simulation = clusterWithServices();
+        ObjectNode good = JobRequests.array("j-000100", "blue", 2, 2, 5);
         assertEquals(
                 400, status(simulation, "POST", "/submissions", Json.object().put("id", "j-000101")));
         assertEquals(
@@ -356,9 +336,7 @@
                 422, status(simulation, "POST", "/submissions", good.deepCopy().put("crew", "nobody")));
         assertEquals(
                 422, status(simulation, "POST", "/submissions", good.deepCopy().put("cpus", 99.0)));
-        assertEquals(
-                422,
-                status(simulation, "POST", "/submissions", FailureTest.job("j-000102", "red", "daemon", 30, 2, 0)));
+        assertEquals(422, status(simulation, "POST", "/submissions", JobRequests.service("j-000102", "red", 30, 2)));
         assertEquals(404, status(simulation, "GET", "/submissions/j-999999"));
         assertEquals(404, status(simulation, "GET", "/nothing"));
         assertEquals(405, status(simulation, "DELETE", "/submissions"));
--- a/src/test/java/io/quartzgw/app/package-info.java
+++ b/src/test/java/io/quartzgw/app/package-info.java
@@ -1,2 +1,5 @@
-/** Tests of whole controllers in the simulated world and over loopback. */
+/**
+ * Tests of whole controllers: in a simulated cluster with faults, where seeds decide what happens, and over HTTP on the
+ * loopback interface in real time.
+ */
 package io.quartzgw.app;
--- a/src/test/java/io/quartzgw/simulation/ClassArchive.java
+++ b/src/test/java/io/quartzgw/simulation/ClassArchive.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Run by the build: makes the class-data archive from one real node that serves a little work against the stand-ins on
- * loopback. A node that starts from the archive is up in a fraction of the time.
+ * Run by the build: makes the class-data archive from one process of the program that serves a few jobs with simulated
+ * services on loopback. A process that starts from the archive is up in a fraction of the time.
  */
 public final class ClassArchive {
     private static final long LIMIT_MS = 20_000;
@@ -35,17 +35,17 @@
                     .redirectErrorStream(true)
                     .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                     .start();
-            work(cluster);
+            runJobs(cluster);
             process.destroy();
             if (!process.waitFor(LIMIT_MS, TimeUnit.MILLISECONDS)) {
                 process.destroyForcibly();
             }
         }
-        // The stand-ins' HTTP threads may be waiting for an answer for good.
+        // HTTP threads of the simulated services may wait for a reply for ever.
         System.exit(0);
     }
 
-    private static void work(LoopbackCluster cluster) {
+    private static void runJobs(LoopbackCluster cluster) {
         long end = System.currentTimeMillis() + LIMIT_MS;
         ObjectNode spec = Json.object()
                 .put("id", "j-000001")
@@ -68,8 +68,8 @@
         while (cluster.submit(0, spec).status() / 100 != 2 && System.currentTimeMillis() < end) {
             LoopbackCluster.pause(200);
         }
-        cluster.request(0, "GET", "/ready", null);
-        while (!cluster.request(0, "GET", "/submissions/j-000001", null)
+        cluster.request(0, "GET", "/ready");
+        while (!cluster.request(0, "GET", "/submissions/j-000001")
                         .json()
                         .path("phase")
                         .asText()
--- a/src/test/java/io/quartzgw/simulation/LoopbackCluster.java
+++ b/src/test/java/io/quartzgw/simulation/LoopbackCluster.java
@@ -28,9 +28,12 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** The stand-ins over real HTTP on loopback, in real time, for whole processes of the program. */
+/**
+ * The simulated state service, cloud and agents over HTTP on the loopback interface and in real time, for whole
+ * processes of the program.
+ */
 public final class LoopbackCluster implements AutoCloseable {
-    private static final long REPORT_MS = 1_000;
+    private static final long HEARTBEAT_MS = 1_000;
     private static final long LEASE_MS = 8_000;
 
     private final SimulatedStore store = new SimulatedStore();
@@ -43,24 +46,24 @@
             .executor(threads)
             .build();
     private final Map<String, JsonNode> jobs = new ConcurrentHashMap<>();
-    private final Map<String, HttpServer> workerServers = new HashMap<>();
-    private final Map<String, SimulatedAgent> workers = new ConcurrentHashMap<>();
+    private final Map<String, HttpServer> agentServers = new HashMap<>();
+    private final Map<String, SimulatedAgent> agents = new ConcurrentHashMap<>();
     private final HttpServer storeServer;
     private final HttpServer cloudServer;
     private final int[] clientPorts;
     private final int[] peerPorts;
 
     private interface Handler {
-        void handle(Call call, long now, Consumer<Reply> then);
+        void handle(Call call, long now, Consumer<Reply> onReply);
     }
 
-    /** Starts the stand-ins and so many controllers on loopback. */
-    public LoopbackCluster(int nodes) throws IOException {
-        storeServer = serve((call, now, then) -> store.handle(call, now, then));
-        cloudServer = serve((call, now, then) -> cloud.handle(call, now, then));
-        clientPorts = freePorts(nodes);
-        peerPorts = freePorts(nodes);
-        cloud.onMachineChange(this::boot, workers::remove);
+    /** Starts the simulated services, and reserves the ports of a number of controllers. */
+    public LoopbackCluster(int controllers) throws IOException {
+        storeServer = serve((call, now, onReply) -> store.handle(call, now, onReply));
+        cloudServer = serve((call, now, onReply) -> cloud.handle(call, now, onReply));
+        clientPorts = freePorts(controllers);
+        peerPorts = freePorts(controllers);
+        cloud.onMachineChange(this::boot, agents::remove);
         clock.scheduleAtFixedRate(this::tick, 20, 20, TimeUnit.MILLISECONDS);
     }
 
@@ -111,22 +114,22 @@
     private synchronized void tick() {
         store.advanceTo(now());
         cloud.advanceTo(now());
-        workers.values().forEach(worker -> worker.advanceTo(now()));
+        agents.values().forEach(agent -> agent.advanceTo(now()));
     }
 
-    // ---- workers
+    // ---- agents
 
     private synchronized String addressOf(String id) {
         return "127.0.0.1:"
-                + workerServers
+                + agentServers
                         .computeIfAbsent(id, key -> {
                             try {
-                                return serve((call, now, then) -> {
-                                    SimulatedAgent worker = workers.get(id);
-                                    then.accept(
-                                            worker == null
+                                return serve((call, now, onReply) -> {
+                                    SimulatedAgent agent = agents.get(id);
+                                    onReply.accept(
+                                            agent == null
                                                     ? new Reply(503, new byte[0])
-                                                    : worker.receiveCommands(Json.readOrNull(call.body()), now));
+                                                    : agent.receiveCommands(Json.readOrNull(call.body()), now));
                                 });
                             } catch (IOException e) {
                                 throw new IllegalStateException(e);
@@ -137,21 +140,13 @@
     }
 
     private void boot(String id, String type, String zone, boolean spot) {
-        SimulatedAgent worker = new SimulatedAgent(
-                id,
-                addressOf(id),
-                type,
-                zone,
-                spot,
-                LEASE_MS,
-                now(),
-                this::description,
-                new SimulatedAgent.Watcher() {});
-        workers.put(id, worker);
-        threads.execute(() -> reportForever(worker));
+        SimulatedAgent agent = new SimulatedAgent(
+                id, addressOf(id), type, zone, spot, LEASE_MS, now(), this::describe, new SimulatedAgent.Watcher() {});
+        agents.put(id, agent);
+        threads.execute(() -> sendHeartbeats(agent));
     }
 
-    private SimulatedAgent.Description description(String job) {
+    private SimulatedAgent.Description describe(String job) {
         JsonNode spec = jobs.get(job);
         return spec == null
                 ? null
@@ -164,17 +159,17 @@
                         false);
     }
 
-    private void reportForever(SimulatedAgent worker) {
+    private void sendHeartbeats(SimulatedAgent agent) {
         int home = 0;
-        while (workers.get(worker.id) == worker) {
+        while (agents.get(agent.id) == agent) {
             long sentAt = now();
-            JsonNode report;
-            long session;
+            JsonNode heartbeat;
+            long epoch;
             synchronized (this) {
-                report = worker.heartbeat(now());
-                session = worker.epoch();
+                heartbeat = agent.heartbeat(now());
+                epoch = agent.epoch();
             }
-            Reply reply = request(home, "POST", "/hello", report);
+            Reply reply = request(home, "POST", "/hello", heartbeat);
             if (reply.status() == 421 && reply.json().has("home_controller")) {
                 home = Integer.parseInt(
                         reply.json().path("home_controller").asText().substring(4));
@@ -182,13 +177,13 @@
                 home = (home + 1) % clientPorts.length;
             }
             synchronized (this) {
-                worker.receiveHeartbeatResponse(reply, session, sentAt, now());
+                agent.receiveHeartbeatResponse(reply, epoch, sentAt, now());
             }
-            pause(REPORT_MS);
+            pause(HEARTBEAT_MS);
         }
     }
 
-    /** Waits for so long. */
+    /** Waits for a duration of real time. */
     public static void pause(long ms) {
         try {
             Thread.sleep(ms);
@@ -199,21 +194,26 @@
 
     // ---- users
 
-    /** A request to a node; lost when the node does not answer. */
-    public Reply request(int node, String method, String path, JsonNode body) {
-        HttpRequest.BodyPublisher publisher = body == null
-                ? HttpRequest.BodyPublishers.noBody()
-                : HttpRequest.BodyPublishers.ofByteArray(Json.write(body));
-        return raw(node, method, path, publisher);
+    /**
+     * Sends a request without a body to a controller's client listener; its reply is lost when there is none in time.
+     */
+    public Reply request(int controller, String method, String path) {
+        return raw(controller, method, path, HttpRequest.BodyPublishers.noBody());
     }
 
-    public Reply raw(int node, String method, String path, HttpRequest.BodyPublisher body) {
-        return exchange(clientPorts[node], method, path, body);
+    /** Sends a request with a JSON body to a controller's client listener. */
+    public Reply request(int controller, String method, String path, JsonNode body) {
+        return raw(controller, method, path, HttpRequest.BodyPublishers.ofByteArray(Json.write(body)));
     }
 
-    /** The port of a node's client listener. */
-    public int clientPort(int node) {
-        return clientPorts[node];
+    /** Sends a request with any body to a controller's client listener. */
+    public Reply raw(int controller, String method, String path, HttpRequest.BodyPublisher body) {
+        return exchange(clientPorts[controller], method, path, body);
+    }
+
+    /** The port of a controller's client listener. */
+    public int clientPort(int controller) {
+        return clientPorts[controller];
     }
 
     /** Begins or ends an outage of the state service. */
@@ -221,9 +221,9 @@
         store.setOutage(on);
     }
 
-    /** Asks a node's peer listener, which answers operators too. */
-    public Reply peer(int node, String path) {
-        return exchange(peerPorts[node], "GET", path, HttpRequest.BodyPublishers.noBody());
+    /** Reads from a controller's peer listener, which serves operators too. */
+    public Reply peer(int controller, String path) {
+        return exchange(peerPorts[controller], "GET", path, HttpRequest.BodyPublishers.noBody());
     }
 
     private Reply exchange(int port, String method, String path, HttpRequest.BodyPublisher body) {
@@ -242,28 +242,28 @@
         }
     }
 
-    /** Submits a job whose description workers can read from then on. */
-    public Reply submit(int node, JsonNode spec) {
+    /** Submits a job; agents can run its tasks from then on. */
+    public Reply submit(int controller, JsonNode spec) {
         jobs.put(spec.path("id").asText(), spec);
-        return request(node, "POST", "/submissions", spec);
+        return request(controller, "POST", "/submissions", spec);
     }
 
     // ---- settings
 
-    /** Writes a node's settings file. */
-    public Path settings(int node, Path folder) throws IOException {
+    /** Writes the settings file of a controller. */
+    public Path settings(int controller, Path folder) throws IOException {
         StringBuilder toml = new StringBuilder();
         toml.append("member = \"rig-")
-                .append(node)
+                .append(controller)
                 .append("\"\nsite = \"a\"\n")
                 .append("client_listen = \"127.0.0.1:")
-                .append(clientPorts[node])
+                .append(clientPorts[controller])
                 .append("\"\n")
                 .append("peer_listen = \"127.0.0.1:")
-                .append(peerPorts[node])
+                .append(peerPorts[controller])
                 .append("\"\n");
         for (int i = 0; i < clientPorts.length; i++) {
-            if (i != node) {
+            if (i != controller) {
                 toml.append("[[known]]\nmember = \"rig-")
                         .append(i)
                         .append("\"\nsite = \"a\"\nendpoint = \"127.0.0.1:")
@@ -283,19 +283,19 @@
                 .append("[facts.workers]\nreport_s = 0.4\nlease_s = 8.0\ncancel_s = 20.0\n")
                 .append("[facts.state]\nrps = 600.0\nwrite_rps = 300.0\nvalue_kb = 8.0\ntxn_ops = 16\n")
                 .append("[facts.cloud]\nrps = 20.0\nlist_lag_s = 0.5\n[facts.limits]\nsockets = 200\n");
-        Path file = folder.resolve("rig-" + node + ".toml");
+        Path file = folder.resolve("rig-" + controller + ".toml");
         Files.writeString(file, toml);
         return file;
     }
 
     @Override
     public void close() {
-        workers.clear();
+        agents.clear();
         clock.shutdownNow();
         storeServer.stop(0);
         cloudServer.stop(0);
         synchronized (this) {
-            workerServers.values().forEach(server -> server.stop(0));
+            agentServers.values().forEach(server -> server.stop(0));
         }
         threads.shutdownNow();
     }
