--- a/src/test/java/io/quartzgw/app/CancellationTest.java
+++ b/src/test/java/io/quartzgw/app/CancellationTest.java
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void anotherControllerTellsTheUserAndThenNobodyReachesTheStateService() {
+    void cancellationByAFollowerBeforeAnOutageStopsTheTasks() {
         ClusterSimulation simulation = cancelBeforeOutage(
                 2_000, (cluster, leader) -> cluster.users().cancelJob(other(leader, 1), JOB, userReplies::add));
         assertCancelledThroughOutage(simulation, simulation.leader());
@@ -80,7 +80,7 @@
     // Times around the lease, the grace and the cancellation limit, machines that hang or receive nothing, messages
     // between controllers that are duplicated, and two timings: cancellation limit less lease is 20 and 30 s.
     @Test
-    void neighboursOfTheGap() {
+    void cancellationAtRandomTimesAroundRejectionAndOutageStopsTheTasks() {
         List<AgentTiming> timings =
                 List.of(new AgentTiming(2_500, 16_000, 36_000), new AgentTiming(2_500, 18_000, 48_000));
         SplittableRandom random = new SplittableRandom(4);
@@ -145,7 +145,7 @@
 
     // Responses that arrive after their timeout: to the cancellation, to the leader's renewals, to its watch.
     @Test
-    void theStateServiceAnswersSlowlyThenRefusesTheLeaderThenEverybody() {
+    void cancellationWithASlowStoreThatThenRejectsTheLeaderStopsTheTasks() {
         for (long maxDelayMs : List.of(1_000L, 2_500L, 5_000L)) {
             userReplies.clear();
             ClusterSimulation simulation = clusterWithServices();
@@ -179,7 +179,7 @@
     // The transaction was carried out, its response got lost, and the user is told of the end by
     // another controller, in the response to a repeated cancellation, a query, or a repeated submission.
     @Test
-    void theAnswerToTheAbortIsLostAndAnotherAnswerTellsTheUser() {
+    void cancellationToldByAnotherResponseThanTheLostOneStopsTheTasks() {
         List<BiConsumer<ClusterSimulation, Integer>> requests = List.of(
                 (cluster, controller) -> cluster.users().cancelJob(controller, JOB, userReplies::add),
                 (cluster, controller) -> cluster.users().queryJob(controller, JOB, userReplies::add),
@@ -204,7 +204,7 @@
 
     // What a process told between its last response to a peer and its crash, also where a second restart follows.
     @Test
-    void theControllerThatToldTheUserIsRestartedOnceOrTwice() {
+    void cancellationToldByAControllerThatRestartsStopsTheTasks() {
         for (int restarts = 1; restarts <= 2; restarts++) {
             userReplies.clear();
             ClusterSimulation simulation = cancelBeforeOutage(2_000, (cluster, leader) -> {
@@ -232,7 +232,7 @@
     // The leader is partitioned from the controller that told the user for longer than the grace, and connected again
     // just before its agents' leases would expire.
     @Test
-    void theLeaderHearsTheTellerAgainOnlyAfterItsGrace() {
+    void cancellationThatReachesTheLeaderAfterItsGraceStopsTheTasks() {
         for (long silentMs = 28_000; silentMs <= 30_400; silentMs += 200) {
             userReplies.clear();
             long cutMs = silentMs;
@@ -253,7 +253,7 @@
 
     // A new leader that can't read the state service renews leases without knowing which jobs are open.
     @Test
-    void aNewLeaderIsElectedAndTheOutageKeepsItFromReading() {
+    void cancellationUnknownToANewLeaderInAnOutageStopsTheTasks() {
         for (long seed = 5; seed < 13; seed++) {
             userReplies.clear();
             ClusterSimulation simulation = clusterWithServices(seed);
@@ -280,7 +280,7 @@
 
     // Several leaders in turn, none of which reads the state service: each renews leases with its first responses.
     @Test
-    void leadersFollowEachOtherWithoutReadingAnything() {
+    void cancellationUnknownToSeveralLeadersInTurnStopsTheTasks() {
         ClusterSimulation simulation = clusterWithServices();
         int first = simulation.leader();
         simulation.crash(first);
@@ -306,7 +306,7 @@
 
     // The notice of a submission is delayed and arrives after that of the cancellation, while watches are paused.
     @Test
-    void anAcceptanceThatComesAfterTheCancellationStartsNothing() {
+    void submissionNoticeThatArrivesAfterTheCancellationStartsNothing() {
         for (long seed = 5; seed < 13; seed++) {
             userReplies.clear();
             ClusterSimulation simulation = clusterWithServices(seed);
--- a/src/test/java/io/quartzgw/app/ConcurrentFaultsTest.java
+++ b/src/test/java/io/quartzgw/app/ConcurrentFaultsTest.java
@@ -20,7 +20,7 @@
 class ConcurrentFaultsTest {
     // The leader must keep up with the rate of jobs: each costs an acceptance, a start, an end and queries.
     @Test
-    void oneTaskJobsFourASecondWithAQuarterCancelled() {
+    void fourOneTaskJobsASecondEndThroughALeaderCrash() {
         ClusterSimulation simulation = clusterWithServices();
         List<String> jobs = new ArrayList<>();
         for (int i = 0; i < 240; i++) {
@@ -46,7 +46,7 @@
     // Responses must not become older: every controller is queried about a job within milliseconds, while its
     // submission is repeated and some users cancel.
     @Test
-    void usersAskAllControllersWithinMillisecondsOfEachChange() {
+    void queriesAtAllControllersNeverReturnAnOlderState() {
         ClusterSimulation simulation = clusterWithServices();
         List<String> jobs = submitArrays(simulation, 9, 2, 3, "blue");
         for (int step = 0; step < 900; step++) {
@@ -72,7 +72,7 @@
 
     // Cancellations between two leaders: neither may start or keep the tasks of cancelled jobs.
     @Test
-    void jobsAreCancelledAsWorkChangesHands() {
+    void jobsCancelledDuringALeaderChangeAreStopped() {
         for (long crashAfterMs : List.of(-400L, -50L, 0L, 100L, 700L, 2_000L)) {
             ClusterSimulation simulation = clusterWithServices();
             List<String> jobs = submitArrays(simulation, 8, 4, 30, "red");
@@ -88,7 +88,7 @@
 
     // Other controllers read what a transaction wrote whose response got lost.
     @Test
-    void answersOfTransactionsAreLostWhileOthersReadWhatTheyWrote() {
+    void jobsEndWhileTransactionResponsesAreLost() {
         ClusterSimulation simulation = clusterWithServices();
         simulation.network().loseTransactionResponses(0.4);
         List<String> jobs = submitArrays(simulation, 10, 3, 5, "blue");
@@ -112,7 +112,7 @@
 
     // The fencing of agents: a command of a leader that crashed or was deposed arrives after its successor's.
     @Test
-    void ordersOfAFormerLeaderArriveAfterItsSuccessors() {
+    void commandsOfAFormerLeaderThatArriveLateAreFenced() {
         for (boolean crashes : List.of(true, false)) {
             ClusterSimulation simulation = clusterWithServices();
             List<String> jobs = submitArrays(simulation, 8, 4, 15, "red");
@@ -135,7 +135,7 @@
 
     // All quotas at once: tasks of cancelled jobs on unreachable machines count until they are surely stopped.
     @Test
-    void everyTeamIsAtItsLimitWhileJobsAreCancelledOnMachinesThatAreCutOffOrHang() {
+    void quotasHoldWhileJobsAreCancelledOnPartitionedOrHangingMachines() {
         for (long hangMs : List.of(0L, 10_000L)) {
             ClusterSimulation simulation = clusterWithServices();
             List<String> jobs = new ArrayList<>(submitArrays(simulation, 4, 6, 25, "green"));
@@ -160,7 +160,7 @@
 
     // Duplicates of heartbeats from before a term reach every controller just as the term begins.
     @Test
-    void copiesOfOldReportsReachEveryControllerAtATakeover() {
+    void jobsAreDoneWhileOldHeartbeatsArriveAtNewLeaders() {
         ClusterSimulation simulation = clusterWithServices();
         List<String> jobs = submitArrays(simulation, 6, 4, 12, "red");
         simulation.network().duplicateMessageShare(0.8);
@@ -178,7 +178,7 @@
     // New machines get tasks at once: both are written before, also where the store is slow and
     // the leader crashes in between.
     @Test
-    void newMachinesGetWorkAtOnceWhileWritesLagAndTheLeaderEnds() {
+    void jobsAreDoneWhenTheLeaderCrashesWithASlowStoreAndNewMachines() {
         for (long crashAfterMs : List.of(500L, 1_500L, 3_000L)) {
             ClusterSimulation simulation = clusterWithServices();
             simulation.network().delayStoreUpTo(900);
--- a/src/test/java/io/quartzgw/app/DelayedCommandsTest.java
+++ b/src/test/java/io/quartzgw/app/DelayedCommandsTest.java
@@ -48,20 +48,20 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {11, 306, 318, 415, 440, 476, 491, 492})
-    void seedsThatOnceBrokeARuleKeepIt(long seed) {
+    void invariantsHoldForSeedsThatOnceViolatedThem(long seed) {
         run(seed, false);
     }
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void rulesHoldWhileEveryDirectOrderIsLate(long seed) {
+    void invariantsHoldWhileEveryDirectCommandIsDelayed(long seed) {
         run(seed, false);
     }
 
     /** Commands may reach an agent that has replaced the one they were sent to. */
     @ParameterizedTest
     @MethodSource("seeds")
-    void rulesHoldWhileMachinesAreAlsoBackAtOnce(long seed) {
+    void invariantsHoldWhileMachinesAlsoReboot(long seed) {
         run(seed, true);
     }
 
--- a/src/test/java/io/quartzgw/app/EndToEndTest.java
+++ b/src/test/java/io/quartzgw/app/EndToEndTest.java
@@ -19,7 +19,7 @@
 
     @Test
     @Timeout(120)
-    void jobsRunThroughTheLossOfANode(@TempDir Path folder) throws Exception {
+    void jobsRunThroughTheLossOfAController(@TempDir Path folder) throws Exception {
         try (LoopbackCluster cluster = new LoopbackCluster(3)) {
             ControllerProcess[] controllers = new ControllerProcess[3];
             for (int i = 0; i < 3; i++) {
--- a/src/test/java/io/quartzgw/app/FailureTest.java
+++ b/src/test/java/io/quartzgw/app/FailureTest.java
@@ -23,7 +23,7 @@
     private static final long LONG_END = 560_000;
 
     @Test
-    void aQuietDayEndsWithEveryArrayDone() {
+    void everyArrayEndsWithoutFaults() {
         ClusterSimulation simulation = new ClusterSimulation(1, 3);
         List<String> arrays = RandomLoads.scheduleMixedJobs(simulation, new SplittableRandom(1));
         simulation.runChecked(END);
@@ -45,13 +45,13 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {26, 298, 392, 422, 429, 430, 466, 553, 563, 10_090, 10_389, 20_317, 20_676, 310_494})
-    void worldsThatOnceBrokeARuleKeepIt(long seed) {
-        rulesHoldThroughRandomFailures(seed);
+    void invariantsHoldForSeedsThatOnceViolatedThem(long seed) {
+        invariantsHoldThroughSingleFaults(seed);
     }
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void rulesHoldThroughRandomFailures(long seed) {
+    void invariantsHoldThroughSingleFaults(long seed) {
         ClusterSimulation simulation = new ClusterSimulation(seed, 3);
         List<String> arrays = runSingleFailures(simulation, seed);
         assertHealthy(simulation);
@@ -81,7 +81,7 @@
 
     @ParameterizedTest
     @MethodSource("concurrentSeeds")
-    void rulesHoldUnderConcurrentFaults(long seed) {
+    void invariantsHoldUnderConcurrentFaults(long seed) {
         ClusterSimulation simulation = new ClusterSimulation(seed, 3);
         List<String> arrays = runConcurrentFaults(simulation, seed);
         assertHealthy(simulation);
--- a/src/test/java/io/quartzgw/app/FiveControllersTest.java
+++ b/src/test/java/io/quartzgw/app/FiveControllersTest.java
@@ -62,7 +62,7 @@
 
     // All controllers share the limit of changes, and the jobs have to be done within it.
     @Test
-    void aSmallStateServiceRefusesNothingAndAllIsDone() {
+    void storeWithLowLimitsRejectsNothingAndAllJobsAreDone() {
         ClusterSimulation simulation = clusterWithLimits(1);
         List<String> arrays = load(simulation, 200, 2, 20);
         simulation.runChecked(120_000);
@@ -74,7 +74,7 @@
     // the leader crashes.
     @ParameterizedTest
     @ValueSource(ints = {1, 2})
-    void allGoesOnWithControllersAway(int count) {
+    void jobsAreDoneWithControllersDown(int count) {
         ClusterSimulation simulation = clusterWithLimits(10 + count);
         List<String> arrays = runUnderLoad(simulation);
         for (int i = 0; i < count; i++) {
@@ -89,7 +89,7 @@
     // The same with controllers that run and can reach no other host.
     @ParameterizedTest
     @ValueSource(ints = {1, 2})
-    void allGoesOnWithControllersCutOff(int count) {
+    void jobsAreDoneWithControllersPartitioned(int count) {
         ClusterSimulation simulation = clusterWithLimits(20 + count);
         List<String> arrays = runUnderLoad(simulation);
         int leader = simulation.leader();
--- a/src/test/java/io/quartzgw/app/PairedFaultsTest.java
+++ b/src/test/java/io/quartzgw/app/PairedFaultsTest.java
@@ -23,7 +23,7 @@
 /** Two faults at once, as operators have seen them; docs/design.md lists them all. */
 class PairedFaultsTest {
     @Test
-    void allControllersAreAwayForLongerThanALease() {
+    void jobsAreDoneAfterAllControllersWereDownForLongerThanALease() {
         ClusterSimulation simulation = clusterWithServices();
         List<String> jobs = submitArrays(simulation, 4, 5, 25, "red");
         simulation.runChecked(10_000);
@@ -38,7 +38,7 @@
 
     // Ends of tasks that no controller has recorded: agents send them until they are, whoever leads.
     @Test
-    void tasksOfOneJobEndFarApartAcrossAChangeOfLeader() {
+    void jobsWhoseTasksEndFarApartAreDoneThroughALeaderCrash() {
         for (long crashAt = 4_000; crashAt <= 40_000; crashAt += 2_000) {
             ClusterSimulation simulation = clusterWithServices();
             List<String> jobs = new ArrayList<>();
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void jobsBoundToAZoneLoseMachines() {
+    void jobsBoundToAZoneAreDoneWhenMachinesAreLost() {
         ClusterSimulation simulation = clusterWithServices();
         List<String> jobs = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
@@ -96,7 +96,7 @@
 
     // Leases expire while commands still get responses: the tasks of such a machine run elsewhere, once.
     @Test
-    void workersThatReachNoControllerStillTakeOrders() {
+    void replicasMoveWhenHeartbeatsAreBlockedAndCommandsAreNot() {
         for (boolean leaderCrashes : List.of(false, true)) {
             ClusterSimulation simulation = clusterWithServices();
             List<String> jobs = submitArrays(simulation, 5, 4, 30, "red");
@@ -118,7 +118,7 @@
     }
 
     @Test
-    void transactionsAreCarriedOutLateAfterNewerOnes() {
+    void jobsEndWhenTransactionsAreAppliedAfterNewerOnes() {
         ClusterSimulation simulation = clusterWithServices();
         simulation.network().delayTransactionShare(0.3);
         List<String> jobs = submitArrays(simulation, 8, 5, 6, "red");
@@ -135,7 +135,7 @@
 
     // Requests at the moment of the last task's end: every controller tells the same final phase from then on.
     @Test
-    void cancellationsQuestionsAndRepeatsMeetTheEndOfTheLastTask() {
+    void requestsAtTheEndOfTheLastTaskAllGetTheSameFinalPhase() {
         ClusterSimulation simulation = clusterWithServices();
         simulation.users().cancelJobsAtLastTaskEnd(1);
         List<String> jobs = new ArrayList<>();
@@ -175,7 +175,7 @@
     }
 
     @Test
-    void ordersAndTheirAnswersAreHeldUpAndTheMachinesGoOn() {
+    void jobsEndWhenCommandsAndTheirResponsesAreDelayed() {
         ClusterSimulation simulation = clusterWithServices();
         simulation.network().delayCommandShare(0.5);
         List<String> jobs = submitArrays(simulation, 8, 4, 8, "red");
@@ -192,7 +192,7 @@
 
     // The order of stops and starts where every message takes long.
     @Test
-    void thereIsMoreWorkThanRoomUrgentAndNotOverSlowLinks() {
+    void jobsOfAllPrioritiesAreDoneOverSlowLinksWithTooFewMachines() {
         ClusterSimulation simulation = clusterWithServices();
         simulation.network().delayLinksUpTo(600);
         List<String> jobs = new ArrayList<>();
@@ -217,7 +217,7 @@
 
     // No task may be placed twice or never: in each term some are accepted, started, stopped and ended.
     @Test
-    void leadersChangeTenTimesInTwoMinutesAlsoInsideAnOutage() {
+    void jobsEndThroughTenLeaderChangesInTwoMinutes() {
         for (boolean outage : List.of(false, true)) {
             ClusterSimulation simulation = clusterWithServices();
             List<String> jobs = new ArrayList<>();
@@ -249,7 +249,7 @@
     // Inside the partition a controller responds to agents for its grace; outside, the resources of their tasks are
     // held.
     @Test
-    void aZoneWithWorkersAndAControllerIsCutOffForLongerThanALease() {
+    void jobsEndWhenAZoneIsPartitionedForLongerThanALease() {
         for (boolean leads : List.of(true, false)) {
             ClusterSimulation simulation = clusterWithServices();
             List<String> jobs = submitArrays(simulation, 5, 4, 20, "red");
@@ -278,7 +278,7 @@
     }
 
     @Test
-    void aLeaderEndsWhileMachinesWithLongTasksAreSilentOrDeaf() {
+    void longTasksAreDoneWhenTheLeaderCrashesDuringAPartition() {
         for (boolean inboundOnly : List.of(true, false)) {
             for (long partitionMs : List.of(6_000L, 14_000L, 40_000L)) {
                 ClusterSimulation simulation = clusterWithServices();
@@ -312,7 +312,7 @@
 
     // A cancelled job is no open job any more, and its tasks run on where no command arrives: they count.
     @Test
-    void aTeamAtItsLimitLosesItsLeaderWhileMachinesAreSilentAndAJobIsCancelled() {
+    void quotaHoldsWhenTheLeaderCrashesWhileMachinesAreSilentAndJobsAreCancelled() {
         for (long cancelAfterMs : List.of(-300L, 200L, 1_500L, 6_000L)) {
             ClusterSimulation simulation = clusterWithServices();
             List<String> jobs = submitArrays(simulation, 6, 5, 25, "green");
@@ -333,7 +333,7 @@
     }
 
     @Test
-    void controllersHandOverAndBackThenAllEndAndOneReturnsWithinASecond() {
+    void nothingRestartsWhenAllControllersCrashAndOneIsBackWithinASecond() {
         for (int returns = 0; returns < 3; returns++) {
             for (long downMs : List.of(50L, 400L, 900L)) {
                 ClusterSimulation simulation = clusterWithServices();
@@ -356,7 +356,7 @@
 
     // What a controller read before it was paused: it responds to nobody by it once it resumes, and deposes nobody.
     @Test
-    void aControllerStandsStillWhileJobsAreCancelledAndGoesOn() {
+    void aPausedControllerThatResumesTellsNoOldStateAndDeposesNobody() {
         for (boolean leads : List.of(true, false)) {
             for (long pauseMs : List.of(3_000L, 9_000L, 20_000L, 70_000L)) {
                 ClusterSimulation simulation = clusterWithServices();
--- a/src/test/java/io/quartzgw/app/ScaleTest.java
+++ b/src/test/java/io/quartzgw/app/ScaleTest.java
@@ -24,7 +24,7 @@
     // Work must not grow with the square of the fleet: a scheduling pass, a heartbeat or a takeover may look at
     // every machine or job once, but not for each other one.
     @Test
-    void aLargeFleetStartsRunsAndIsTakenOverWithBoundedWork() {
+    void startsAndTakeoverOfALargeFleetTakeBoundedWork() {
         ClusterSimulation simulation =
                 ClusterSimulation.builder(3).machines(MACHINES).agentStepMs(500).build();
         for (int i = 0; i < SERVICES; i++) {
@@ -44,13 +44,13 @@
                 simulation.counter("placement.looks") < 40 * started, simulation.counter("placement.looks") + " looks");
         assertTrue(simulation.counter("orders.calls") < 5 * started, simulation.counter("orders.calls") + " orders");
 
-        steadyLoadCostsLittle(simulation);
-        aTakeoverAmongSilentMachinesKeepsWhatRuns(simulation);
-        aBurstThatHasNoRoomIsPlannedWithBoundedWork(simulation);
+        assertSteadyLoadTakesLittleWork(simulation);
+        assertTakeoverWithSilentMachinesKeepsTasks(simulation);
+        assertPlanningABurstTakesBoundedWork(simulation);
     }
 
     // The leader would lose its lease: a plan that looks at each machine for each waiting task takes seconds.
-    private void aBurstThatHasNoRoomIsPlannedWithBoundedWork(ClusterSimulation simulation) {
+    private void assertPlanningABurstTakesBoundedWork(ClusterSimulation simulation) {
         long looks = simulation.counter("fleet.looks");
         long plans = simulation.counter("fleet.plans");
         for (int i = 0; i < BURST; i++) {
@@ -66,7 +66,7 @@
         assertEquals(List.of(), simulation.invariants().violations());
     }
 
-    private void steadyLoadCostsLittle(ClusterSimulation simulation) {
+    private void assertSteadyLoadTakesLittleWork(ClusterSimulation simulation) {
         long writes = simulation.counter("store.writes");
         long read = simulation.counter("reports.read");
         for (int i = 0; i < ARRAYS; i++) {
@@ -89,7 +89,7 @@
                 simulation.counter("reports.read") - read + " reports read");
     }
 
-    private void aTakeoverAmongSilentMachinesKeepsWhatRuns(ClusterSimulation simulation) {
+    private void assertTakeoverWithSilentMachinesKeepsTasks(ClusterSimulation simulation) {
         List<String> machines = simulation.agents().machineIds();
         List<String> silent = new ArrayList<>();
         for (int i = 0; i < machines.size(); i += 10) {
--- a/src/test/java/io/quartzgw/app/ScenarioTest.java
+++ b/src/test/java/io/quartzgw/app/ScenarioTest.java
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void aCrashOfTheLeaderRestartsNothing() {
+    void leaderCrashRestartsNothing() {
         ClusterSimulation simulation = clusterWithServices();
         int leader = simulation.leader();
         simulation.crash(leader);
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void aCrashOfAllControllersRestartsNothing() {
+    void crashOfAllControllersRestartsNothing() {
         ClusterSimulation simulation = clusterWithServices();
         for (int i = 0; i < 3; i++) {
             simulation.crash(i);
@@ -48,7 +48,7 @@
     // A paused leader has received no heartbeat when it resumes, and may not have heard
     // of its successor either.
     @Test
-    void aLeaderThatStoodStillGivesUpNoMachine() {
+    void pausedLeaderThatResumesGivesUpNoMachine() {
         for (long pauseMs : List.of(3_000L, 9_000L, 30_000L, 70_000L)) {
             ClusterSimulation simulation = clusterWithServices();
             String leader = Hosts.controller(simulation.leader());
@@ -64,7 +64,7 @@
 
     // The grace counts from the time up to which the leader knows all cancellations.
     @Test
-    void anOutageLongerThanGraceAndLeaseRestartsNothing() {
+    void outageLongerThanGraceAndLeaseRestartsNothing() {
         ClusterSimulation simulation = clusterWithServices();
         simulation.store().setOutage(true);
         simulation.runUntil(simulation.now() + 60_000);
@@ -75,7 +75,7 @@
 
     // Whether a leader is able to lead is not judged by its access to the state service alone.
     @Test
-    void aLeaderCutFromTheWorkersHandsOver() {
+    void leaderPartitionedFromAllAgentsHandsOver() {
         ClusterSimulation simulation = clusterWithServices();
         int leader = simulation.leader();
         List<String> machines = simulation.agents().machineIds();
@@ -89,7 +89,7 @@
 
     // The leases of a few agents count more than a takeover of a second.
     @Test
-    void aLeaderCutFromAPartOfTheWorkersHandsOver() {
+    void leaderPartitionedFromOneAgentHandsOver() {
         ClusterSimulation simulation = clusterWithServices();
         int leader = simulation.leader();
         String machine = simulation.agents().machineIds().get(0);
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void aLeaderCutFromAllButItsWorkersStopsAnsweringThem() {
+    void leaderPartitionedFromAllButItsAgentsIsReplaced() {
         ClusterSimulation simulation = clusterWithServices();
         int leader = simulation.leader();
         for (String other : List.of(Hosts.controller(0), Hosts.controller(1), Hosts.controller(2), Hosts.STORE)) {
@@ -137,7 +137,7 @@
     // The leader must not take machines that receive nothing for a fault of its own, nor rent others
     // for them without bound: half of them receive nothing for several leases, while their heartbeats arrive.
     @Test
-    void machinesThatHearNothingDeposeNobodyAndAreNotReplacedForEver() {
+    void machinesWithInboundBlockedDeposeNobodyAndAreNotReplacedWithoutBound() {
         ClusterSimulation simulation = clusterWithServices();
         int leader = simulation.leader();
         int before = simulation.agents().machineIds().size();
@@ -167,7 +167,7 @@
 
     // The lease of the former process is still valid, and the other controllers may not have noticed.
     @Test
-    void aLeaderThatIsBackAtOnceRestartsNothing() {
+    void leaderThatIsBackAtOnceRestartsNothing() {
         for (long downMs : List.of(50L, 200L, 600L)) {
             ClusterSimulation simulation = clusterWithServices();
             int leader = simulation.leader();
@@ -184,7 +184,7 @@
     // A machine is back before its silence shows: its new agent counts its epochs from the first or
     // from the next one, and what ran there is gone.
     @Test
-    void aMachineThatIsBackAtOnceRunsItsReplicasAgain() {
+    void replicasRunAgainAfterAMachineRebooted() {
         for (boolean epochKept : List.of(true, false)) {
             ClusterSimulation simulation = clusterWithServices();
             String machine = simulation.agents().machineIds().get(0);
@@ -197,7 +197,7 @@
 
     // Late duplicates of a lost machine's heartbeats must not show it as alive.
     @Test
-    void lateCopiesDoNotHoldALostMachinesReplicas() {
+    void duplicateHeartbeatsDoNotDelayALostMachinesReplicas() {
         ClusterSimulation simulation = clusterWithServices();
         simulation.network().duplicateMessageShare(1);
         simulation.runUntil(simulation.now() + 30_000);
@@ -211,7 +211,7 @@
     // To a new leader a late duplicate looks like a machine's first heartbeat in the recovery window, and hides what
     // was started since. The machine itself is partitioned for less than its lease, so all of that runs on.
     @Test
-    void lateCopiesDoNotSpeakForAMachineToANewLeader() {
+    void duplicateHeartbeatsTellANewLeaderNothing() {
         ClusterSimulation simulation = clusterWithServices();
         simulation.network().duplicateMessageShare(1);
         simulation.runUntil(simulation.now() + 20_000);
@@ -233,7 +233,7 @@
 
     // Cancellations that can't reach the leader: it responds to its agents for the grace at the most.
     @Test
-    void aJobThatIsCancelledBehindACutOffLeadersBackEndsInTime() {
+    void jobCancelledWithoutAPartitionedLeaderEndsInTime() {
         ClusterSimulation simulation = clusterWithServices();
         int leader = simulation.leader();
         for (String other : List.of(Hosts.controller(0), Hosts.controller(1), Hosts.controller(2), Hosts.STORE)) {
@@ -254,7 +254,7 @@
     // Jobs that the leader learns of in no ordinary way: the notice is lost with a partition between controllers,
     // and the changes are gone from the state service before the leader can watch again.
     @Test
-    void aJobThatNeitherNoticeNorFollowToldOfRuns() {
+    void jobRunsThatTheLeaderLearnsOfByNeitherNoticeNorWatch() {
         ClusterSimulation simulation = clusterWithServices();
         int leader = simulation.leader();
         for (int i = 0; i < 3; i++) {
@@ -277,7 +277,7 @@
     }
 
     @Test
-    void aDeadMachinesReplicasMoveOnce() {
+    void replicasOfAFailedMachineMoveOnce() {
         ClusterSimulation simulation = clusterWithServices();
         String machine = simulation.agents().machineIds().get(0);
         simulation.cloud().fail(machine, simulation.now());
@@ -287,7 +287,7 @@
     }
 
     @Test
-    void withoutTheStateServiceUsersAreToldAtOnce() {
+    void usersGetAnErrorAtOnceDuringAnOutage() {
         ClusterSimulation simulation = clusterWithServices();
         simulation.store().setOutage(true);
         simulation.runUntil(simulation.now() + 2_000);
@@ -305,7 +305,7 @@
 
     // A controller must not count as unable because it has no requests.
     @Test
-    void aQuietNodeIsReady() {
+    void controllerWithoutRequestsIsReady() {
         ClusterSimulation simulation = new ClusterSimulation(7, 3);
         simulation.runUntil(60_000);
         for (int i = 0; i < 3; i++) {
@@ -317,7 +317,7 @@
     }
 
     @Test
-    void badInputIsAnsweredAsTheProtocolSays() {
+    void invalidRequestsGetTheStatusOfTheProtocol() {
         ClusterSimulation simulation = clusterWithServices();
         ObjectNode good = JobRequests.array("j-000100", "blue", 2, 2, 5);
         assertEquals(
