--- a/src/main/java/io/quartzgw/agent/Attempt.java
+++ b/src/main/java/io/quartzgw/agent/Attempt.java
@@ -27,7 +27,7 @@
 
     /** Returns the open job that the attempt belongs to, or empty if the job has ended or has no such task. */
     Optional<Job> openJob(ClusterState cluster) {
-        return Optional.ofNullable(cluster.job(job))
+        return cluster.findJob(job)
                 .filter(candidate -> !candidate.isTerminal())
                 .filter(candidate -> index >= 0 && index < candidate.spec().tasks());
     }
--- a/src/main/java/io/quartzgw/agent/CommandDispatcher.java
+++ b/src/main/java/io/quartzgw/agent/CommandDispatcher.java
@@ -138,7 +138,7 @@
         agent.callEnded(answered);
         callsInFlight--;
         Machine machine = agent.machine();
-        if (!term.isCurrent() || leader.cluster().machine(machine.id()) != machine) {
+        if (!term.isCurrent() || !leader.cluster().contains(machine)) {
             return;
         }
         if (answered) {
--- a/src/main/java/io/quartzgw/agent/HeartbeatProcessor.java
+++ b/src/main/java/io/quartzgw/agent/HeartbeatProcessor.java
@@ -86,8 +86,7 @@
     }
 
     private Optional<Machine> findOrAdoptMachine(Heartbeat heartbeat) {
-        Machine known = cluster.machine(heartbeat.machine());
-        return known != null ? Optional.of(known) : adoptMachine(heartbeat);
+        return cluster.findMachine(heartbeat.machine()).or(() -> adoptMachine(heartbeat));
     }
 
     private Optional<Machine> adoptMachine(Heartbeat heartbeat) {
--- a/src/main/java/io/quartzgw/agent/HeartbeatResponder.java
+++ b/src/main/java/io/quartzgw/agent/HeartbeatResponder.java
@@ -46,10 +46,10 @@
         if (freshness != Freshness.CURRENT) {
             commands.addAll(terminalStops(heartbeat, this::isTerminal));
         }
-        Machine machine = leader.cluster().machine(heartbeat.machine());
-        if (machine != null && isFromVerifiedEpoch(heartbeat, machine)) {
-            addPendingCommands(heartbeat, machine, commands);
-        }
+        leader.cluster()
+                .findMachine(heartbeat.machine())
+                .filter(machine -> isFromVerifiedEpoch(heartbeat, machine))
+                .ifPresent(machine -> addPendingCommands(heartbeat, machine, commands));
         return HeartbeatResponse.renewingLease(commands, leader.term().fencingToken());
     }
 
--- a/src/main/java/io/quartzgw/agent/TaskReconciler.java
+++ b/src/main/java/io/quartzgw/agent/TaskReconciler.java
@@ -99,7 +99,7 @@
     void updateUnaccountedCapacity(Machine machine) {
         cluster.setUnexplained(
                 machine,
-                cluster.machine(machine.id()) == machine
+                cluster.contains(machine)
                         && !registry.agentOf(machine).orphans().isEmpty());
     }
 
--- a/src/main/java/io/quartzgw/app/Controller.java
+++ b/src/main/java/io/quartzgw/app/Controller.java
@@ -56,7 +56,7 @@
         this.settings = settings;
         this.processMetrics = processMetrics;
         this.store = new StoreClient(
-                eventLoop, settings.state(), settings.storeLimits().perNode(settings.size()));
+                eventLoop, settings.state(), settings.storeLimits().perController(settings.size()));
         this.cloud = new CloudClient(eventLoop, settings.cloud(), settings.cloudLimits());
         this.timing = LeadershipTiming.of(
                 settings.agentTiming().heartbeatMs() / 1000.0,
--- a/src/main/java/io/quartzgw/app/HeartbeatEndpoint.java
+++ b/src/main/java/io/quartzgw/app/HeartbeatEndpoint.java
@@ -62,7 +62,7 @@
         if (leading.isPresent() && leadership.mayRenewAgentLeases()) {
             return Response.json(OK, HeartbeatResponseCodec.encode(leading.get().handleHeartbeat(heartbeat)));
         }
-        peers.redirectedAgents(heartbeat.machine(), heartbeat.address());
+        peers.recordRedirectedAgent(heartbeat.machine(), heartbeat.address());
         return redirect();
     }
 
--- a/src/main/java/io/quartzgw/app/LeaderRuntime.java
+++ b/src/main/java/io/quartzgw/app/LeaderRuntime.java
@@ -237,16 +237,16 @@
     }
 
     private void terminate(String id) {
-        Job job = cluster.job(id);
-        if (job == null || job.isTerminal()) {
-            return;
-        }
+        cluster.findJob(id).filter(job -> !job.isTerminal()).ifPresent(this::terminate);
+    }
+
+    private void terminate(Job job) {
         cluster.terminate(job);
         for (Allocation allocation : job.allocationsSnapshot()) {
             agents.requestStop(allocation, 0, StopReason.JOB_OVER);
         }
         agents.finishesRecorded(job);
-        progress.forgetJob(id);
+        progress.forgetJob(job.id());
     }
 
     /** The next page of task counts for display, of this many jobs at the most. */
--- a/src/main/java/io/quartzgw/app/OpenJobWatcher.java
+++ b/src/main/java/io/quartzgw/app/OpenJobWatcher.java
@@ -79,7 +79,7 @@
     @Override
     public void caughtUp(long revision, long readAt) {
         watchedRevision = revision;
-        watermark.storeReadAt(readAt);
+        watermark.recordStoreRead(readAt);
     }
 
     @Override
@@ -90,11 +90,10 @@
     @Override
     public void onChanges(List<KeyChange> changes) {
         for (KeyChange change : changes) {
-            if (change.value() == null) {
-                events.onTerminated().accept(change.key().substring(JobKeys.OPEN.length()));
-            } else {
-                add(JobRecordCodec.decodeOpen(change.value(), change.revision()));
-            }
+            change.newValue()
+                    .ifPresentOrElse(
+                            record -> add(JobRecordCodec.decodeOpen(record, change.revision())),
+                            () -> events.onTerminated().accept(change.key().substring(JobKeys.OPEN.length())));
         }
     }
 
--- a/src/main/java/io/quartzgw/cancellation/CancellationWatermark.java
+++ b/src/main/java/io/quartzgw/cancellation/CancellationWatermark.java
@@ -77,11 +77,6 @@
         storeReadAtMs = Math.max(storeReadAtMs, readAtMs);
     }
 
-    /** The former name of {@link #recordStoreRead}. */
-    public void storeReadAt(long readAtMs) {
-        recordStoreRead(readAtMs);
-    }
-
     /**
      * Records that a peer has answered.
      *
--- a/src/main/java/io/quartzgw/fleet/MachineRecords.java
+++ b/src/main/java/io/quartzgw/fleet/MachineRecords.java
@@ -177,7 +177,7 @@
         for (Machine machine : marked) {
             if (pendingMarks.remove(machine)) {
                 machine.markHasRunTasks();
-                if (cluster.machine(machine.id()) == machine) {
+                if (cluster.contains(machine)) {
                     used.accept(machine);
                 }
             }
--- a/src/main/java/io/quartzgw/leadership/PeerExchange.java
+++ b/src/main/java/io/quartzgw/leadership/PeerExchange.java
@@ -205,11 +205,6 @@
         redirectedAgents.add(machine, address);
     }
 
-    /** The former name of {@link #recordRedirectedAgent}. */
-    public void redirectedAgents(String machine, Endpoint address) {
-        recordRedirectedAgent(machine, address);
-    }
-
     /** The most agents that one other controller has lately turned away and can reach. */
     public int agentsReachingOthers() {
         return peers.maxRedirectedAgents();
--- a/src/main/java/io/quartzgw/liveness/AgentLiveness.java
+++ b/src/main/java/io/quartzgw/liveness/AgentLiveness.java
@@ -94,11 +94,6 @@
         return showsToken && !mayBeDuplicate ? Freshness.CURRENT : Freshness.UNVERIFIED;
     }
 
-    /** Records a current heartbeat; kept for callers that have no {@link HeartbeatId}. */
-    public void recordHeartbeat(long epoch, long sequence, long now) {
-        recordHeartbeat(new HeartbeatId(epoch, sequence), now);
-    }
-
     /** Records a current heartbeat. */
     public void recordHeartbeat(HeartbeatId heartbeat, long now) {
         latestHeartbeat = heartbeat;
@@ -138,11 +133,6 @@
         lastResponseAt = Math.max(lastResponseAt, now);
     }
 
-    /** Does the same as {@link #recordResponse}; kept for callers of the former name. */
-    public void lastResponseAt(long now) {
-        recordResponse(now);
-    }
-
     /** Returns the latest time at which this leader or a former one can have renewed the agent's lease. */
     public long lastResponseAt() {
         return verified ? lastResponseAt : Math.max(lastResponseAt, previousLeaderActiveUntil);
--- a/src/main/java/io/quartzgw/progress/ProgressRecorder.java
+++ b/src/main/java/io/quartzgw/progress/ProgressRecorder.java
@@ -21,6 +21,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 
 /**
@@ -119,10 +120,13 @@
     }
 
     private void loadRecord(String key, JsonNode record, ClusterState cluster) {
-        Job job = cluster.job(ProgressBitmaps.jobOf(key));
-        if (job == null) {
+        Optional<Job> openJob = cluster.findJob(ProgressBitmaps.jobOf(key));
+        if (openJob.isEmpty()) {
             records.removeLazily(key);
-        } else if (key.endsWith(START_LIMIT_KEY)) {
+            return;
+        }
+        Job job = openJob.get();
+        if (key.endsWith(START_LIMIT_KEY)) {
             job.recordedStartLimit(record.asInt());
         } else {
             bitmaps.unpack(key, record, job.recordedDone());
--- a/src/main/java/io/quartzgw/recovery/UnverifiedMachines.java
+++ b/src/main/java/io/quartzgw/recovery/UnverifiedMachines.java
@@ -37,7 +37,7 @@
         return machine.hasRunTasks()
                 && !machine.liveness().verified()
                 && !machine.reservationExpired()
-                && cluster.machine(machine.id()) == machine;
+                && cluster.contains(machine);
     }
 
     private boolean isUnverified(Machine machine) {
@@ -46,7 +46,7 @@
 
     /** Adds a machine from the stored state to the cluster state. */
     void add(Machine machine) {
-        if (cluster.machine(machine.id()) == null) {
+        if (cluster.findMachine(machine.id()).isEmpty()) {
             machine.liveness().boundPreviousLeader(previousLeaderActiveUntilMs);
             cluster.add(machine);
             machines.add(machine);
--- a/src/main/java/io/quartzgw/scheduling/ClusterState.java
+++ b/src/main/java/io/quartzgw/scheduling/ClusterState.java
@@ -65,11 +65,6 @@
         return Optional.ofNullable(jobs.get(id));
     }
 
-    /** The job or null; prefer {@link #findJob}. */
-    public Job job(String id) {
-        return jobs.get(id);
-    }
-
     /** Adds an open job, or returns the one that was added before. */
     public Job add(OpenJob open) {
         changed = true;
@@ -152,9 +147,9 @@
         return Optional.ofNullable(machines.get(id));
     }
 
-    /** The machine or null; prefer {@link #findMachine}. */
-    public Machine machine(String id) {
-        return machines.get(id);
+    /** Whether this very machine is part of the cluster: another one may have taken its id. */
+    public boolean contains(Machine machine) {
+        return machines.get(machine.id()) == machine;
     }
 
     /** Adds a machine. */
--- a/src/main/java/io/quartzgw/scheduling/Machine.java
+++ b/src/main/java/io/quartzgw/scheduling/Machine.java
@@ -140,11 +140,6 @@
         return reservationExpired;
     }
 
-    /** The former name of {@link #reservationExpired}. */
-    public boolean removeAllocation() {
-        return reservationExpired;
-    }
-
     /** Ends the reservation of its capacity for tasks that may run on it. */
     public void expireReservation() {
         reservationExpired = true;
--- a/src/main/java/io/quartzgw/store/StoreLimits.java
+++ b/src/main/java/io/quartzgw/store/StoreLimits.java
@@ -16,11 +16,6 @@
                 maxTransactionWrites);
     }
 
-    /** The former name of {@link #perController}. */
-    public StoreLimits perNode(int nodes) {
-        return perController(nodes);
-    }
-
     /** How many writes a second are left beside all controllers' own shares, for the leader to grant. */
     public double sharedWritesPerS() {
         return writesPerS * USED_FRACTION * (1 - GUARANTEED_FRACTION);
--- a/src/test/java/io/quartzgw/fleet/ScaleInPolicyTest.java
+++ b/src/test/java/io/quartzgw/fleet/ScaleInPolicyTest.java
@@ -4,6 +4,7 @@
 
 import io.quartzgw.eventloop.ClockReading;
 import io.quartzgw.eventloop.EventLoop;
+import io.quartzgw.liveness.HeartbeatId;
 import io.quartzgw.model.JobSpec;
 import io.quartzgw.model.MachineType;
 import io.quartzgw.model.Resources;
@@ -49,7 +50,7 @@
     }
 
     private void heartbeat(Machine machine) {
-        machine.liveness().recordHeartbeat(1, eventLoop.nowMs() + 1, eventLoop.nowMs());
+        machine.liveness().recordHeartbeat(new HeartbeatId(1, eventLoop.nowMs() + 1), eventLoop.nowMs());
         machine.markUp();
     }
 
--- a/src/test/java/io/quartzgw/progress/ProgressRecorderTest.java
+++ b/src/test/java/io/quartzgw/progress/ProgressRecorderTest.java
@@ -90,7 +90,7 @@
                             ((ListResult.Listed) result).listing().entries(), successor));
             link.pass(1, false);
             for (Job job : cluster.jobs()) {
-                Job found = successor.job(job.id());
+                Job found = successor.findJob(job.id()).orElseThrow();
                 assertTrue(
                         found.recordedStartLimit() >= job.recordedStartLimit(),
                         "round " + round + ": " + found.recordedStartLimit() + " recorded of "
--- a/src/test/java/io/quartzgw/scheduling/SchedulerTest.java
+++ b/src/test/java/io/quartzgw/scheduling/SchedulerTest.java
@@ -6,6 +6,7 @@
 import io.quartzgw.eventloop.ClockReading;
 import io.quartzgw.eventloop.EventLoop;
 import io.quartzgw.liveness.AgentTiming;
+import io.quartzgw.liveness.HeartbeatId;
 import io.quartzgw.model.JobShape;
 import io.quartzgw.model.JobSpec;
 import io.quartzgw.model.MachineType;
@@ -66,7 +67,7 @@
     /** Adds a machine that is up: even numbers in zone a, odd ones in zone b. */
     private Machine machine(int number, boolean spot) {
         Machine machine = new Machine("i-" + number, TYPE, number % 2 == 0 ? "a" : "b", spot, 0, 0);
-        machine.liveness().recordHeartbeat(1, 1, eventLoop.nowMs());
+        machine.liveness().recordHeartbeat(new HeartbeatId(1, 1), eventLoop.nowMs());
         machine.markUp();
         cluster.add(machine);
         return machine;
@@ -193,8 +194,8 @@
         int number = 100;
         for (long now = 1_000; now <= 260_000; now += 1_000) {
             for (Machine machine : cluster.machines()) {
-                machine.liveness().recordHeartbeat(1, now, now);
-                machine.liveness().lastResponseAt(now);
+                machine.liveness().recordHeartbeat(new HeartbeatId(1, now), now);
+                machine.liveness().recordResponse(now);
             }
             eventLoop.processBatch(List.of(), new ClockReading(now, now));
             if (now == 10_000) {
@@ -279,7 +280,7 @@
                 List.of(batch.allocation(1)),
                 stopped,
                 "neither the task that completes in time nor the replica that fits nowhere else");
-        onDemandMachine(1).liveness().lastResponseAt(8_000);
+        onDemandMachine(1).liveness().recordResponse(8_000);
         scheduler.schedule();
         assertEquals(List.of(batch.allocation(1), service.allocation(0)), stopped);
     }
--- a/src/test/java/io/quartzgw/simulation/Elections.java
+++ b/src/test/java/io/quartzgw/simulation/Elections.java
@@ -2,6 +2,7 @@
 
 import io.quartzgw.cancellation.CancellationWatermark;
 import io.quartzgw.eventloop.EventLoop;
+import io.quartzgw.leadership.ControllerIdentity;
 import io.quartzgw.leadership.Leadership;
 import io.quartzgw.leadership.LeadershipTiming;
 import io.quartzgw.store.StoreClient;
@@ -23,8 +24,7 @@
                 eventLoop,
                 store,
                 LeadershipTiming.of(HEARTBEAT_S, LEASE_S, CANCEL_S),
-                "rig-0",
-                1,
+                new ControllerIdentity("rig-0", 1),
                 new CancellationWatermark(eventLoop, (long) (CANCEL_S * 1_000), List.of()));
     }
 
