--- a/src/main/java/io/quartzgw/app/LeaderRuntime.java
+++ b/src/main/java/io/quartzgw/app/LeaderRuntime.java
@@ -42,7 +42,6 @@
 final class LeaderRuntime {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderRuntime.class);
     private static final double TICK_LEASES = 0.03;
-    private static final double FLEET_PAUSE_HEARTBEATS = 0.1;
     /** After it resigned for lack of heartbeats, this controller is no candidate for this many intervals. */
     private static final int BACK_OFF_HEARTBEATS = 6;
     /** The clocks of two controllers are each within the time bound of true time. */
@@ -61,12 +60,10 @@
     private final Scheduler scheduler;
     private final MachineRecords records;
     private final FleetManager fleet;
+    private final FleetScaling fleetScaling;
     private final OpenJobWatcher openJobs;
     private final JobCountPager countPages;
     private final AgentReachability reachability;
-    private boolean fleetStarted;
-    private boolean fleetDue;
-    private boolean fleetPaused;
 
     /** @param previousLeaderActiveUntilMs when a previous leader can last answer a heartbeat */
     LeaderRuntime(ControllerServices services, long previousLeaderActiveUntilMs) {
@@ -91,6 +88,7 @@
         this.scheduler = newScheduler();
         this.records = newMachineRecords(services.store());
         this.fleet = newFleet(services, recoveryTiming);
+        this.fleetScaling = new FleetScaling(eventLoop, fleet, agentTiming.heartbeatMs());
         this.openJobs = new OpenJobWatcher(
                 eventLoop,
                 services.store(),
@@ -197,13 +195,12 @@
         if (recovery.isStateLoaded()) {
             if (term.isConfirmed() && cluster.takeChanged()) {
                 scheduler.schedule();
-                fleetDue = true;
+                fleetScaling.request();
             }
-            if (!fleetStarted) {
-                fleetStarted = true;
-                fleet.start();
+            fleetScaling.startOnce();
+            if (term.isConfirmed()) {
+                fleetScaling.runIfDue(scheduler.unplaced(), recovery.isWindowClosed());
             }
-            scaleFleet();
         }
         agents.sendPendingCommands();
         if (recovery.isStateLoaded()) {
@@ -212,16 +209,6 @@
         }
     }
 
-    // Scaling examines every machine and waiting job, and a rental takes far longer than this pause.
-    private void scaleFleet() {
-        if (fleetDue && !fleetPaused && term.isConfirmed()) {
-            fleetPaused = true;
-            fleetDue = fleet.scale(scheduler.unplaced(), recovery.isWindowClosed());
-            eventLoop.after(
-                    (long) (FLEET_PAUSE_HEARTBEATS * settings.agentTiming().heartbeatMs()), () -> fleetPaused = false);
-        }
-    }
-
     // ---- jobs
 
     void jobAccepted(OpenJob job) {
--- a/src/main/java/io/quartzgw/app/SettingsReader.java
+++ b/src/main/java/io/quartzgw/app/SettingsReader.java
@@ -21,6 +21,12 @@
 /** Reads and validates the settings file; unknown fields are ignored. */
 public final class SettingsReader {
     private static final int BYTES_PER_KB = 1024;
+    /** A job's end takes two writes in one transaction. */
+    private static final int MIN_TRANSACTION_WRITES = 2;
+
+    private static final String HEARTBEAT = "facts.workers.report_s";
+    private static final String LEASE = "facts.workers.lease_s";
+    private static final String CANCEL = "facts.workers.cancel_s";
 
     private SettingsReader() {}
 
@@ -34,30 +40,14 @@
     }
 
     static Settings read(String toml) throws InvalidSettingsException {
-        JsonNode root;
-        try {
-            root = new TomlMapper().readTree(toml);
-        } catch (JsonProcessingException e) {
-            throw new InvalidSettingsException("not TOML: " + e.getOriginalMessage());
-        }
+        JsonNode root = parse(toml);
         JsonNode facts = root.path("facts");
         if (!facts.isObject()) {
             throw new InvalidSettingsException("facts: missing");
         }
         String member = text(root, "member", "member");
         Map<String, Endpoint> peers = peers(root, member);
-        double report = positive(facts, "facts.workers.report_s");
-        double lease = positive(facts, "facts.workers.lease_s");
-        double cancel = positive(facts, "facts.workers.cancel_s");
-        if (lease <= report) {
-            throw new InvalidSettingsException("facts.workers.lease_s: has to be longer than report_s");
-        }
-        if (cancel <= lease) {
-            throw new InvalidSettingsException("facts.workers.cancel_s: has to be longer than lease_s");
-        }
-        if (LeadershipTiming.graceSeconds(report, lease, cancel) < report / 2) {
-            throw new InvalidSettingsException("facts.workers.cancel_s: has to exceed lease_s by 2.5 times report_s");
-        }
+        AgentTiming agentTiming = agentTiming(facts);
         return new Settings(
                 member,
                 text(root, "site", "site"),
@@ -71,18 +61,49 @@
                 facts.path("time_bound_ms").asDouble(0),
                 teams(facts),
                 objectives(facts),
-                new AgentTiming(millis(report), millis(lease), millis(cancel)),
-                cancel,
-                new StoreLimits(
-                        positive(facts, "facts.state.rps"),
-                        positive(facts, "facts.state.write_rps"),
-                        (int) (positive(facts, "facts.state.value_kb") * BYTES_PER_KB),
-                        (int) atLeast(facts, "facts.state.txn_ops", 2)),
-                new CloudLimits(
-                        positive(facts, "facts.cloud.rps"), millis(atLeast(facts, "facts.cloud.list_lag_s", 0))),
+                agentTiming,
+                positive(facts, CANCEL),
+                storeLimits(facts),
+                cloudLimits(facts),
                 (int) atLeast(facts, "facts.limits.sockets", SocketBudget.minimumFor(peers.size())));
     }
 
+    private static JsonNode parse(String toml) throws InvalidSettingsException {
+        try {
+            return new TomlMapper().readTree(toml);
+        } catch (JsonProcessingException e) {
+            throw new InvalidSettingsException("not TOML: " + e.getOriginalMessage());
+        }
+    }
+
+    private static AgentTiming agentTiming(JsonNode facts) throws InvalidSettingsException {
+        double heartbeatS = positive(facts, HEARTBEAT);
+        double leaseS = positive(facts, LEASE);
+        double cancelS = positive(facts, CANCEL);
+        if (leaseS <= heartbeatS) {
+            throw new InvalidSettingsException(LEASE + ": has to be longer than report_s");
+        }
+        if (cancelS <= leaseS) {
+            throw new InvalidSettingsException(CANCEL + ": has to be longer than lease_s");
+        }
+        if (LeadershipTiming.graceSeconds(heartbeatS, leaseS, cancelS) < heartbeatS / 2) {
+            throw new InvalidSettingsException(CANCEL + ": has to exceed lease_s by 2.5 times report_s");
+        }
+        return new AgentTiming(millis(heartbeatS), millis(leaseS), millis(cancelS));
+    }
+
+    private static StoreLimits storeLimits(JsonNode facts) throws InvalidSettingsException {
+        return new StoreLimits(
+                positive(facts, "facts.state.rps"),
+                positive(facts, "facts.state.write_rps"),
+                (int) (positive(facts, "facts.state.value_kb") * BYTES_PER_KB),
+                (int) atLeast(facts, "facts.state.txn_ops", MIN_TRANSACTION_WRITES));
+    }
+
+    private static CloudLimits cloudLimits(JsonNode facts) throws InvalidSettingsException {
+        return new CloudLimits(positive(facts, "facts.cloud.rps"), millis(atLeast(facts, "facts.cloud.list_lag_s", 0)));
+    }
+
     private static long millis(double seconds) {
         return Math.round(seconds * 1000);
     }
