--- a/src/test/java/io/quartzgw/app/CancellationTest.java
+++ b/src/test/java/io/quartzgw/app/CancellationTest.java
@@ -13,6 +13,8 @@
 import java.util.SplittableRandom;
 import java.util.function.BiConsumer;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
 /**
  * Jobs that are cancelled while their leader has a fault. The tasks are gone within the cancel limit, whichever
@@ -144,36 +146,35 @@
     }
 
     // Responses that arrive after their timeout: to the cancellation, to the leader's renewals, to its watch.
-    @Test
-    void cancellationWithASlowStoreThatThenRejectsTheLeaderStopsTheTasks() {
-        for (long maxDelayMs : List.of(1_000L, 2_500L, 5_000L)) {
-            userReplies.clear();
-            ClusterSimulation simulation = clusterWithServices();
-            simulation.network().delayStoreUpTo(maxDelayMs);
-            for (int second = 0; second < 12; second++) {
-                for (int controller = 0; controller < 3; controller++) {
-                    simulation.users().queryJob(controller, JobRequests.id(second % 3), reply -> {});
-                    if (second % 4 == 0) {
-                        simulation.users().cancelJob(controller, JobRequests.id(second % 3), userReplies::add);
-                    }
+    @ParameterizedTest
+    @ValueSource(longs = {1_000L, 2_500L, 5_000L})
+    void cancellationWithASlowStoreThatThenRejectsTheLeaderStopsTheTasks(long maxDelayMs) {
+        userReplies.clear();
+        ClusterSimulation simulation = clusterWithServices();
+        simulation.network().delayStoreUpTo(maxDelayMs);
+        for (int second = 0; second < 12; second++) {
+            for (int controller = 0; controller < 3; controller++) {
+                simulation.users().queryJob(controller, JobRequests.id(second % 3), reply -> {});
+                if (second % 4 == 0) {
+                    simulation.users().cancelJob(controller, JobRequests.id(second % 3), userReplies::add);
                 }
-                simulation.runChecked(1_000);
             }
-            int leader = simulation.leaderOrFirst();
-            simulation.setStoreRejects(leader, true);
-            simulation.users().cancelJob(other(leader, 1), "j-000002", userReplies::add);
-            simulation.runChecked(2_000);
-            simulation.store().setOutage(true);
-            simulation.runChecked(OUTAGE_MS);
-            simulation.network().delayStoreUpTo(0);
-            simulation.setStoreRejects(leader, false);
-            simulation.store().setOutage(false);
-            simulation.runChecked(40_000);
-            assertUserToldOfCancellation();
-            assertEquals(List.of(), simulation.invariants().violations());
-            assertEquals(List.of(), simulation.invariants().missingReplicas());
-            assertEquals(0, simulation.failedCommands());
+            simulation.runChecked(1_000);
         }
+        int leader = simulation.leaderOrFirst();
+        simulation.setStoreRejects(leader, true);
+        simulation.users().cancelJob(other(leader, 1), "j-000002", userReplies::add);
+        simulation.runChecked(2_000);
+        simulation.store().setOutage(true);
+        simulation.runChecked(OUTAGE_MS);
+        simulation.network().delayStoreUpTo(0);
+        simulation.setStoreRejects(leader, false);
+        simulation.store().setOutage(false);
+        simulation.runChecked(40_000);
+        assertUserToldOfCancellation();
+        assertEquals(List.of(), simulation.invariants().violations());
+        assertEquals(List.of(), simulation.invariants().missingReplicas());
+        assertEquals(0, simulation.failedCommands());
     }
 
     // The transaction was carried out, its response got lost, and the user is told of the end by
--- a/src/test/java/io/quartzgw/app/ConcurrentFaultsTest.java
+++ b/src/test/java/io/quartzgw/app/ConcurrentFaultsTest.java
@@ -15,6 +15,8 @@
 import java.util.List;
 import java.util.OptionalLong;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
 /** Faults at the same time as a change of leader, or as many requests. */
 class ConcurrentFaultsTest {
@@ -71,19 +73,18 @@
     }
 
     // Cancellations between two leaders: neither may start or keep the tasks of cancelled jobs.
-    @Test
-    void jobsCancelledDuringALeaderChangeAreStopped() {
-        for (long crashAfterMs : List.of(-400L, -50L, 0L, 100L, 700L, 2_000L)) {
-            ClusterSimulation simulation = clusterWithServices();
-            List<String> jobs = submitArrays(simulation, 8, 4, 30, "red");
-            simulation.runChecked(9_000);
-            int leader = simulation.leader();
-            simulation.schedule(simulation.now() + 500, () -> simulation.users().cancelRunningJobs(6));
-            simulation.schedule(simulation.now() + 500 + crashAfterMs, () -> simulation.crash(leader, 5_000));
-            simulation.runChecked(120_000);
-            assertHealthy(simulation);
-            assertAllEnded(simulation, jobs);
-        }
+    @ParameterizedTest
+    @ValueSource(longs = {-400L, -50L, 0L, 100L, 700L, 2_000L})
+    void jobsCancelledDuringALeaderChangeAreStopped(long crashAfterMs) {
+        ClusterSimulation simulation = clusterWithServices();
+        List<String> jobs = submitArrays(simulation, 8, 4, 30, "red");
+        simulation.runChecked(9_000);
+        int leader = simulation.leader();
+        simulation.schedule(simulation.now() + 500, () -> simulation.users().cancelRunningJobs(6));
+        simulation.schedule(simulation.now() + 500 + crashAfterMs, () -> simulation.crash(leader, 5_000));
+        simulation.runChecked(120_000);
+        assertHealthy(simulation);
+        assertAllEnded(simulation, jobs);
     }
 
     // Other controllers read what a transaction wrote whose response got lost.
@@ -111,51 +112,49 @@
     }
 
     // The fencing of agents: a command of a leader that crashed or was deposed arrives after its successor's.
-    @Test
-    void commandsOfAFormerLeaderThatArriveLateAreFenced() {
-        for (boolean crashes : List.of(true, false)) {
-            ClusterSimulation simulation = clusterWithServices();
-            List<String> jobs = submitArrays(simulation, 8, 4, 15, "red");
-            simulation.network().delayCommandShare(0.9);
-            simulation.runChecked(3_000);
-            int leader = simulation.leader();
-            if (crashes) {
-                simulation.crash(leader, 5_000);
-            } else {
-                simulation.pauseController(leader, 12_000);
-            }
-            simulation.runChecked(6_000);
-            simulation.network().delayCommandShare(0);
-            simulation.users().cancelRunningJobs(3);
-            simulation.runChecked(120_000);
-            assertHealthy(simulation);
-            assertAllEnded(simulation, jobs);
+    @ParameterizedTest
+    @ValueSource(booleans = {true, false})
+    void commandsOfAFormerLeaderThatArriveLateAreFenced(boolean crashes) {
+        ClusterSimulation simulation = clusterWithServices();
+        List<String> jobs = submitArrays(simulation, 8, 4, 15, "red");
+        simulation.network().delayCommandShare(0.9);
+        simulation.runChecked(3_000);
+        int leader = simulation.leader();
+        if (crashes) {
+            simulation.crash(leader, 5_000);
+        } else {
+            simulation.pauseController(leader, 12_000);
         }
+        simulation.runChecked(6_000);
+        simulation.network().delayCommandShare(0);
+        simulation.users().cancelRunningJobs(3);
+        simulation.runChecked(120_000);
+        assertHealthy(simulation);
+        assertAllEnded(simulation, jobs);
     }
 
     // All quotas at once: tasks of cancelled jobs on unreachable machines count until they are surely stopped.
-    @Test
-    void quotasHoldWhileJobsAreCancelledOnPartitionedOrHangingMachines() {
-        for (long hangMs : List.of(0L, 10_000L)) {
-            ClusterSimulation simulation = clusterWithServices();
-            List<String> jobs = new ArrayList<>(submitArrays(simulation, 4, 6, 25, "green"));
-            for (int i = 0; i < 4; i++) {
-                String id = JobRequests.id(500 + i);
-                simulation.users().submitUntilAccepted(JobRequests.array(id, "red", 6, 4, 25));
-                jobs.add(id);
-            }
-            simulation.runChecked(20_000);
-            List<String> partitioned = firstHalf(simulation.agents().machineIds());
-            partitioned.forEach(machine -> simulation.network().partition(machine, Hosts.ALL));
-            simulation.cancelRunningJobsWhileMachinesHang(5, hangMs);
-            simulation.runChecked(400);
-            simulation.crash(simulation.leaderOrFirst(), 5_000);
-            simulation.runChecked(LEASE_MS - 3_000);
-            partitioned.forEach(machine -> simulation.network().heal(machine, Hosts.ALL));
-            simulation.runChecked(250_000);
-            assertHealthy(simulation);
-            assertAllEnded(simulation, jobs);
+    @ParameterizedTest
+    @ValueSource(longs = {0L, 10_000L})
+    void quotasHoldWhileJobsAreCancelledOnPartitionedOrHangingMachines(long hangMs) {
+        ClusterSimulation simulation = clusterWithServices();
+        List<String> jobs = new ArrayList<>(submitArrays(simulation, 4, 6, 25, "green"));
+        for (int i = 0; i < 4; i++) {
+            String id = JobRequests.id(500 + i);
+            simulation.users().submitUntilAccepted(JobRequests.array(id, "red", 6, 4, 25));
+            jobs.add(id);
         }
+        simulation.runChecked(20_000);
+        List<String> partitioned = firstHalf(simulation.agents().machineIds());
+        partitioned.forEach(machine -> simulation.network().partition(machine, Hosts.ALL));
+        simulation.cancelRunningJobsWhileMachinesHang(5, hangMs);
+        simulation.runChecked(400);
+        simulation.crash(simulation.leaderOrFirst(), 5_000);
+        simulation.runChecked(LEASE_MS - 3_000);
+        partitioned.forEach(machine -> simulation.network().heal(machine, Hosts.ALL));
+        simulation.runChecked(250_000);
+        assertHealthy(simulation);
+        assertAllEnded(simulation, jobs);
     }
 
     // Duplicates of heartbeats from before a term reach every controller just as the term begins.
@@ -177,20 +176,19 @@
 
     // New machines get tasks at once: both are written before, also where the store is slow and
     // the leader crashes in between.
-    @Test
-    void jobsAreDoneWhenTheLeaderCrashesWithASlowStoreAndNewMachines() {
-        for (long crashAfterMs : List.of(500L, 1_500L, 3_000L)) {
-            ClusterSimulation simulation = clusterWithServices();
-            simulation.network().delayStoreUpTo(900);
-            simulation.cloud().setBootMs(1_000);
-            List<String> jobs = submitArrays(simulation, 8, 5, 10, "red");
-            simulation.runChecked(crashAfterMs);
-            simulation.crash(simulation.leaderOrFirst(), 700);
-            simulation.runChecked(20_000);
-            simulation.network().delayStoreUpTo(0);
-            simulation.runChecked(100_000);
-            assertHealthy(simulation);
-            assertAllDone(simulation, jobs);
-        }
+    @ParameterizedTest
+    @ValueSource(longs = {500L, 1_500L, 3_000L})
+    void jobsAreDoneWhenTheLeaderCrashesWithASlowStoreAndNewMachines(long crashAfterMs) {
+        ClusterSimulation simulation = clusterWithServices();
+        simulation.network().delayStoreUpTo(900);
+        simulation.cloud().setBootMs(1_000);
+        List<String> jobs = submitArrays(simulation, 8, 5, 10, "red");
+        simulation.runChecked(crashAfterMs);
+        simulation.crash(simulation.leaderOrFirst(), 700);
+        simulation.runChecked(20_000);
+        simulation.network().delayStoreUpTo(0);
+        simulation.runChecked(100_000);
+        assertHealthy(simulation);
+        assertAllDone(simulation, jobs);
     }
 }
--- a/src/test/java/io/quartzgw/app/PairedFaultsTest.java
+++ b/src/test/java/io/quartzgw/app/PairedFaultsTest.java
@@ -19,6 +19,8 @@
 import java.util.OptionalLong;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
 /** Two faults at once, as operators have seen them; docs/design.md lists them all. */
 class PairedFaultsTest {
@@ -95,26 +97,25 @@
     }
 
     // Leases expire while commands still get responses: the tasks of such a machine run elsewhere, once.
-    @Test
-    void replicasMoveWhenHeartbeatsAreBlockedAndCommandsAreNot() {
-        for (boolean leaderCrashes : List.of(false, true)) {
-            ClusterSimulation simulation = clusterWithServices();
-            List<String> jobs = submitArrays(simulation, 5, 4, 30, "red");
-            simulation.runChecked(8_000);
-            List<String> silent = firstHalf(simulation.agents().machineIds());
-            silent.forEach(machine -> simulation.network().setHeartbeatsBlocked(machine, true));
-            simulation.users().cancelRunningJobs(2);
-            if (leaderCrashes) {
-                simulation.runChecked(1_000);
-                simulation.crash(simulation.leader(), 5_000);
-            }
-            simulation.runChecked(3 * LEASE_MS);
-            assertEquals(List.of(), simulation.invariants().missingReplicas(), "replicas run where heartbeats arrive");
-            silent.forEach(machine -> simulation.network().setHeartbeatsBlocked(machine, false));
-            simulation.runChecked(90_000);
-            assertHealthy(simulation);
-            assertAllEnded(simulation, jobs);
+    @ParameterizedTest
+    @ValueSource(booleans = {false, true})
+    void replicasMoveWhenHeartbeatsAreBlockedAndCommandsAreNot(boolean leaderCrashes) {
+        ClusterSimulation simulation = clusterWithServices();
+        List<String> jobs = submitArrays(simulation, 5, 4, 30, "red");
+        simulation.runChecked(8_000);
+        List<String> silent = firstHalf(simulation.agents().machineIds());
+        silent.forEach(machine -> simulation.network().setHeartbeatsBlocked(machine, true));
+        simulation.users().cancelRunningJobs(2);
+        if (leaderCrashes) {
+            simulation.runChecked(1_000);
+            simulation.crash(simulation.leader(), 5_000);
         }
+        simulation.runChecked(3 * LEASE_MS);
+        assertEquals(List.of(), simulation.invariants().missingReplicas(), "replicas run where heartbeats arrive");
+        silent.forEach(machine -> simulation.network().setHeartbeatsBlocked(machine, false));
+        simulation.runChecked(90_000);
+        assertHealthy(simulation);
+        assertAllEnded(simulation, jobs);
     }
 
     @Test
@@ -216,120 +217,115 @@
     }
 
     // No task may be placed twice or never: in each term some are accepted, started, stopped and ended.
-    @Test
-    void jobsEndThroughTenLeaderChangesInTwoMinutes() {
-        for (boolean outage : List.of(false, true)) {
-            ClusterSimulation simulation = clusterWithServices();
-            List<String> jobs = new ArrayList<>();
-            for (int change = 0; change < 10; change++) {
-                String id = JobRequests.id(600 + change);
-                simulation
-                        .users()
-                        .submitUntilAccepted(
-                                JobRequests.array(id, "red", 5, 4, 6),
-                                change % 4 == 3 ? OptionalLong.of(simulation.now() + 9_000) : OptionalLong.empty());
-                jobs.add(id);
-                simulation.runChecked(6_000);
-                if (outage && change == 4) {
-                    simulation.store().setOutage(true);
-                } else if (outage && change == 7) {
-                    simulation.store().setOutage(false);
-                }
-                int leader = simulation.leaderOrFirst();
-                simulation.crash(leader);
-                simulation.runChecked(change % 2 == 0 ? 300 : 6_000);
-                simulation.start(leader);
+    @ParameterizedTest
+    @ValueSource(booleans = {false, true})
+    void jobsEndThroughTenLeaderChangesInTwoMinutes(boolean outage) {
+        ClusterSimulation simulation = clusterWithServices();
+        List<String> jobs = new ArrayList<>();
+        for (int change = 0; change < 10; change++) {
+            String id = JobRequests.id(600 + change);
+            simulation
+                    .users()
+                    .submitUntilAccepted(
+                            JobRequests.array(id, "red", 5, 4, 6),
+                            change % 4 == 3 ? OptionalLong.of(simulation.now() + 9_000) : OptionalLong.empty());
+            jobs.add(id);
+            simulation.runChecked(6_000);
+            if (outage && change == 4) {
+                simulation.store().setOutage(true);
+            } else if (outage && change == 7) {
+                simulation.store().setOutage(false);
             }
-            simulation.runChecked(100_000);
-            assertHealthy(simulation);
-            assertAllEnded(simulation, jobs);
+            int leader = simulation.leaderOrFirst();
+            simulation.crash(leader);
+            simulation.runChecked(change % 2 == 0 ? 300 : 6_000);
+            simulation.start(leader);
         }
+        simulation.runChecked(100_000);
+        assertHealthy(simulation);
+        assertAllEnded(simulation, jobs);
     }
 
     // Inside the partition a controller responds to agents for its grace; outside, the resources of their tasks are
     // held.
-    @Test
-    void jobsEndWhenAZoneIsPartitionedForLongerThanALease() {
-        for (boolean leads : List.of(true, false)) {
+    @ParameterizedTest
+    @ValueSource(booleans = {true, false})
+    void jobsEndWhenAZoneIsPartitionedForLongerThanALease(boolean leads) {
+        ClusterSimulation simulation = clusterWithServices();
+        List<String> jobs = submitArrays(simulation, 5, 4, 20, "red");
+        simulation.runChecked(10_000);
+        int inside = leads ? simulation.leader() : (simulation.leader() + 1) % 3;
+        List<String> zone = firstHalf(simulation.agents().machineIds());
+        List<String> outside = new ArrayList<>(simulation.agents().machineIds());
+        outside.removeAll(zone);
+        outside.addAll(List.of(
+                Hosts.controller((inside + 1) % 3), Hosts.controller((inside + 2) % 3), Hosts.STORE, Hosts.CLOUD));
+        outside.forEach(far -> {
+            simulation.network().partition(Hosts.controller(inside), far);
+            zone.forEach(machine -> simulation.network().partition(machine, far));
+        });
+        simulation.runChecked(3_000);
+        simulation.users().cancelRunningJobs(3);
+        simulation.runChecked(3 * LEASE_MS);
+        outside.forEach(far -> {
+            simulation.network().heal(Hosts.controller(inside), far);
+            zone.forEach(machine -> simulation.network().heal(machine, far));
+        });
+        simulation.runChecked(120_000);
+        assertHealthy(simulation);
+        assertAllEnded(simulation, jobs);
+    }
+
+    @ParameterizedTest
+    @ValueSource(booleans = {true, false})
+    void longTasksAreDoneWhenTheLeaderCrashesDuringAPartition(boolean inboundOnly) {
+        for (long partitionMs : List.of(6_000L, 14_000L, 40_000L)) {
             ClusterSimulation simulation = clusterWithServices();
-            List<String> jobs = submitArrays(simulation, 5, 4, 20, "red");
-            simulation.runChecked(10_000);
-            int inside = leads ? simulation.leader() : (simulation.leader() + 1) % 3;
-            List<String> zone = firstHalf(simulation.agents().machineIds());
-            List<String> outside = new ArrayList<>(simulation.agents().machineIds());
-            outside.removeAll(zone);
-            outside.addAll(List.of(
-                    Hosts.controller((inside + 1) % 3), Hosts.controller((inside + 2) % 3), Hosts.STORE, Hosts.CLOUD));
-            outside.forEach(far -> {
-                simulation.network().partition(Hosts.controller(inside), far);
-                zone.forEach(machine -> simulation.network().partition(machine, far));
+            List<String> jobs = submitArrays(simulation, 4, 4, 45, "red");
+            simulation.runChecked(12_000);
+            List<String> some = firstHalf(simulation.agents().machineIds());
+            int leader = simulation.leader();
+            some.forEach(machine -> {
+                if (inboundOnly) {
+                    simulation.network().setInboundBlocked(machine, true);
+                } else {
+                    simulation.network().partition(machine, Hosts.ALL);
+                }
             });
-            simulation.runChecked(3_000);
-            simulation.users().cancelRunningJobs(3);
-            simulation.runChecked(3 * LEASE_MS);
-            outside.forEach(far -> {
-                simulation.network().heal(Hosts.controller(inside), far);
-                zone.forEach(machine -> simulation.network().heal(machine, far));
+            simulation.runChecked(500);
+            simulation.crash(leader, 5_000);
+            simulation.runChecked(partitionMs);
+            some.forEach(machine -> {
+                if (inboundOnly) {
+                    simulation.network().setInboundBlocked(machine, false);
+                } else {
+                    simulation.network().heal(machine, Hosts.ALL);
+                }
             });
-            simulation.runChecked(120_000);
+            simulation.runChecked(150_000);
             assertHealthy(simulation);
-            assertAllEnded(simulation, jobs);
-        }
-    }
-
-    @Test
-    void longTasksAreDoneWhenTheLeaderCrashesDuringAPartition() {
-        for (boolean inboundOnly : List.of(true, false)) {
-            for (long partitionMs : List.of(6_000L, 14_000L, 40_000L)) {
-                ClusterSimulation simulation = clusterWithServices();
-                List<String> jobs = submitArrays(simulation, 4, 4, 45, "red");
-                simulation.runChecked(12_000);
-                List<String> some = firstHalf(simulation.agents().machineIds());
-                int leader = simulation.leader();
-                some.forEach(machine -> {
-                    if (inboundOnly) {
-                        simulation.network().setInboundBlocked(machine, true);
-                    } else {
-                        simulation.network().partition(machine, Hosts.ALL);
-                    }
-                });
-                simulation.runChecked(500);
-                simulation.crash(leader, 5_000);
-                simulation.runChecked(partitionMs);
-                some.forEach(machine -> {
-                    if (inboundOnly) {
-                        simulation.network().setInboundBlocked(machine, false);
-                    } else {
-                        simulation.network().heal(machine, Hosts.ALL);
-                    }
-                });
-                simulation.runChecked(150_000);
-                assertHealthy(simulation);
-                assertAllDone(simulation, jobs);
-            }
+            assertAllDone(simulation, jobs);
         }
     }
 
     // A cancelled job is no open job any more, and its tasks run on where no command arrives: they count.
-    @Test
-    void quotaHoldsWhenTheLeaderCrashesWhileMachinesAreSilentAndJobsAreCancelled() {
-        for (long cancelAfterMs : List.of(-300L, 200L, 1_500L, 6_000L)) {
-            ClusterSimulation simulation = clusterWithServices();
-            List<String> jobs = submitArrays(simulation, 6, 5, 25, "green");
-            simulation.runChecked(20_000);
-            List<String> silent = firstHalf(simulation.agents().machineIds());
-            silent.forEach(machine -> simulation.network().partition(machine, Hosts.ALL));
-            int leader = simulation.leader();
-            long crashAt = simulation.now() + 500;
-            simulation.schedule(
-                    crashAt + cancelAfterMs, () -> simulation.users().cancelRunningJobs(3));
-            simulation.schedule(crashAt, () -> simulation.crash(leader, 5_000));
-            simulation.runChecked(12_000);
-            silent.forEach(machine -> simulation.network().heal(machine, Hosts.ALL));
-            simulation.runChecked(250_000);
-            assertHealthy(simulation);
-            assertAllEnded(simulation, jobs);
-        }
+    @ParameterizedTest
+    @ValueSource(longs = {-300L, 200L, 1_500L, 6_000L})
+    void quotaHoldsWhenTheLeaderCrashesWhileMachinesAreSilentAndJobsAreCancelled(long cancelAfterMs) {
+        ClusterSimulation simulation = clusterWithServices();
+        List<String> jobs = submitArrays(simulation, 6, 5, 25, "green");
+        simulation.runChecked(20_000);
+        List<String> silent = firstHalf(simulation.agents().machineIds());
+        silent.forEach(machine -> simulation.network().partition(machine, Hosts.ALL));
+        int leader = simulation.leader();
+        long crashAt = simulation.now() + 500;
+        simulation.schedule(crashAt + cancelAfterMs, () -> simulation.users().cancelRunningJobs(3));
+        simulation.schedule(crashAt, () -> simulation.crash(leader, 5_000));
+        simulation.runChecked(12_000);
+        silent.forEach(machine -> simulation.network().heal(machine, Hosts.ALL));
+        simulation.runChecked(250_000);
+        assertHealthy(simulation);
+        assertAllEnded(simulation, jobs);
     }
 
     @Test
@@ -355,25 +351,24 @@
     }
 
     // What a controller read before it was paused: it responds to nobody by it once it resumes, and deposes nobody.
-    @Test
-    void aPausedControllerThatResumesTellsNoOldStateAndDeposesNobody() {
-        for (boolean leads : List.of(true, false)) {
-            for (long pauseMs : List.of(3_000L, 9_000L, 20_000L, 70_000L)) {
-                ClusterSimulation simulation = clusterWithServices();
-                List<String> jobs = submitArrays(simulation, 4, 4, 12, "red");
-                simulation.runChecked(5_000);
-                int controller = leads ? simulation.leader() : (simulation.leader() + 1) % 3;
-                simulation.pauseController(controller, pauseMs);
-                simulation.schedule(
-                        simulation.now() + pauseMs / 2, () -> simulation.cancelRunningJobsWhileMachinesHang(3, 2_000));
-                simulation.runChecked(pauseMs);
-                int leader = simulation.leader();
-                simulation.runChecked(15_000);
-                assertTrue(leads || simulation.leader() == leader, "a controller that resumes deposes nobody");
-                simulation.runChecked(75_000);
-                assertHealthy(simulation);
-                assertAllEnded(simulation, jobs);
-            }
+    @ParameterizedTest
+    @ValueSource(booleans = {true, false})
+    void aPausedControllerThatResumesTellsNoOldStateAndDeposesNobody(boolean leads) {
+        for (long pauseMs : List.of(3_000L, 9_000L, 20_000L, 70_000L)) {
+            ClusterSimulation simulation = clusterWithServices();
+            List<String> jobs = submitArrays(simulation, 4, 4, 12, "red");
+            simulation.runChecked(5_000);
+            int controller = leads ? simulation.leader() : (simulation.leader() + 1) % 3;
+            simulation.pauseController(controller, pauseMs);
+            simulation.schedule(
+                    simulation.now() + pauseMs / 2, () -> simulation.cancelRunningJobsWhileMachinesHang(3, 2_000));
+            simulation.runChecked(pauseMs);
+            int leader = simulation.leader();
+            simulation.runChecked(15_000);
+            assertTrue(leads || simulation.leader() == leader, "a controller that resumes deposes nobody");
+            simulation.runChecked(75_000);
+            assertHealthy(simulation);
+            assertAllEnded(simulation, jobs);
         }
     }
 }
--- a/src/test/java/io/quartzgw/app/ScenarioTest.java
+++ b/src/test/java/io/quartzgw/app/ScenarioTest.java
@@ -12,6 +12,8 @@
 import java.util.List;
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
 /** Single faults, each with what users notice of it. */
 class ScenarioTest {
@@ -47,19 +49,18 @@
 
     // A paused leader has received no heartbeat when it resumes, and may not have heard
     // of its successor either.
-    @Test
-    void pausedLeaderThatResumesGivesUpNoMachine() {
-        for (long pauseMs : List.of(3_000L, 9_000L, 30_000L, 70_000L)) {
-            ClusterSimulation simulation = clusterWithServices();
-            String leader = Hosts.controller(simulation.leader());
-            simulation.pauseController(simulation.leader(), pauseMs);
-            simulation.network().partition(leader, Hosts.ALL);
-            simulation.runUntil(simulation.now() + pauseMs + 2_000);
-            simulation.network().heal(leader, Hosts.ALL);
-            simulation.runUntil(simulation.now() + 30_000);
-            assertNothingRestarted(simulation);
-            assertEquals(0, simulation.counter("machines.given_up"));
-        }
+    @ParameterizedTest
+    @ValueSource(longs = {3_000L, 9_000L, 30_000L, 70_000L})
+    void pausedLeaderThatResumesGivesUpNoMachine(long pauseMs) {
+        ClusterSimulation simulation = clusterWithServices();
+        String leader = Hosts.controller(simulation.leader());
+        simulation.pauseController(simulation.leader(), pauseMs);
+        simulation.network().partition(leader, Hosts.ALL);
+        simulation.runUntil(simulation.now() + pauseMs + 2_000);
+        simulation.network().heal(leader, Hosts.ALL);
+        simulation.runUntil(simulation.now() + 30_000);
+        assertNothingRestarted(simulation);
+        assertEquals(0, simulation.counter("machines.given_up"));
     }
 
     // The grace counts from the time up to which the leader knows all cancellations.
@@ -166,33 +167,31 @@
     }
 
     // The lease of the former process is still valid, and the other controllers may not have noticed.
-    @Test
-    void leaderThatIsBackAtOnceRestartsNothing() {
-        for (long downMs : List.of(50L, 200L, 600L)) {
-            ClusterSimulation simulation = clusterWithServices();
-            int leader = simulation.leader();
-            simulation.crash(leader);
-            simulation.runUntil(simulation.now() + downMs);
-            simulation.start(leader);
-            simulation.runUntil(simulation.now() + 8_000);
-            assertTrue(simulation.hasLeader(), "there is a leader again");
-            simulation.runUntil(simulation.now() + 60_000);
-            assertNothingRestarted(simulation);
-        }
+    @ParameterizedTest
+    @ValueSource(longs = {50L, 200L, 600L})
+    void leaderThatIsBackAtOnceRestartsNothing(long downMs) {
+        ClusterSimulation simulation = clusterWithServices();
+        int leader = simulation.leader();
+        simulation.crash(leader);
+        simulation.runUntil(simulation.now() + downMs);
+        simulation.start(leader);
+        simulation.runUntil(simulation.now() + 8_000);
+        assertTrue(simulation.hasLeader(), "there is a leader again");
+        simulation.runUntil(simulation.now() + 60_000);
+        assertNothingRestarted(simulation);
     }
 
     // A machine is back before its silence shows: its new agent counts its epochs from the first or
     // from the next one, and what ran there is gone.
-    @Test
-    void replicasRunAgainAfterAMachineRebooted() {
-        for (boolean epochKept : List.of(true, false)) {
-            ClusterSimulation simulation = clusterWithServices();
-            String machine = simulation.agents().machineIds().get(0);
-            simulation.agents().reboot(machine, epochKept);
-            simulation.runUntil(simulation.now() + 15_000);
-            assertEquals(List.of(), simulation.invariants().violations());
-            assertEquals(List.of(), simulation.invariants().missingReplicas(), "long before a hold would have ended");
-        }
+    @ParameterizedTest
+    @ValueSource(booleans = {true, false})
+    void replicasRunAgainAfterAMachineRebooted(boolean epochKept) {
+        ClusterSimulation simulation = clusterWithServices();
+        String machine = simulation.agents().machineIds().get(0);
+        simulation.agents().reboot(machine, epochKept);
+        simulation.runUntil(simulation.now() + 15_000);
+        assertEquals(List.of(), simulation.invariants().violations());
+        assertEquals(List.of(), simulation.invariants().missingReplicas(), "long before a hold would have ended");
     }
 
     // Late duplicates of a lost machine's heartbeats must not show it as alive.
--- a/src/test/java/io/quartzgw/app/SingleFault.java
+++ b/src/test/java/io/quartzgw/app/SingleFault.java
@@ -18,7 +18,7 @@
     MACHINE_IS_PARTITIONED((simulation, event) ->
             event.machine(simulation).ifPresent(machine -> partition(simulation, event, machine, Hosts.ALL))),
     MACHINE_HANGS(SingleFault::hangMachine),
-    MACHINE_FAILS((simulation, event) ->
+    MACHINE_CRASHES((simulation, event) ->
             event.machine(simulation).ifPresent(machine -> simulation.cloud().fail(machine, event.time))),
     INBOUND_MESSAGES_OF_MACHINES_ARE_BLOCKED(SingleFault::blockInboundOfHalfTheMachines),
     CONTROLLER_IS_BACK_AT_ONCE((simulation, event) -> simulation.crash(event.controller, 100 + event.durationMs % 400)),
