--- a/src/main/java/io/quartzgw/app/Controller.java
+++ b/src/main/java/io/quartzgw/app/Controller.java
@@ -86,7 +86,7 @@
         RequestRouter router = new RequestRouter(eventLoop, requestHandlers());
         eventLoop.onRequest(router::route);
         eventLoop.onBatchEnd(() -> leader.ifPresent(LeaderRuntime::afterBatch));
-        cancellations.listener(job -> leader.ifPresent(runtime -> runtime.jobCancelled(job)));
+        cancellations.setListener(job -> leader.ifPresent(runtime -> runtime.jobCancelled(job)));
         catalog.start();
         leadership.start(new LeadershipChanges());
         peers.start(new PeerPayloads(this::nextCountPage, this::applyCountPage, this::applyNotice));
--- a/src/main/java/io/quartzgw/cancellation/CancellationRegistry.java
+++ b/src/main/java/io/quartzgw/cancellation/CancellationRegistry.java
@@ -34,8 +34,8 @@
         this.retainedMs = (long) (RETAINED_LIMITS * cancelLimitMs);
     }
 
-    /** @param listener receives each job that becomes known as cancelled */
-    public void listener(Consumer<String> listener) {
+    /** Sets the receiver of each job that becomes known as cancelled. */
+    public void setListener(Consumer<String> listener) {
         this.listener = listener;
     }
 
--- a/src/main/java/io/quartzgw/fleet/ScaleInPolicy.java
+++ b/src/main/java/io/quartzgw/fleet/ScaleInPolicy.java
@@ -145,8 +145,10 @@
         }
         AgentLiveness liveness = machine.liveness();
         long maxSilenceMs = (long) (LOST_RESERVATIONS * policy.reservationMs());
-        return machine.reservationExpired()
-                        && eventLoop.nowMs() - Math.max(liveness.lastResponseAt(), electedAt) > maxSilenceMs
-                || liveness.unreachable() && eventLoop.nowMs() - liveness.unreachableSince() > maxSilenceMs;
+        boolean silentTooLong = machine.reservationExpired()
+                && eventLoop.nowMs() - Math.max(liveness.lastResponseAt(), electedAt) > maxSilenceMs;
+        boolean unreachableTooLong =
+                liveness.unreachable() && eventLoop.nowMs() - liveness.unreachableSince() > maxSilenceMs;
+        return silentTooLong || unreachableTooLong;
     }
 }
--- a/src/main/java/io/quartzgw/fleet/ScaleOutPlanner.java
+++ b/src/main/java/io/quartzgw/fleet/ScaleOutPlanner.java
@@ -148,7 +148,7 @@
             int fits = Math.min(count, fits(job.spec().demand(), offer.type().size()));
             double price = fits == 0 ? Double.MAX_VALUE : offer.type().price(offer.spot()) / fits;
             int zoneMachines = machinesByZone.getOrDefault(offer.zone(), 0);
-            if (price < bestPrice || best != null && price == bestPrice && zoneMachines < bestZoneMachines) {
+            if (price < bestPrice || (best != null && price == bestPrice && zoneMachines < bestZoneMachines)) {
                 best = offer;
                 bestPrice = price;
                 bestZoneMachines = zoneMachines;
--- a/src/main/java/io/quartzgw/model/Priority.java
+++ b/src/main/java/io/quartzgw/model/Priority.java
@@ -13,6 +13,6 @@
 
     /** Whether this priority is more important than the other one. */
     public boolean above(Priority other) {
-        return ordinal() < other.ordinal();
+        return compareTo(other) < 0;
     }
 }
--- a/src/main/java/io/quartzgw/scheduling/BestFit.java
+++ b/src/main/java/io/quartzgw/scheduling/BestFit.java
@@ -75,7 +75,7 @@
             found++;
             double cost =
                     cost(job.spec(), machine, now) + ZONE_WEIGHT * zoneUtilization.getOrDefault(machine.zone(), 0.0);
-            if (cost < bestCost || cost == bestCost && machine.id().compareTo(best.id()) < 0) {
+            if (cost < bestCost || (cost == bestCost && machine.id().compareTo(best.id()) < 0)) {
                 best = machine;
                 bestCost = cost;
             }
--- a/src/main/java/io/quartzgw/scheduling/CandidateMachines.java
+++ b/src/main/java/io/quartzgw/scheduling/CandidateMachines.java
@@ -59,9 +59,9 @@
     boolean scheduleNextTask() {
         return allocateFrom(withImage)
                 || allocateFrom(withFastFetch)
-                || mayPreempt && preemptWithImage()
+                || (mayPreempt && preemptWithImage())
                 || allocateFrom(withSlowFetch)
-                || mayPreempt && preemptAnywhere();
+                || (mayPreempt && preemptAnywhere());
     }
 
     private boolean allocateFrom(List<Machine> candidates) {
--- a/src/main/java/io/quartzgw/scheduling/Scheduler.java
+++ b/src/main/java/io/quartzgw/scheduling/Scheduler.java
@@ -157,7 +157,7 @@
     // Normal priority preempts low priority only where no machine can be rented instead: otherwise the work of the low
     // task would be lost for a wait that a boot ends.
     private boolean mayPreempt(Priority priority) {
-        return priority.above(Priority.NORMAL) || priority == Priority.NORMAL && normalPreempts;
+        return priority.above(Priority.NORMAL) || (priority == Priority.NORMAL && normalPreempts);
     }
 
     private void scheduleRetry() {
--- a/src/main/java/io/quartzgw/scheduling/SchedulingQueue.java
+++ b/src/main/java/io/quartzgw/scheduling/SchedulingQueue.java
@@ -68,7 +68,7 @@
         boolean late = !objectives.isReachable(job, now) && ageMs < LATENESS_EXPIRES_HEARTBEATS * heartbeatMs;
         boolean starved =
                 ageMs >= STARVED_AFTER_HEARTBEATS * heartbeatMs && job.doneCount() == 0 && job.possiblyRunning() == 0;
-        double ageDivisor = 1 + Math.max(0.0, ageMs) / (AGEING_HEARTBEATS * heartbeatMs);
+        double ageDivisor = 1 + Math.max(0.0, (double) ageMs) / (AGEING_HEARTBEATS * heartbeatMs);
         double agedWork = job.pendingWork() / (ageDivisor * ageDivisor);
         return new RankedJob(job, guaranteed, starved, late, agedWork, usage.cpus());
     }
--- a/src/main/java/io/quartzgw/scheduling/ServiceLevelObjectives.java
+++ b/src/main/java/io/quartzgw/scheduling/ServiceLevelObjectives.java
@@ -47,9 +47,11 @@
         }
         long expectedDoneAt = now + (long) (spec.estimateS() * 1000);
         double multiple = deadlineMultiples.getOrDefault(spec.jobClass(), 1.0);
-        return spec.deadlineS() != null && expectedDoneAt <= job.submittedAt() + multiple * spec.deadlineS() * 1000
-                || targetsS != null
+        boolean meetsDeadline =
+                spec.deadlineS() != null && expectedDoneAt <= job.submittedAt() + multiple * spec.deadlineS() * 1000;
+        return meetsDeadline
+                || (targetsS != null
                         && Arrays.stream(targetsS)
-                                .anyMatch(targetS -> expectedDoneAt <= job.submittedAt() + targetS * 1000);
+                                .anyMatch(targetS -> expectedDoneAt <= job.submittedAt() + targetS * 1000));
     }
 }
--- a/src/test/java/io/quartzgw/app/CancellationTest.java
+++ b/src/test/java/io/quartzgw/app/CancellationTest.java
@@ -106,7 +106,7 @@
                         () -> simulation.users().cancelJob(controller, id, userReplies::add));
             }
             long faultAt = simulation.now() + random.nextInt(6_000);
-            long durationMs = 1_000 + random.nextInt(15_000);
+            long durationMs = 1_000L + random.nextInt(15_000);
             scheduleFault(simulation, i % 5, faultAt, faultAt + durationMs);
             simulation.runChecked(150_000);
             assertEquals(List.of(), simulation.invariants().violations(), "run " + i);
--- a/src/test/java/io/quartzgw/app/ConcurrentFault.java
+++ b/src/test/java/io/quartzgw/app/ConcurrentFault.java
@@ -34,6 +34,7 @@
     private static final long LAST_MS = 180_000;
     private static final int MAX_PICK = 1_000;
 
+    @SuppressWarnings("ImmutableEnumChecker") // References to static methods have no state.
     private final BiConsumer<ClusterSimulation, Event> injection;
 
     ConcurrentFault(BiConsumer<ClusterSimulation, Event> injection) {
--- a/src/test/java/io/quartzgw/app/RandomLoads.java
+++ b/src/test/java/io/quartzgw/app/RandomLoads.java
@@ -39,7 +39,7 @@
                 arrays.add(id);
             }
             long submitAt = random.nextInt(SUBMITTED_WITHIN_MS);
-            boolean cancelled = service && i % 2 == 0 || i % 10 == 1;
+            boolean cancelled = (service && i % 2 == 0) || i % 10 == 1;
             schedule(simulation, spec, submitAt, cancelTime(random, cancelled, submitAt, MIXED_CANCEL_SPREAD_MS));
         }
         return arrays;
--- a/src/test/java/io/quartzgw/app/ScaleTest.java
+++ b/src/test/java/io/quartzgw/app/ScaleTest.java
@@ -72,7 +72,7 @@
         for (int i = 0; i < ARRAYS; i++) {
             String id = JobRequests.id(1000 + i);
             simulation.schedule(
-                    simulation.now() + 1_000 * i,
+                    simulation.now() + 1_000L * i,
                     () -> simulation.users().submitUntilAccepted(JobRequests.array(id, "blue", TASKS, CPUS, 10)));
         }
         simulation.runUntil(simulation.now() + 60_000);
--- a/src/test/java/io/quartzgw/app/SettingsReaderTest.java
+++ b/src/test/java/io/quartzgw/app/SettingsReaderTest.java
@@ -77,6 +77,6 @@
     void namesTheFieldThatIsWrong(String right, String wrong, String field) {
         InvalidSettingsException error =
                 assertThrows(InvalidSettingsException.class, () -> SettingsReader.read(GOOD.replace(right, wrong)));
-        assertEquals(field, error.getMessage().split(":")[0]);
+        assertEquals(field, error.getMessage().split(":", 2)[0]);
     }
 }
--- a/src/test/java/io/quartzgw/app/SingleFault.java
+++ b/src/test/java/io/quartzgw/app/SingleFault.java
@@ -31,6 +31,7 @@
     private static final long FIRST_MS = 20_000;
     private static final long LAST_MS = 180_000;
 
+    @SuppressWarnings("ImmutableEnumChecker") // References to static methods have no state.
     private final BiConsumer<ClusterSimulation, Event> injection;
 
     SingleFault(BiConsumer<ClusterSimulation, Event> injection) {
@@ -60,7 +61,7 @@
     /** Schedules random faults, one after the other. */
     static void scheduleAll(ClusterSimulation simulation, SplittableRandom random) {
         for (long time = FIRST_MS; time < LAST_MS; time += 8_000 + random.nextInt(12_000)) {
-            long durationMs = 2_000 + random.nextInt(28_000);
+            long durationMs = 2_000L + random.nextInt(28_000);
             int controller = random.nextInt(CONTROLLERS);
             String otherHost = List.of(
                             Hosts.controller(0),
--- a/src/test/java/io/quartzgw/cancellation/CancellationRegistryTest.java
+++ b/src/test/java/io/quartzgw/cancellation/CancellationRegistryTest.java
@@ -41,7 +41,7 @@
     @Test
     void cancellationIsAnnouncedBeyondTheLimitAndReportedToTheListenerOnce() {
         List<String> reported = new ArrayList<>();
-        remote.listener(reported::add);
+        remote.setListener(reported::add);
         advanceTo(1_000);
         assertTrue(local.record("j-000001"));
         assertFalse(local.record("j-000001"), "recorded already");
--- a/src/test/java/io/quartzgw/scheduling/SchedulerTest.java
+++ b/src/test/java/io/quartzgw/scheduling/SchedulerTest.java
@@ -300,9 +300,10 @@
             for (double used = 0; used <= 30; used += 1.5) {
                 for (int maxCount : List.of(0, 1, 7, 40)) {
                     int count = 0;
-                    Resources use = new Resources(used, 0, 0);
-                    while (count < maxCount && team.withinLimit(use = use.plus(demand))) {
+                    Resources use = new Resources(used, 0, 0).plus(demand);
+                    while (count < maxCount && team.withinLimit(use)) {
                         count++;
+                        use = use.plus(demand);
                     }
                     assertEquals(count, team.tasksWithinLimit(new Resources(used, 0, 0), demand, maxCount));
                 }
--- a/src/test/java/io/quartzgw/simulation/ClassArchive.java
+++ b/src/test/java/io/quartzgw/simulation/ClassArchive.java
@@ -18,7 +18,11 @@
 
     private ClassArchive() {}
 
-    /** @param args the jar, the archive to write, and the options of the JVM that will use it */
+    /**
+     * Writes the archive.
+     *
+     * @param args the jar, the archive to write, and the options of the JVM that will use it
+     */
     public static void main(String[] args) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("quartzgw");
         try (LoopbackCluster cluster = new LoopbackCluster(1)) {
--- a/src/test/java/io/quartzgw/simulation/CommandDelays.java
+++ b/src/test/java/io/quartzgw/simulation/CommandDelays.java
@@ -37,7 +37,7 @@
             return new Delay((long) (maxDelayMs * part * part * part), 0);
         }
         if (delayedShare > 0 && random.nextDouble() < delayedShare) {
-            long delayMs = MIN_DELAY_MS + random.nextInt(DELAY_SPREAD_MS);
+            long delayMs = (long) MIN_DELAY_MS + random.nextInt(DELAY_SPREAD_MS);
             return random.nextBoolean() ? new Delay(0, delayMs) : new Delay(delayMs, 0);
         }
         return Delay.NONE;
--- a/src/test/java/io/quartzgw/simulation/LoopbackCluster.java
+++ b/src/test/java/io/quartzgw/simulation/LoopbackCluster.java
@@ -25,6 +25,7 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
+import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
@@ -40,6 +41,7 @@
     private final SimulatedCloud cloud = new SimulatedCloud(200, 300, 4, this::addressOf);
     private final ExecutorService threads = Executors.newCachedThreadPool();
     private final ScheduledExecutorService clock = Executors.newSingleThreadScheduledExecutor();
+    private final ScheduledFuture<?> ticks;
     private final HttpClient http = HttpClient.newBuilder()
             .version(HttpClient.Version.HTTP_1_1)
             .connectTimeout(Duration.ofSeconds(2))
@@ -64,7 +66,7 @@
         clientPorts = freePorts(controllers);
         peerPorts = freePorts(controllers);
         cloud.onMachineChange(this::boot, agents::remove);
-        clock.scheduleAtFixedRate(this::tick, 20, 20, TimeUnit.MILLISECONDS);
+        ticks = clock.scheduleAtFixedRate(this::tick, 20, 20, TimeUnit.MILLISECONDS);
     }
 
     private static int[] freePorts(int count) throws IOException {
@@ -291,6 +293,7 @@
     @Override
     public void close() {
         agents.clear();
+        ticks.cancel(false);
         clock.shutdownNow();
         storeServer.stop(0);
         cloudServer.stop(0);
--- a/src/test/java/io/quartzgw/simulation/SimulatedAgents.java
+++ b/src/test/java/io/quartzgw/simulation/SimulatedAgents.java
@@ -195,7 +195,7 @@
     private boolean isHeartbeatDue(Host host) {
         long elapsed = events.now() - host.lastHeartbeatAt;
         long period = HEARTBEAT_MS * 3 / 4 + context.random().nextInt((int) HEARTBEAT_MS / 2);
-        return elapsed >= period || elapsed >= MIN_HEARTBEAT_MS && host.agent.takeChanged();
+        return elapsed >= period || (elapsed >= MIN_HEARTBEAT_MS && host.agent.takeChanged());
     }
 
     private void sendHeartbeat(Host host) {
@@ -225,7 +225,7 @@
                 events.scheduleAfter(1 + network.linkDelay(), () -> firstReply.accept(reply));
             }
         });
-        if (blocked || !partitioned && !controllers.isUp(target)) {
+        if (blocked || (!partitioned && !controllers.isUp(target))) {
             events.scheduleAfter(1, () -> firstReply.accept(Reply.lost()));
         } else if (partitioned) {
             network.hold(id, NetworkPartitions.CONTROLLERS, arrival);
--- a/src/test/java/io/quartzgw/simulation/SimulatedCloud.java
+++ b/src/test/java/io/quartzgw/simulation/SimulatedCloud.java
@@ -48,7 +48,7 @@
 
     /**
      * @param lagMs how old the state is that the list of machines shows
-     * @param setBootMs how long a machine boots
+     * @param bootMs how long a machine boots
      * @param capacity how many machines can be rented at a time
      * @param addresses the address of a machine's agent, by the machine's name
      */
--- a/src/test/java/io/quartzgw/simulation/SimulatedNetwork.java
+++ b/src/test/java/io/quartzgw/simulation/SimulatedNetwork.java
@@ -171,7 +171,7 @@
 
     /** The time that a message takes without any fault. */
     long baseDelay() {
-        return 1 + random.nextInt(BASE_SPREAD_MS);
+        return 1L + random.nextInt(BASE_SPREAD_MS);
     }
 
     /** Draws the additional time of a message between a controller and a machine. */
--- a/src/test/java/io/quartzgw/simulation/SimulatedStore.java
+++ b/src/test/java/io/quartzgw/simulation/SimulatedStore.java
@@ -159,7 +159,7 @@
         if (path.equals("/holds")) {
             return grantLease(Json.readOrNull(call.body()).path("life_ms").asLong());
         }
-        return changeLease(call.method(), Long.parseLong(path.split("/")[2]));
+        return changeLease(call.method(), Long.parseLong(path.split("/", -1)[2]));
     }
 
     // ---- leases
@@ -252,7 +252,7 @@
     /** The parameters of a request's query. */
     static Map<String, String> query(URI uri) {
         Map<String, String> query = new HashMap<>();
-        for (String pair : uri.getQuery().split("&")) {
+        for (String pair : uri.getQuery().split("&", -1)) {
             int equals = pair.indexOf('=');
             query.put(pair.substring(0, equals), pair.substring(equals + 1));
         }
