--- a/src/main/java/io/quartzgw/app/LeaderRuntime.java
+++ b/src/main/java/io/quartzgw/app/LeaderRuntime.java
@@ -89,14 +89,7 @@
         this.records = newMachineRecords(services.store());
         this.fleet = newFleet(services, recoveryTiming);
         this.fleetScaling = new FleetScaling(eventLoop, fleet, agentTiming.heartbeatMs());
-        this.openJobs = new OpenJobWatcher(
-                eventLoop,
-                services.store(),
-                term,
-                cluster,
-                services.watermark(),
-                agentTiming.heartbeatMs(),
-                jobEvents());
+        this.openJobs = newOpenJobWatcher(services);
         this.countPages = new JobCountPager(cluster);
         this.reachability = new AgentReachability(eventLoop, cluster, services.peers(), agentTiming.heartbeatMs());
         this.recovery = new FailoverRecovery(
@@ -135,8 +128,15 @@
         return new FleetManager(context, services.catalog(), records, consolidation, agents::forget);
     }
 
-    private OpenJobWatcher.JobEvents jobEvents() {
-        return new OpenJobWatcher.JobEvents(this::knownTerminal, this::terminate);
+    private OpenJobWatcher newOpenJobWatcher(ControllerServices services) {
+        return new OpenJobWatcher(
+                eventLoop,
+                services.store(),
+                term,
+                cluster,
+                services.watermark(),
+                settings.agentTiming().heartbeatMs(),
+                new OpenJobWatcher.JobEvents(this::knownTerminal, this::terminate));
     }
 
     // Where work within the guarantee has an objective, its capacity is rented before the work arrives.
