--- a/src/main/java/io/quartzgw/agent/LeaderContext.java
+++ b/src/main/java/io/quartzgw/agent/LeaderContext.java
@@ -9,7 +9,7 @@
  * What every part of one leader shares.
  *
  * @param eventLoop clock, timers, outbound calls and counters
- * @param term the term in which this node leads
+ * @param term the term in which this controller leads
  * @param cluster the leader's view of jobs, machines and allocations
  * @param machineTypes the machine types that the cloud offers
  */
--- a/src/main/java/io/quartzgw/app/LeaderRuntime.java
+++ b/src/main/java/io/quartzgw/app/LeaderRuntime.java
@@ -32,15 +32,12 @@
 import io.quartzgw.submission.JobStore;
 import io.quartzgw.submission.OpenJob;
 import io.quartzgw.submission.TerminalState;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 
 /**
  * Everything that this controller does as the leader of one term; a later term starts with a new one. It builds the
  * leader's parts, passes events between them, and drives them once a batch and on a timer.
  */
 final class LeaderRuntime {
-    private static final Logger LOG = LoggerFactory.getLogger(LeaderRuntime.class);
     private static final double TICK_LEASES = 0.03;
     /** After it resigned for lack of heartbeats, this controller is no candidate for this many intervals. */
     private static final int BACK_OFF_HEARTBEATS = 6;
@@ -160,7 +157,7 @@
 
     private void tick() {
         if (term.isCurrent() && reachability.partitioned()) {
-            resign();
+            leadership.resign(BACK_OFF_HEARTBEATS * settings.agentTiming().heartbeatMs());
         }
         if (term.isCurrent()) {
             eventLoop.after((long) (TICK_LEASES * settings.agentTiming().leaseMs()), this::tick);
@@ -173,14 +170,6 @@
         }
     }
 
-    private void resign() {
-        LOG.atInfo()
-                .addKeyValue("term", term.fencingToken())
-                .addKeyValue("reason", "agents_reach_another_controller")
-                .log("leader resigns");
-        leadership.resign(BACK_OFF_HEARTBEATS * settings.agentTiming().heartbeatMs());
-    }
-
     /** Answers an agent's heartbeat, which renews its lease. */
     HeartbeatResponse handleHeartbeat(Heartbeat heartbeat) {
         return agents.receive(heartbeat);
--- a/src/main/java/io/quartzgw/app/OpenJobWatcher.java
+++ b/src/main/java/io/quartzgw/app/OpenJobWatcher.java
@@ -32,7 +32,7 @@
     private long watchedRevision = Long.MAX_VALUE;
 
     /**
-     * What the watcher asks and tells the leader.
+     * The leader's part in watching jobs.
      *
      * @param knownTerminal whether a job is known to be cancelled or done, whatever else is read of it
      * @param onTerminated receives the id of each job that is terminal in the state service
--- a/src/main/java/io/quartzgw/fleet/MachineRecords.java
+++ b/src/main/java/io/quartzgw/fleet/MachineRecords.java
@@ -23,7 +23,7 @@
 
 /**
  * Records of rented machines in the state service, packed into pages. A machine's description is written when it is
- * rented. A machine is marked as used before the first task starts on it, so that after a takeover a machine that never
+ * rented. A machine is marked as used before the first task starts on it, so that after a failover a machine that never
  * ran a task leaves none unaccounted. The marks have pages of their own: starts wait for them, and they are far smaller
  * than descriptions.
  */
--- a/src/main/java/io/quartzgw/http/HttpClient.java
+++ b/src/main/java/io/quartzgw/http/HttpClient.java
@@ -242,7 +242,7 @@
             done = true;
             timeout.remove();
             if (connecting != null) {
-                // Connecting to a machine that is cut off hangs, and would hold a socket long after the call.
+                // Connecting to an unreachable machine hangs, and would hold a socket long after the call.
                 connecting.cancel();
             }
             IoUtils.safeClose(connection);
--- a/src/main/java/io/quartzgw/http/HttpServer.java
+++ b/src/main/java/io/quartzgw/http/HttpServer.java
@@ -156,7 +156,7 @@
         if (exchange.isResponseStarted()) {
             return;
         }
-        // Guards accepting: with more clients than sockets, those that are answered make room for those that wait.
+        // With more clients than sockets, those that were answered have to make way for those that wait to be accepted.
         if (clientStatistics != null && clientStatistics.getActiveConnections() > socketBudget.keepAliveConnections()) {
             exchange.setPersistent(false);
         }
--- a/src/main/java/io/quartzgw/leadership/LeadershipTiming.java
+++ b/src/main/java/io/quartzgw/leadership/LeadershipTiming.java
@@ -11,7 +11,7 @@
 public record LeadershipTiming(long leaseMs, long graceMs, long heartbeatMs) {
     /**
      * The leader's lease as a fraction of an agent's lease. It is longer than a pause of a controller with a quarter of
-     * a core; and a takeover must not outlast the agents' leases, however rarely they send heartbeats.
+     * a core; and a failover must not outlast the agents' leases, however rarely they send heartbeats.
      */
     private static final double LEASE_FRACTION = 0.22;
 
--- a/src/main/java/io/quartzgw/leadership/StepDownReason.java
+++ b/src/main/java/io/quartzgw/leadership/StepDownReason.java
@@ -10,7 +10,7 @@
     HIGHER_TERM_STORED,
     /** A message of an agent or a peer showed a higher term. */
     HIGHER_TERM_OBSERVED,
-    /** This controller resigned in favour of another one. */
+    /** This controller resigned, since its agents reach another controller but not this one. */
     RESIGNED;
 
     String logValue() {
--- a/src/main/java/io/quartzgw/progress/ProgressRecorder.java
+++ b/src/main/java/io/quartzgw/progress/ProgressRecorder.java
@@ -33,8 +33,8 @@
     private static final double BATCH_HEARTBEATS = 0.2;
     private static final double RETRY_HEARTBEATS = 0.1;
     /**
-     * The fraction of this node's write budget that finished tasks may take. They can wait, since agents report them
-     * until they are recorded; the more tasks wait, the more are written at once.
+     * The fraction of this controller's write budget that finished tasks may take. They can wait, since agents report
+     * them until they are recorded; the more tasks wait, the more are written at once.
      */
     private static final double FINISHES_WRITE_FRACTION = 0.25;
     /** The fraction of a job by which its start limit is raised ahead, so that a job takes few writes. */
--- a/src/main/java/io/quartzgw/recovery/StoredState.java
+++ b/src/main/java/io/quartzgw/recovery/StoredState.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /**
- * What the state service holds when a leader takes over.
+ * What the state service has stored when a new leader is elected.
  *
  * @param openJobs the open jobs, with the revision at which they were read
  * @param progress the finished tasks of open jobs, and how many tasks may have been started
--- a/src/main/java/io/quartzgw/scheduling/ClusterState.java
+++ b/src/main/java/io/quartzgw/scheduling/ClusterState.java
@@ -18,7 +18,7 @@
  * The leader's in-memory state: open jobs, machines and allocations. Only this class allocates and releases, so that
  * free capacity, team usage and zone counts stay consistent.
  *
- * <p>After a takeover two things are unknown. An <em>unaccounted</em> task may run on a silent machine: it has no
+ * <p>After a failover two things are unknown. An <em>unaccounted</em> task may run on a silent machine: it has no
  * allocation, is not done and may have been started by a former leader. An <em>unexplained</em> machine may run tasks
  * of jobs that are no longer open, and so belong to no job that this leader knows.
  */
@@ -238,7 +238,7 @@
     public void setUnexplained(Machine machine, boolean isUnexplained) {
         if (isUnexplained ? unexplainedMachines.add(machine) : unexplainedMachines.remove(machine)) {
             Resources size = machine.type().size();
-            // Not summed again unless empty: after a takeover hundreds of machines are explained one by one.
+            // Not summed again unless empty: after a failover hundreds of machines are explained one by one.
             unexplainedCapacity = unexplainedMachines.isEmpty()
                     ? Resources.NONE
                     : isUnexplained ? unexplainedCapacity.plus(size) : unexplainedCapacity.minus(size);
--- a/src/main/java/io/quartzgw/scheduling/Job.java
+++ b/src/main/java/io/quartzgw/scheduling/Job.java
@@ -11,7 +11,7 @@
 
 /**
  * An open job as the leader sees it. Each task is in exactly one state: done, allocated to a machine, unaccounted (it
- * may run on a machine that has been silent since the takeover), or pending. All times are of this controller's steady
+ * may run on a machine that has been silent since the failover), or pending. All times are of this controller's steady
  * clock.
  */
 public final class Job {
--- a/src/main/java/io/quartzgw/submission/JobKeys.java
+++ b/src/main/java/io/quartzgw/submission/JobKeys.java
@@ -2,7 +2,7 @@
 
 /**
  * Keys of job records in the state service. A job is under {@link #OPEN} with its specification until it moves, in one
- * transaction, to {@link #TERMINAL}: a takeover reads open jobs only.
+ * transaction, to {@link #TERMINAL}: a failover reads open jobs only.
  */
 public final class JobKeys {
     /** Prefix of the records of open jobs. */
