--- a/src/test/java/io/quartzgw/docs/DocumentationTest.java
+++ b/src/test/java/io/quartzgw/docs/DocumentationTest.java
@@ -1,11 +1,14 @@
 package io.quartzgw.docs;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.regex.Matcher;
@@ -13,6 +16,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Every class, and every test method, that a page names in code font exists in the sources. */
@@ -34,12 +38,20 @@
         try (Stream<Path> files = Files.walk(SOURCES)) {
             return files.filter(file -> file.toString().endsWith(".java")).toList().stream();
         } catch (IOException e) {
-            throw new java.io.UncheckedIOException(e);
+            throw new UncheckedIOException(e);
         }
     }
 
+    static List<String> pages() throws IOException {
+        List<String> pages = new ArrayList<>(List.of("README.md", "KNOWN-RED.txt"));
+        try (Stream<Path> files = Files.walk(Path.of("docs"))) {
+            files.filter(file -> file.toString().endsWith(".md")).map(Path::toString).sorted().forEach(pages::add);
+        }
+        return pages;
+    }
+
     @ParameterizedTest
-    @ValueSource(strings = {"README.md", "KNOWN-RED.txt", "docs/architecture.md", "docs/design.md"})
+    @MethodSource("pages")
     void everyClassThatAPageNamesExists(String page) throws IOException {
         Set<String> unknown = new TreeSet<>();
         Matcher span = CODE_SPAN.matcher(Files.readString(Path.of(page)));
@@ -57,8 +69,8 @@
     @ParameterizedTest
     @ValueSource(strings = {"docs/architecture.md", "docs/design.md"})
     void thePageNamesClassesAtAll(String page) throws IOException {
-        assertFalse(
-                CODE_SPAN.matcher(Files.readString(Path.of(page))).results().noneMatch(span -> CLASS_NAME
+        assertTrue(
+                CODE_SPAN.matcher(Files.readString(Path.of(page))).results().anyMatch(span -> CLASS_NAME
                         .matcher(span.group(1))
                         .matches()),
                 "a page without names would pass the other test for nothing");
