--- a/src/test/java/io/quartzgw/docs/DocumentationTest.java
+++ b/src/test/java/io/quartzgw/docs/DocumentationTest.java
@@ -45,7 +45,10 @@
     static List<String> pages() throws IOException {
         List<String> pages = new ArrayList<>(List.of("README.md", "KNOWN-RED.txt"));
         try (Stream<Path> files = Files.walk(Path.of("docs"))) {
-            files.filter(file -> file.toString().endsWith(".md")).map(Path::toString).sorted().forEach(pages::add);
+            files.filter(file -> file.toString().endsWith(".md"))
+                    .map(Path::toString)
+                    .sorted()
+                    .forEach(pages::add);
         }
         return pages;
     }
