--- a/src/main/java/io/quartzgw/agent/AgentManager.java
+++ b/src/main/java/io/quartzgw/agent/AgentManager.java
@@ -32,16 +32,16 @@
     private final LeaderContext leader;
     private final AgentRegistry registry;
     private final TaskReconciler reconciler;
-    private final AllocationRelease release;
+    private final AllocationRelease allocationRelease;
     private final HeartbeatProcessor processor;
     private final HeartbeatResponder responder;
     private final CommandDispatcher dispatcher;
     private final UnfencedAttemptsMonitor unfencedAttempts;
-    private final StartAnnouncer announcer;
+    private final StartLogUpdater startLogUpdater;
     private final InheritedStarts inheritedStarts;
     private final EndedJobStarts endedJobStarts;
     /** The newest heartbeat of each machine that came before the stored state was read. */
-    private final Map<String, Heartbeat> buffered = new HashMap<>();
+    private final Map<String, Heartbeat> heartbeatsBeforeStateLoaded = new HashMap<>();
 
     private boolean stateLoaded;
 
@@ -74,18 +74,18 @@
             EndedJobs endedJobs,
             Listener listener) {
         this.leader = leader;
-        this.announcer = new StartAnnouncer(startLog);
-        PendingCommands pendingCommands = new PendingCommands(leader, announcer, listener);
+        this.startLogUpdater = new StartLogUpdater(startLog);
+        PendingCommands pendingCommands = new PendingCommands(leader, startLogUpdater, listener);
         this.registry = new AgentRegistry(leader);
-        this.release = new AllocationRelease(leader, registry);
-        this.reconciler = new TaskReconciler(leader, registry, release, timing, listener::taskFinished);
-        this.processor = new HeartbeatProcessor(leader, registry, reconciler, release);
+        this.allocationRelease = new AllocationRelease(leader, registry);
+        this.reconciler = new TaskReconciler(leader, registry, allocationRelease, timing, listener::taskFinished);
+        this.processor = new HeartbeatProcessor(leader, registry, reconciler, allocationRelease);
         this.responder = new HeartbeatResponder(leader, registry, pendingCommands, isCancelled);
         this.dispatcher = new CommandDispatcher(
-                leader, registry, pendingCommands, announcer, timing, maxDirectCalls, this::onReply);
+                leader, registry, pendingCommands, startLogUpdater, timing, maxDirectCalls, this::onReply);
         this.unfencedAttempts = new UnfencedAttemptsMonitor(leader, registry, timing);
-        this.inheritedStarts = new InheritedStarts(leader, registry, announcer);
-        this.endedJobStarts = new EndedJobStarts(leader, registry, endedJobs, inheritedStarts::forget);
+        this.inheritedStarts = new InheritedStarts(leader, registry, startLogUpdater);
+        this.endedJobStarts = new EndedJobStarts(leader, registry, endedJobs, inheritedStarts::drop);
         startLog.onStored(this::startsStored);
     }
 
@@ -98,7 +98,7 @@
     /** Processes a heartbeat; {@link #respond} is due before the batch ends. */
     public ReceivedHeartbeat receive(Heartbeat heartbeat) {
         if (!stateLoaded) {
-            buffered.merge(
+            heartbeatsBeforeStateLoaded.merge(
                     heartbeat.machine(), heartbeat, (old, latest) -> latest.id().isNewerThan(old.id()) ? latest : old);
             return ReceivedHeartbeat.beforeStateLoaded(heartbeat);
         }
@@ -120,8 +120,8 @@
     /** Starts to apply heartbeats to the cluster state, which has been read from the state service. */
     public void beginReconciling() {
         stateLoaded = true;
-        buffered.values().forEach(this::process);
-        buffered.clear();
+        heartbeatsBeforeStateLoaded.values().forEach(this::process);
+        heartbeatsBeforeStateLoaded.clear();
     }
 
     private Freshness process(Heartbeat heartbeat) {
@@ -153,8 +153,8 @@
 
     /** Forgets the agent of a machine that has been removed. */
     public void forget(Machine machine) {
-        registry.remove(machine).ifPresent(reconciler::forget);
-        announcer.machineRemoved(machine.id());
+        registry.remove(machine).ifPresent(reconciler::agentRemoved);
+        startLogUpdater.machineRemoved(machine.id());
     }
 
     /**
@@ -162,8 +162,8 @@
      *
      * @return how many were taken over: the others went to machines that are gone, or are of tasks that have ended
      */
-    public int inheritStarts(Collection<MachineStarts> formerStarts) {
-        int inherited = inheritedStarts.inherit(formerStarts);
+    public int inheritStarts(Collection<MachineStarts> previousStarts) {
+        int inherited = inheritedStarts.inherit(previousStarts);
         endedJobStarts.update();
         return inherited;
     }
@@ -191,7 +191,7 @@
 
     /** Returns whether a direct call may still start an allocation's attempt, even if its machine is unreachable. */
     public boolean isStartOutstanding(Allocation allocation) {
-        return release.isStartOutstanding(allocation);
+        return allocationRelease.isStartOutstanding(allocation);
     }
 
     /**
@@ -199,17 +199,17 @@
      * but for those whose start is outstanding.
      */
     public void allTasksLost(Machine machine) {
-        release.allLost(machine);
+        allocationRelease.allAttemptsLost(machine);
     }
 
     /** Sends the starts of former leaders again for which there is quota; called in every batch. */
     public void permitInheritedStarts(Predicate<Job> isWithinQuota) {
-        inheritedStarts.permit(isWithinQuota);
+        inheritedStarts.resendWithinQuota(isWithinQuota);
     }
 
     /** Reports the attempts that are unfenced, and warns of starts that may come too late; called regularly. */
     public void reportUnfencedAttempts() {
-        inheritedStarts.forgetVoid();
+        inheritedStarts.dropObsolete();
         endedJobStarts.update();
         unfencedAttempts.check();
     }
--- a/src/main/java/io/quartzgw/agent/AgentState.java
+++ b/src/main/java/io/quartzgw/agent/AgentState.java
@@ -19,7 +19,7 @@
 final class AgentState {
     private static final byte[] NO_TASK_LIST = new byte[0];
     /** Long before any time that the event loop's clock shows. */
-    private static final long NEVER_MS = Long.MIN_VALUE / 2;
+    private static final long DISTANT_PAST_MS = Long.MIN_VALUE / 2;
 
     private final Machine machine;
     private final AgentToken token;
@@ -35,11 +35,11 @@
 
     private byte[] lastTaskList = NO_TASK_LIST;
     private boolean callInFlight;
-    private long callSentAtMs = NEVER_MS;
+    private long callSentAtMs = DISTANT_PAST_MS;
     /** The newest current heartbeat when the last direct call was sent. */
     private HeartbeatId latestHeartbeatAtCall;
 
-    private long contactedAtMs = NEVER_MS;
+    private long lastContactMs = DISTANT_PAST_MS;
 
     /** @param term the number of this leader's term */
     AgentState(Machine machine, long term) {
@@ -127,11 +127,14 @@
         if (outstandingStarts.isEmpty()) {
             return Set.of();
         }
-        return unfinished.stream().filter(this::mayStart).map(Attempt::job).collect(Collectors.toUnmodifiableSet());
+        return unfinished.stream()
+                .filter(this::mayStillStart)
+                .map(Attempt::job)
+                .collect(Collectors.toUnmodifiableSet());
     }
 
     /** Returns whether the present agent may still execute a start of an attempt that it does not know. */
-    boolean mayStart(Attempt attempt) {
+    boolean mayStillStart(Attempt attempt) {
         CommandFence agent = new CommandFence(token.shown(), machine.liveness().epoch());
         return outstandingStarts.isOutstandingFor(agent, attempt);
     }
@@ -149,16 +152,16 @@
     /** Handles a new agent on the same machine: it knows neither tasks nor tokens. */
     void agentReplaced() {
         token.agentReplaced();
-        forgetTasks();
+        clearTasks();
     }
 
     /** Handles a new epoch of the agent: it knows no tasks. */
     void epochChanged() {
         outstandingStarts.epochChanged();
-        forgetTasks();
+        clearTasks();
     }
 
-    private void forgetTasks() {
+    private void clearTasks() {
         lastTaskList = NO_TASK_LIST;
         exited.clear();
         unfinished.clear();
@@ -174,11 +177,11 @@
     }
 
     /** Records that a direct call with some starts is sent. */
-    void callStarted(List<Attempt> starts, CommandFence fence, long nowMs) {
+    void directCallSent(List<Attempt> starts, CommandFence fence, long nowMs) {
         callInFlight = true;
         callSentAtMs = nowMs;
         latestHeartbeatAtCall = machine.liveness().latestHeartbeat();
-        outstandingStarts.sentDirectly(starts, fence);
+        outstandingStarts.directCallSent(starts, fence);
     }
 
     /**
@@ -186,12 +189,12 @@
      *
      * @param settled whether its commands are certainly not executed from now on
      */
-    void callEnded(boolean settled) {
+    void directCallEnded(boolean settled) {
         callInFlight = false;
         if (settled) {
-            outstandingStarts.callAnswered();
+            outstandingStarts.directCallAnswered();
         } else {
-            outstandingStarts.callUnanswered();
+            outstandingStarts.directCallUnanswered();
         }
     }
 
@@ -201,17 +204,17 @@
     }
 
     /** Returns whether a reply is older than what was known when its call was sent, as only a new agent's can be. */
-    boolean isFromReplacedAgent(Heartbeat reply) {
+    boolean isFromReplacementAgent(Heartbeat reply) {
         return !reply.id().isNewerThan(latestHeartbeatAtCall);
     }
 
     /** Returns how long ago the agent was last asked for a heartbeat. */
-    long sinceContactMs(long nowMs) {
-        return nowMs - contactedAtMs;
+    long msSinceContact(long nowMs) {
+        return nowMs - lastContactMs;
     }
 
     /** Records that the agent is asked for a heartbeat. */
-    void contacted(long nowMs) {
-        contactedAtMs = nowMs;
+    void recordContact(long nowMs) {
+        lastContactMs = nowMs;
     }
 }
--- a/src/main/java/io/quartzgw/agent/AgentToken.java
+++ b/src/main/java/io/quartzgw/agent/AgentToken.java
@@ -9,13 +9,13 @@
 final class AgentToken {
     private static final long NEVER_RAISED = -1;
 
-    private final long highest;
+    private final long highestOfTerm;
     private long current;
     private long shown;
     private long raisedAtMs = NEVER_RAISED;
 
     AgentToken(long term) {
-        this.highest = term;
+        this.highestOfTerm = term;
         this.current = FencingTokens.lowestOf(term);
     }
 
@@ -41,7 +41,7 @@
 
     /** Returns whether the term has a higher token: without one, a call can't be fenced off later. */
     boolean canBeRaised() {
-        return current < highest;
+        return current < highestOfTerm;
     }
 
     /** Raises the token. */
@@ -59,7 +59,7 @@
      */
     void recordShown(long token) {
         shown = Math.max(shown, token);
-        current = Math.max(current, Math.min(token, highest));
+        current = Math.max(current, Math.min(token, highestOfTerm));
     }
 
     /** Handles a new agent on the same machine: it has seen no token. */
--- a/src/main/java/io/quartzgw/agent/AllocationRelease.java
+++ b/src/main/java/io/quartzgw/agent/AllocationRelease.java
@@ -44,10 +44,10 @@
         return mayBeUnknown
                 || registry.agentOf(allocation.machine())
                         .outstandingStarts()
-                        .isOutstandingDirectly(Attempts.of(allocation));
+                        .isOutstandingInDirectCalls(Attempts.of(allocation));
     }
 
-    private boolean isFenced(Allocation allocation) {
+    private boolean isSafeToRelease(Allocation allocation) {
         // A task that is done is not started elsewhere.
         return allocation.job().isDone(allocation.index()) || !isStartOutstanding(allocation);
     }
@@ -65,11 +65,11 @@
 
     /** Handles that an attempt has exited. */
     void attemptExited(Allocation allocation) {
-        releaseOrRetain(allocation, End.EXITED);
+        releaseOrRetainUnfenced(allocation, End.EXITED);
     }
 
-    private void releaseOrRetain(Allocation allocation, End end) {
-        if (isFenced(allocation)) {
+    private void releaseOrRetainUnfenced(Allocation allocation, End end) {
+        if (isSafeToRelease(allocation)) {
             cluster.release(allocation);
         } else {
             logUnfenced(allocation, end);
@@ -82,7 +82,7 @@
      * same attempt is started again on the machine if its agent can be reached.
      */
     void attemptLost(Allocation allocation) {
-        if (isFenced(allocation) && !isResponseAwaited(allocation)) {
+        if (isSafeToRelease(allocation) && !isResponseAwaited(allocation)) {
             cluster.release(allocation);
         } else if (!allocation.isLost()) {
             logUnfenced(allocation, End.LOST);
@@ -91,7 +91,7 @@
     }
 
     /** Handles that nothing runs on a machine any more, since its lease has ended or its agent is a new one. */
-    void allLost(Machine machine) {
+    void allAttemptsLost(Machine machine) {
         machine.allocationsSnapshot().forEach(this::attemptLost);
     }
 
@@ -102,7 +102,7 @@
      * <p>Called after every current heartbeat of an agent. It shows what the calls answered before have started, and
      * that the responses to earlier heartbeats were executed or lost.
      */
-    void releaseSettled(AgentState agent) {
+    void settleUnstarted(AgentState agent) {
         Machine machine = agent.machine();
         OutstandingStarts outstanding = agent.outstandingStarts();
         if (machine.fencing().hasUnfenced()) {
@@ -113,15 +113,15 @@
         machine.allocations().stream()
                 .filter(allocation -> allocation.stopping() && !allocation.observed())
                 .toList()
-                .forEach(allocation -> settleStopped(allocation, outstanding));
+                .forEach(allocation -> settleStopping(allocation, outstanding));
     }
 
-    private void settleStopped(Allocation allocation, OutstandingStarts outstanding) {
+    private void settleStopping(Allocation allocation, OutstandingStarts outstanding) {
         Attempt attempt = Attempts.of(allocation);
         if (!outstanding.isOutstanding(attempt)) {
             cluster.release(allocation);
-        } else if (outstanding.isOutstandingOnlyUnanswered(attempt)) {
-            releaseOrRetain(allocation, End.NEVER_SEEN);
+        } else if (outstanding.isOutstandingOnlyInUnansweredCalls(attempt)) {
+            releaseOrRetainUnfenced(allocation, End.NEVER_SEEN);
         }
     }
 
--- a/src/main/java/io/quartzgw/agent/CommandDispatcher.java
+++ b/src/main/java/io/quartzgw/agent/CommandDispatcher.java
@@ -24,9 +24,9 @@
     private static final Logger LOG = LoggerFactory.getLogger(CommandDispatcher.class);
 
     /** A direct call times out after this fraction of a heartbeat interval. */
-    private static final double TIMEOUT_HEARTBEATS = 0.8;
+    private static final double TIMEOUT_HEARTBEAT_FRACTION = 0.8;
     /** The fraction of the direct calls that may ask for heartbeats, so that commands can always be sent. */
-    private static final double MAX_CONTACT_FRACTION = 0.5;
+    private static final double MAX_CONTACT_CALL_FRACTION = 0.5;
     /** The agent has executed the commands. */
     private static final int STATUS_EXECUTED = 200;
     /** The agent has executed no command: the token is too low, or the epoch is another one. */
@@ -37,7 +37,7 @@
     private final LeaderTerm term;
     private final AgentRegistry registry;
     private final PendingCommands pendingCommands;
-    private final StartAnnouncer announcer;
+    private final StartLogUpdater startLogUpdater;
     private final AgentTiming timing;
     private final int maxCalls;
     private final ReplyHandler replyHandler;
@@ -54,7 +54,7 @@
             LeaderContext leader,
             AgentRegistry registry,
             PendingCommands pendingCommands,
-            StartAnnouncer announcer,
+            StartLogUpdater startLogUpdater,
             AgentTiming timing,
             int maxCalls,
             ReplyHandler replyHandler) {
@@ -63,7 +63,7 @@
         this.term = leader.term();
         this.registry = registry;
         this.pendingCommands = pendingCommands;
-        this.announcer = announcer;
+        this.startLogUpdater = startLogUpdater;
         this.timing = timing;
         this.maxCalls = maxCalls;
         this.replyHandler = replyHandler;
@@ -75,11 +75,11 @@
             if (callsInFlight >= maxCalls) {
                 return;
             }
-            if (!canTakeCommands(agent)) {
+            if (!canSendCommands(agent)) {
                 continue;
             }
             registry.removePending(agent);
-            announcer.announce(agent);
+            startLogUpdater.updateStarts(agent);
             List<AgentCommand> commands = pendingCommands.forDirectCall(agent);
             if (!commands.isEmpty()) {
                 send(agent, commands);
@@ -87,7 +87,7 @@
         }
     }
 
-    private static boolean canTakeCommands(AgentState agent) {
+    private static boolean canSendCommands(AgentState agent) {
         AgentLiveness liveness = agent.machine().liveness();
         return !agent.callInFlight() && liveness.verified() && !liveness.unreachable();
     }
@@ -98,7 +98,7 @@
      */
     void contact(Machine machine) {
         AgentState agent = registry.agentOf(machine);
-        if (agent.sinceContactMs(eventLoop.nowMs()) >= timing.heartbeatMs()) {
+        if (agent.msSinceContact(eventLoop.nowMs()) >= timing.heartbeatMs()) {
             contactNow(agent);
         }
     }
@@ -106,8 +106,8 @@
     private void contactNow(AgentState agent) {
         if (agent.machine().address() != null
                 && !agent.callInFlight()
-                && callsInFlight < maxCalls * MAX_CONTACT_FRACTION) {
-            agent.contacted(eventLoop.nowMs());
+                && callsInFlight < maxCalls * MAX_CONTACT_CALL_FRACTION) {
+            agent.recordContact(eventLoop.nowMs());
             send(agent, List.of());
         }
     }
@@ -117,12 +117,12 @@
         CommandFence fence = new CommandFence(agent.token().current(), epochFor(machine, commands));
         CommandRequest request = new CommandRequest(fence, commands);
         List<Attempt> starts = AgentCommand.startedAttempts(commands);
-        agent.callStarted(starts, fence, eventLoop.nowMs());
+        agent.directCallSent(starts, fence, eventLoop.nowMs());
         callsInFlight++;
         CommandLog.sentDirectly(machine.id(), term, request);
         eventLoop.increment("orders.calls", 1);
         eventLoop.increment("orders.sent", commands.size());
-        long timeoutMs = (long) (TIMEOUT_HEARTBEATS * timing.heartbeatMs());
+        long timeoutMs = (long) (TIMEOUT_HEARTBEAT_FRACTION * timing.heartbeatMs());
         long sentAtMs = eventLoop.nowMs();
         Call call = Call.post(machine.address(), AgentCommandCodec.PATH, AgentCommandCodec.encode(request), timeoutMs);
         // The process may be paused before the call leaves.
@@ -145,29 +145,29 @@
     private void onReply(AgentState agent, Reply reply, List<Attempt> starts) {
         boolean answered = reply.status() == STATUS_EXECUTED || reply.status() == STATUS_REJECTED;
         boolean settled = answered || !reply.sent();
-        agent.callEnded(settled);
+        agent.directCallEnded(settled);
         callsInFlight--;
         Machine machine = agent.machine();
         if (!term.isCurrent() || !leader.cluster().contains(machine)) {
             return;
         }
         if (!settled && !starts.isEmpty()) {
-            fenceOff(agent, starts);
+            raiseToken(agent, starts);
         }
         if (answered) {
             boolean rejected = reply.status() == STATUS_REJECTED;
-            HeartbeatCodec.decode(reply.body()).ifPresent(heartbeat -> onAnswer(agent, heartbeat, rejected));
+            HeartbeatCodec.decode(reply.body()).ifPresent(heartbeat -> onHeartbeatReply(agent, heartbeat, rejected));
         } else if (reply.status() == Reply.LOST) {
             eventLoop.increment(reply.sent() ? "orders.unanswered" : "orders.unsent", 1);
             machine.liveness().markUnreachable(eventLoop.nowMs());
         }
         if (!starts.isEmpty()) {
-            announcer.announce(agent);
+            startLogUpdater.updateStarts(agent);
         }
     }
 
     /** Makes the agent reject a call without an answer from the next message on that reaches it. */
-    private void fenceOff(AgentState agent, List<Attempt> starts) {
+    private void raiseToken(AgentState agent, List<Attempt> starts) {
         agent.token().raise(eventLoop.nowMs());
         eventLoop.increment("fencing.tokens_raised", 1);
         LOG.atInfo()
@@ -178,7 +178,7 @@
                 .log("start unanswered");
     }
 
-    private void onAnswer(AgentState agent, Heartbeat heartbeat, boolean rejected) {
+    private void onHeartbeatReply(AgentState agent, Heartbeat heartbeat, boolean rejected) {
         term.observeToken(heartbeat.fencingToken());
         if (!term.isCurrent() || !replyHandler.onReply(agent, heartbeat)) {
             return;
--- a/src/main/java/io/quartzgw/agent/CommandFence.java
+++ b/src/main/java/io/quartzgw/agent/CommandFence.java
@@ -14,7 +14,7 @@
     private static final long ANY_EPOCH = -1;
 
     /** Returns a fence that is accepted wherever a call of a leader before a term may be. */
-    static CommandFence ofFormerLeader(LeaderTerm term) {
+    static CommandFence ofPreviousLeader(LeaderTerm term) {
         return new CommandFence(term.lowestToken() - 1, ANY_EPOCH);
     }
 
--- a/src/main/java/io/quartzgw/agent/EndedJobStarts.java
+++ b/src/main/java/io/quartzgw/agent/EndedJobStarts.java
@@ -22,30 +22,30 @@
  */
 final class EndedJobStarts {
     private static final Logger LOG = LoggerFactory.getLogger(EndedJobStarts.class);
-    private static final int MAX_LOOK_UPS = 8;
+    private static final int MAX_LOOK_UPS_IN_FLIGHT = 8;
     /** Stands for a cancellation whose time is not known: its limit may be over. */
-    private static final long LONG_AGO_MS = Long.MIN_VALUE / 2;
+    private static final long UNKNOWN_TIME_MS = Long.MIN_VALUE / 2;
 
     private final EventLoop eventLoop;
     private final ClusterState cluster;
     private final AgentRegistry registry;
     private final EndedJobs endedJobs;
-    private final Consumer<OutstandingStart> onVoid;
+    private final Consumer<OutstandingStart> onDroppable;
     /** By job whose end is not known yet. */
     private final Map<String, Set<OutstandingStart>> unresolvedByJob = new HashMap<>();
 
-    private final Deque<String> waitingJobs = new ArrayDeque<>();
-    private int lookUps;
-    private boolean beginningLookUps;
+    private final Deque<String> jobsToLookUp = new ArrayDeque<>();
+    private int lookUpsInFlight;
+    private boolean startingLookUps;
 
-    /** @param onVoid notified of each start that may be forgotten */
+    /** @param onDroppable notified of each start that may be forgotten */
     EndedJobStarts(
-            LeaderContext leader, AgentRegistry registry, EndedJobs endedJobs, Consumer<OutstandingStart> onVoid) {
+            LeaderContext leader, AgentRegistry registry, EndedJobs endedJobs, Consumer<OutstandingStart> onDroppable) {
         this.eventLoop = leader.eventLoop();
         this.cluster = leader.cluster();
         this.registry = registry;
         this.endedJobs = endedJobs;
-        this.onVoid = onVoid;
+        this.onDroppable = onDroppable;
     }
 
     /** Finds the starts whose jobs have ended since the last call, and has their machines fenced or forgets them. */
@@ -57,7 +57,7 @@
                 }
             }
         }
-        lookUp();
+        startLookUps();
     }
 
     /** While an attempt has an allocation, that is retained until the machine is gone ({@link AllocationRelease}). */
@@ -76,38 +76,38 @@
         String job = start.attempt().job();
         if (!unresolvedByJob.containsKey(job)) {
             unresolvedByJob.put(job, new LinkedHashSet<>());
-            waitingJobs.addLast(job);
+            jobsToLookUp.addLast(job);
         }
         unresolvedByJob.get(job).add(start);
     }
 
-    private void lookUp() {
-        if (beginningLookUps) {
+    private void startLookUps() {
+        if (startingLookUps) {
             // A look-up has been answered at once: the loop below goes on with the next one.
             return;
         }
-        beginningLookUps = true;
-        while (lookUps < MAX_LOOK_UPS && !waitingJobs.isEmpty()) {
-            String job = waitingJobs.pollFirst();
-            lookUps++;
-            endedJobs.lookUp(job, end -> onEnd(job, end));
+        startingLookUps = true;
+        while (lookUpsInFlight < MAX_LOOK_UPS_IN_FLIGHT && !jobsToLookUp.isEmpty()) {
+            String job = jobsToLookUp.pollFirst();
+            lookUpsInFlight++;
+            endedJobs.lookUp(job, end -> onLookedUp(job, end));
         }
-        beginningLookUps = false;
+        startingLookUps = false;
     }
 
-    private void onEnd(String job, EndedJobs.End end) {
-        lookUps--;
+    private void onLookedUp(String job, EndedJobs.End end) {
+        lookUpsInFlight--;
         unresolvedByJob.remove(job).stream()
                 .filter(start -> cluster.contains(start.machine()))
                 .forEach(start -> resolve(start, end));
-        lookUp();
+        startLookUps();
     }
 
     private void resolve(OutstandingStart start, EndedJobs.End end) {
         if (end instanceof EndedJobs.End.Cancelled cancelled) {
-            fence(start, cancelled.atMs().orElse(LONG_AGO_MS));
+            fence(start, cancelled.atMs().orElse(UNKNOWN_TIME_MS));
         } else {
-            onVoid.accept(start);
+            onDroppable.accept(start);
         }
     }
 
--- a/src/main/java/io/quartzgw/agent/HeartbeatProcessor.java
+++ b/src/main/java/io/quartzgw/agent/HeartbeatProcessor.java
@@ -22,7 +22,7 @@
     private final ClusterState cluster;
     private final AgentRegistry registry;
     private final TaskReconciler reconciler;
-    private final AllocationRelease release;
+    private final AllocationRelease allocationRelease;
 
     /**
      * The result of processing a heartbeat.
@@ -32,13 +32,16 @@
     record Result(Freshness freshness, Optional<Machine> contact) {}
 
     HeartbeatProcessor(
-            LeaderContext leader, AgentRegistry registry, TaskReconciler reconciler, AllocationRelease release) {
+            LeaderContext leader,
+            AgentRegistry registry,
+            TaskReconciler reconciler,
+            AllocationRelease allocationRelease) {
         this.leader = leader;
         this.eventLoop = leader.eventLoop();
         this.cluster = leader.cluster();
         this.registry = registry;
         this.reconciler = reconciler;
-        this.release = release;
+        this.allocationRelease = allocationRelease;
     }
 
     /** Processes a heartbeat that an agent has sent. */
@@ -51,7 +54,7 @@
         AgentLiveness liveness = agent.machine().liveness();
         liveness.markReachable();
         agent.replyReceived();
-        if (liveness.verified() && agent.isFromReplacedAgent(heartbeat)) {
+        if (liveness.verified() && agent.isFromReplacementAgent(heartbeat)) {
             onAgentReplaced(agent, heartbeat);
         }
         liveness.observeEpoch(heartbeat.epoch());
@@ -65,7 +68,7 @@
         }
         Machine machine = source.get();
         AgentLiveness liveness = machine.liveness();
-        Freshness freshness = liveness.classify(heartbeat.id(), showsToken(heartbeat), origin);
+        Freshness freshness = liveness.classify(heartbeat.id(), showsTokenOfTerm(heartbeat), origin);
         boolean contactNeeded = false;
         if (freshness == Freshness.CURRENT) {
             applyCurrent(machine, heartbeat, origin);
@@ -84,7 +87,7 @@
         return new Result(freshness, contactNeeded ? Optional.of(machine) : Optional.empty());
     }
 
-    private boolean showsToken(Heartbeat heartbeat) {
+    private boolean showsTokenOfTerm(Heartbeat heartbeat) {
         return heartbeat.fencingToken() >= leader.term().lowestToken();
     }
 
@@ -96,7 +99,7 @@
         Heartbeat.Source source = heartbeat.source();
         Optional<MachineType> type = leader.machineTypes().find(source.machineType());
         // Without this leader's token it may be a duplicate from a machine that is long gone.
-        if (type.isEmpty() || cluster.wasRemoved(source.machine()) || !showsToken(heartbeat)) {
+        if (type.isEmpty() || cluster.wasRemoved(source.machine()) || !showsTokenOfTerm(heartbeat)) {
             return Optional.empty();
         }
         long nowMs = eventLoop.nowMs();
@@ -159,7 +162,7 @@
                     .log("task list changed");
             reconciler.apply(agent, tasks);
         }
-        release.releaseSettled(agent);
+        allocationRelease.settleUnstarted(agent);
         reconciler.updateRefusedJobs(agent);
     }
 
@@ -175,7 +178,7 @@
                 .log("agent epoch changed");
         agent.epochChanged();
         reconciler.updateUnaccountedCapacity(machine);
-        release.allLost(machine);
+        allocationRelease.allAttemptsLost(machine);
         machine.liveness().markUnreachable(eventLoop.nowMs());
     }
 
@@ -189,6 +192,6 @@
         agent.agentReplaced();
         reconciler.updateUnaccountedCapacity(machine);
         machine.liveness().agentReplaced(heartbeat.id());
-        release.allLost(machine);
+        allocationRelease.allAttemptsLost(machine);
     }
 }
--- a/src/main/java/io/quartzgw/agent/HeartbeatResponder.java
+++ b/src/main/java/io/quartzgw/agent/HeartbeatResponder.java
@@ -34,7 +34,7 @@
 
     /** Returns the response while the open jobs are not known yet. */
     HeartbeatResponse respondBeforeStateLoaded(Heartbeat heartbeat) {
-        return renewLease(heartbeat, terminalStops(heartbeat, attempt -> isCancelled.test(attempt.job())));
+        return renewLease(heartbeat, stopsOfEndedJobs(heartbeat, attempt -> isCancelled.test(attempt.job())));
     }
 
     private HeartbeatResponse renewLease(Heartbeat heartbeat, List<AgentCommand> commands) {
@@ -59,7 +59,7 @@
         }
         List<AgentCommand> commands = new ArrayList<>();
         if (freshness != Freshness.CURRENT) {
-            commands.addAll(terminalStops(heartbeat, this::isTerminal));
+            commands.addAll(stopsOfEndedJobs(heartbeat, this::isOfEndedJob));
         }
         leader.cluster()
                 .findMachine(heartbeat.machine())
@@ -77,12 +77,12 @@
     }
 
     /** A task is only started by a leader that has read its job, so a job that this leader does not have has ended. */
-    private boolean isTerminal(Attempt attempt) {
+    private boolean isOfEndedJob(Attempt attempt) {
         return isCancelled.test(attempt.job())
                 || Attempts.openJob(attempt, leader.cluster()).isEmpty();
     }
 
-    private static List<AgentCommand> terminalStops(Heartbeat heartbeat, Predicate<Attempt> terminal) {
+    private static List<AgentCommand> stopsOfEndedJobs(Heartbeat heartbeat, Predicate<Attempt> terminal) {
         List<AgentCommand> stops = new ArrayList<>();
         for (Heartbeat.TaskStatus task : heartbeat.tasks()) {
             if (task.state() != Heartbeat.TaskState.EXITED && terminal.test(task.attempt())) {
--- a/src/main/java/io/quartzgw/agent/InheritedStarts.java
+++ b/src/main/java/io/quartzgw/agent/InheritedStarts.java
@@ -24,19 +24,19 @@
     private final EventLoop eventLoop;
     private final ClusterState cluster;
     private final AgentRegistry registry;
-    private final StartAnnouncer announcer;
+    private final StartLogUpdater startLogUpdater;
     /** By task of an open job; the newest start of a task proves that the earlier ones are void. */
     private final Map<String, OutstandingStart> newestByTask = new HashMap<>();
 
     /** Allocations of inherited starts that must not be sent again yet. */
-    private final Set<Allocation> withheld = new LinkedHashSet<>();
+    private final Set<Allocation> withheldAllocations = new LinkedHashSet<>();
 
-    InheritedStarts(LeaderContext leader, AgentRegistry registry, StartAnnouncer announcer) {
+    InheritedStarts(LeaderContext leader, AgentRegistry registry, StartLogUpdater startLogUpdater) {
         this.leader = leader;
         this.eventLoop = leader.eventLoop();
         this.cluster = leader.cluster();
         this.registry = registry;
-        this.announcer = announcer;
+        this.startLogUpdater = startLogUpdater;
     }
 
     /**
@@ -45,9 +45,9 @@
      *
      * @return how many tasks of open jobs, which are not done, they are for
      */
-    int inherit(Collection<MachineStarts> formerStarts) {
+    int inherit(Collection<MachineStarts> previousStarts) {
         Map<String, OutstandingStart> newest = new HashMap<>();
-        for (MachineStarts machineStarts : formerStarts) {
+        for (MachineStarts machineStarts : previousStarts) {
             // A machine is marked as used before a start is sent to it.
             cluster.findMachine(machineStarts.machine())
                     .filter(Machine::hasRunTasks)
@@ -57,7 +57,7 @@
         newest.values().stream()
                 .filter(this::isOfUnfinishedTask)
                 .forEach(start -> newestByTask.put(start.attempt().task(), start));
-        formerStarts.forEach(machineStarts -> announceRest(machineStarts.machine()));
+        previousStarts.forEach(machineStarts -> updateLog(machineStarts.machine()));
         return newestByTask.size();
     }
 
@@ -86,15 +86,15 @@
 
     private void markOutstanding(OutstandingStart start) {
         AgentState agent = registry.agentOf(start.machine());
-        agent.outstandingStarts().inherited(start.attempt(), CommandFence.ofFormerLeader(leader.term()));
+        agent.outstandingStarts().addInherited(start.attempt(), CommandFence.ofPreviousLeader(leader.term()));
     }
 
     // The others are void, and leave the log.
-    private void announceRest(String machineId) {
+    private void updateLog(String machineId) {
         cluster.findMachine(machineId)
                 .ifPresentOrElse(
-                        machine -> announcer.announce(registry.agentOf(machine)),
-                        () -> announcer.machineRemoved(machineId));
+                        machine -> startLogUpdater.updateStarts(registry.agentOf(machine)),
+                        () -> startLogUpdater.machineRemoved(machineId));
     }
 
     /**
@@ -116,7 +116,7 @@
         if (job.zonesAllowed(start.machine().zone())) {
             allocation.markLost(eventLoop.nowMs());
             allocation.withholdStart(true);
-            withheld.add(allocation);
+            withheldAllocations.add(allocation);
         } else {
             cluster.retainUnfenced(allocation);
         }
@@ -126,13 +126,13 @@
      * Sends the inherited starts again for which there is quota. A start may have been announced and its task given up
      * without being sent; then the former leader has given its share of the quota to another task.
      */
-    void permit(Predicate<Job> isWithinQuota) {
-        withheld.removeIf(allocation -> !allocation.isLost() || !isAllocated(allocation));
-        List<Allocation> permitted = withheld.stream()
+    void resendWithinQuota(Predicate<Job> isWithinQuota) {
+        withheldAllocations.removeIf(allocation -> !allocation.isLost() || !isAllocated(allocation));
+        List<Allocation> permitted = withheldAllocations.stream()
                 .filter(allocation -> isWithinQuota.test(allocation.job()))
                 .toList();
         for (Allocation allocation : permitted) {
-            withheld.remove(allocation);
+            withheldAllocations.remove(allocation);
             allocation.withholdStart(false);
             registry.requestStart(allocation);
         }
@@ -146,11 +146,11 @@
      * Forgets the starts that bind no task any more: those to machines that are gone, of tasks that are done, and of
      * tasks that have a later attempt, which no leader begins before an earlier one is void. Called regularly.
      */
-    void forgetVoid() {
+    void dropObsolete() {
         for (OutstandingStart start : List.copyOf(newestByTask.values())) {
             boolean superseded = hasLaterAttempt(start);
             if (superseded) {
-                forget(start);
+                drop(start);
             }
             if (superseded || !cluster.contains(start.machine()) || !isOfUnfinishedTask(start)) {
                 newestByTask.remove(start.attempt().task());
@@ -167,11 +167,11 @@
     }
 
     /** Forgets a start that can't be executed any more, or harms nobody if it is. */
-    void forget(OutstandingStart start) {
+    void drop(OutstandingStart start) {
         if (cluster.contains(start.machine())) {
             AgentState agent = registry.agentOf(start.machine());
-            agent.outstandingStarts().forget(start.attempt());
-            announcer.announce(agent);
+            agent.outstandingStarts().removeUnanswered(start.attempt());
+            startLogUpdater.updateStarts(agent);
         }
     }
 }
--- a/src/main/java/io/quartzgw/agent/OutstandingStart.java
+++ b/src/main/java/io/quartzgw/agent/OutstandingStart.java
@@ -3,11 +3,11 @@
 import io.quartzgw.model.Attempt;
 import io.quartzgw.scheduling.Machine;
 
-/** A start that a direct call, of this leader or of a former one, may still carry to a machine. */
+/** A start that may still reach a machine in a direct call of this leader or a previous one. */
 record OutstandingStart(Machine machine, Attempt attempt) {
 
-    /** Returns the newer of two starts of one task. */
-    static OutstandingStart newer(OutstandingStart one, OutstandingStart other) {
-        return one.attempt.number() > other.attempt.number() ? one : other;
+    /** Returns the start with the higher attempt number of two starts of the same task. */
+    static OutstandingStart newer(OutstandingStart first, OutstandingStart second) {
+        return first.attempt.number() > second.attempt.number() ? first : second;
     }
 }
--- a/src/main/java/io/quartzgw/agent/OutstandingStarts.java
+++ b/src/main/java/io/quartzgw/agent/OutstandingStarts.java
@@ -25,7 +25,7 @@
     /** How long an agent waits for the response to a heartbeat, by the protocol; it drops one that comes later. */
     private static final long RESPONSE_TIMEOUT_MS = 4_000;
     /** The longest time by this controller's clock, since the clocks drift apart. */
-    private static final long LONGEST_RESPONSE_MS = RESPONSE_TIMEOUT_MS + RESPONSE_TIMEOUT_MS / 1_000;
+    private static final long MAX_RESPONSE_WAIT_MS = RESPONSE_TIMEOUT_MS + RESPONSE_TIMEOUT_MS / 1_000;
 
     /** Starts in the direct call in flight. */
     private final Set<Attempt> inFlight = new HashSet<>();
@@ -40,18 +40,18 @@
     private record SentResponse(long sequence, long sentAtMs) {}
 
     /** Records that a direct call is sent; there is one at a time. */
-    void sentDirectly(Collection<Attempt> starts, CommandFence fence) {
+    void directCallSent(Collection<Attempt> starts, CommandFence fence) {
         inFlight.addAll(starts);
         fenceInFlight = fence;
     }
 
     /** Handles the answer to a direct call: none of its starts is executed later. */
-    void callAnswered() {
+    void directCallAnswered() {
         inFlight.clear();
     }
 
     /** Handles a direct call without an answer: its starts may have been executed, or may be later. */
-    void callUnanswered() {
+    void directCallUnanswered() {
         for (Attempt start : inFlight) {
             unanswered.computeIfAbsent(start, attempt -> new HashSet<>()).add(fenceInFlight);
         }
@@ -59,12 +59,12 @@
     }
 
     /** Records a start that a direct call of a former leader may carry. */
-    void inherited(Attempt start, CommandFence fence) {
+    void addInherited(Attempt start, CommandFence fence) {
         unanswered.computeIfAbsent(start, attempt -> new HashSet<>()).add(fence);
     }
 
     /** Handles that direct calls without an answer carry a start no more, or that it harms nobody if they do. */
-    void forget(Attempt start) {
+    void removeUnanswered(Attempt start) {
         unanswered.remove(start);
     }
 
@@ -74,7 +74,7 @@
     }
 
     /** Returns the starts that direct calls may still carry. */
-    Set<Attempt> outstandingDirectly() {
+    Set<Attempt> outstandingInDirectCalls() {
         Set<Attempt> starts = new HashSet<>(unanswered.keySet());
         starts.addAll(inFlight);
         return starts;
@@ -95,7 +95,7 @@
      * the call that it waits for them no more.
      */
     void replyReceived(long callSentAtMs) {
-        sentInResponses.values().removeIf(response -> callSentAtMs - response.sentAtMs >= LONGEST_RESPONSE_MS);
+        sentInResponses.values().removeIf(response -> callSentAtMs - response.sentAtMs >= MAX_RESPONSE_WAIT_MS);
     }
 
     /**
@@ -117,24 +117,24 @@
     }
 
     /** Returns whether a direct call may still start the attempt on this machine, however late, by whichever agent. */
-    boolean isOutstandingDirectly(Attempt start) {
+    boolean isOutstandingInDirectCalls(Attempt start) {
         return inFlight.contains(start) || unanswered.containsKey(start);
     }
 
     /** Returns whether an agent may still be waiting for a response with the start. */
     boolean isResponseAwaited(Attempt start, long nowMs) {
         SentResponse response = sentInResponses.get(start);
-        return response != null && nowMs - response.sentAtMs < LONGEST_RESPONSE_MS;
+        return response != null && nowMs - response.sentAtMs < MAX_RESPONSE_WAIT_MS;
     }
 
     /** Returns whether the start may still be executed from direct calls without an answer, and from nothing else. */
-    boolean isOutstandingOnlyUnanswered(Attempt start) {
+    boolean isOutstandingOnlyInUnansweredCalls(Attempt start) {
         return unanswered.containsKey(start) && !inFlight.contains(start) && !sentInResponses.containsKey(start);
     }
 
     /** Returns whether the start may still be executed on this machine, from a direct call or a response. */
     boolean isOutstanding(Attempt start) {
-        return isOutstandingDirectly(start) || sentInResponses.containsKey(start);
+        return isOutstandingInDirectCalls(start) || sentInResponses.containsKey(start);
     }
 
     /** Returns whether the present agent may still execute the start. */
--- a/src/main/java/io/quartzgw/agent/PendingCommands.java
+++ b/src/main/java/io/quartzgw/agent/PendingCommands.java
@@ -9,13 +9,13 @@
 /** Builds the commands that are pending for an agent, in the order in which the agent has to execute them. */
 final class PendingCommands {
     private final LeaderContext leader;
-    private final StartAnnouncer announcer;
+    private final StartLogUpdater startLogUpdater;
     private final AgentManager.Listener listener;
 
     /** @param listener notified of what has to be recorded before a start */
-    PendingCommands(LeaderContext leader, StartAnnouncer announcer, AgentManager.Listener listener) {
+    PendingCommands(LeaderContext leader, StartLogUpdater startLogUpdater, AgentManager.Listener listener) {
         this.leader = leader;
-        this.announcer = announcer;
+        this.startLogUpdater = startLogUpdater;
         this.listener = listener;
     }
 
@@ -24,7 +24,7 @@
         List<AgentCommand> commands = removals(agent);
         List<AgentCommand> urgent = stops(agent);
         if (agent.token().canBeRaised()) {
-            urgent.addAll(starts(agent, attempt -> announcer.mayLeaveDirectly(agent, attempt)));
+            urgent.addAll(starts(agent, attempt -> startLogUpdater.maySendDirectly(agent, attempt)));
         }
         commands.addAll(urgent);
         return urgent.isEmpty() ? List.of() : commands;
@@ -34,10 +34,10 @@
     List<AgentCommand> forHeartbeatResponse(AgentState agent) {
         List<AgentCommand> commands = removals(agent);
         commands.addAll(stops(agent));
-        commands.addAll(stopsOfUnfenced(agent));
+        commands.addAll(stopsOfUnfencedAttempts(agent));
         List<AgentCommand> starts = starts(agent, attempt -> true);
         long notStored = starts.stream()
-                .filter(start -> !announcer.mayLeaveDirectly(agent, start.attempt()))
+                .filter(start -> !startLogUpdater.maySendDirectly(agent, start.attempt()))
                 .count();
         leader.eventLoop().increment("startlog.starts_by_response_only", notStored);
         commands.addAll(starts);
@@ -48,7 +48,7 @@
         List<AgentCommand> removals = new ArrayList<>();
         for (Attempt attempt : agent.removable()) {
             // A start that is executed after the removal would run the task again.
-            if (agent.mayStart(attempt)) {
+            if (agent.mayStillStart(attempt)) {
                 leader.eventLoop().increment("orders.removals_withheld", 1);
             } else {
                 removals.add(new AgentCommand.Remove(attempt));
@@ -70,11 +70,11 @@
 
     // The response that shows the agent a raised token also stops what the call before may have started since the
     // agent's heartbeat: then the attempt neither runs nor can be started, though the response renews the lease.
-    private static List<AgentCommand> stopsOfUnfenced(AgentState agent) {
+    private static List<AgentCommand> stopsOfUnfencedAttempts(AgentState agent) {
         List<AgentCommand> commands = new ArrayList<>();
         for (Allocation allocation : agent.machine().fencing().unfenced()) {
             Attempt attempt = Attempts.of(allocation);
-            if (agent.mayStart(attempt)) {
+            if (agent.mayStillStart(attempt)) {
                 commands.add(AgentCommand.Stop.immediately(attempt));
             }
         }
@@ -91,7 +91,7 @@
         }
     }
 
-    private List<AgentCommand> starts(AgentState agent, Predicate<Attempt> mayLeave) {
+    private List<AgentCommand> starts(AgentState agent, Predicate<Attempt> maySend) {
         List<AgentCommand> commands = new ArrayList<>();
         if (!leader.term().isConfirmed()) {
             return commands;
@@ -108,7 +108,7 @@
             }
             if (!agent.machine().hasRunTasks()) {
                 machineRecordNeeded = true;
-            } else if (startRecorded && mayLeave.test(attempt)) {
+            } else if (startRecorded && maySend.test(attempt)) {
                 allocation.markStartSent();
                 commands.add(new AgentCommand.Start(attempt));
             }
--- a/src/main/java/io/quartzgw/agent/StartAnnouncer.java
+++ b/src/main/java/io/quartzgw/agent/StartLogUpdater.java
@@ -11,19 +11,19 @@
  * Announces the starts that direct calls may carry to the log, before a call leaves and until none may be executed any
  * more. So a successor of this leader knows them, and places their tasks nowhere else.
  */
-final class StartAnnouncer {
+final class StartLogUpdater {
     private final StartLog log;
 
-    StartAnnouncer(StartLog log) {
+    StartLogUpdater(StartLog log) {
         this.log = log;
     }
 
     /** Announces all starts that direct calls may carry to an agent's machine from now on, or may still carry. */
-    void announce(AgentState agent) {
+    void updateStarts(AgentState agent) {
         Stream<Attempt> pending = agent.machine().allocations().stream()
                 .filter(agent::isStartPending)
                 .map(Attempts::of);
-        Stream<Attempt> outstanding = agent.outstandingStarts().outstandingDirectly().stream();
+        Stream<Attempt> outstanding = agent.outstandingStarts().outstandingInDirectCalls().stream();
         Set<Attempt> starts = Stream.concat(pending, outstanding).collect(Collectors.toCollection(LinkedHashSet::new));
 
         log.announce(agent.machine().id(), starts);
@@ -35,7 +35,7 @@
     }
 
     /** Returns whether a direct call may carry a start: the log has stored it. */
-    boolean mayLeaveDirectly(AgentState agent, Attempt attempt) {
+    boolean maySendDirectly(AgentState agent, Attempt attempt) {
         return log.isStored(agent.machine().id(), attempt);
     }
 }
--- a/src/main/java/io/quartzgw/agent/TaskReconciler.java
+++ b/src/main/java/io/quartzgw/agent/TaskReconciler.java
@@ -29,32 +29,32 @@
     private final EventLoop eventLoop;
     private final ClusterState cluster;
     private final AgentRegistry registry;
-    private final AllocationRelease release;
-    private final BiConsumer<Job, Integer> onTaskFinished;
+    private final AllocationRelease allocationRelease;
+    private final BiConsumer<Job, Integer> onTaskCompleted;
     private final long errorDelayMs;
     private final long refusalDelayMs;
     /** By job ID, the agents that still report an exited attempt of the job. */
-    private final Map<String, Set<AgentState>> agentsReportingExit = new HashMap<>();
+    private final Map<String, Set<AgentState>> agentsReportingExitByJob = new HashMap<>();
 
-    /** @param onTaskFinished notified of the index of each task that has completed */
+    /** @param onTaskCompleted notified of the index of each task that has completed */
     TaskReconciler(
             LeaderContext leader,
             AgentRegistry registry,
-            AllocationRelease release,
+            AllocationRelease allocationRelease,
             AgentTiming timing,
-            BiConsumer<Job, Integer> onTaskFinished) {
+            BiConsumer<Job, Integer> onTaskCompleted) {
         this.eventLoop = leader.eventLoop();
         this.cluster = leader.cluster();
         this.registry = registry;
-        this.release = release;
-        this.onTaskFinished = onTaskFinished;
+        this.allocationRelease = allocationRelease;
+        this.onTaskCompleted = onTaskCompleted;
         this.errorDelayMs = (long) (ERROR_DELAY_HEARTBEATS * timing.heartbeatMs());
         this.refusalDelayMs = (long) (REFUSAL_DELAY_HEARTBEATS * timing.heartbeatMs());
     }
 
     /** Forgets the agent of a machine that has been removed. */
-    void forget(AgentState agent) {
-        agentsReportingExit.values().removeIf(agents -> agents.remove(agent) && agents.isEmpty());
+    void agentRemoved(AgentState agent) {
+        agentsReportingExitByJob.values().removeIf(agents -> agents.remove(agent) && agents.isEmpty());
     }
 
     /** Applies the task list of a current heartbeat. */
@@ -95,7 +95,7 @@
     private void releaseUnreported(Machine machine, Set<Attempt> reported) {
         for (Allocation allocation : machine.allocationsSnapshot()) {
             if (allocation.observed() && !reported.contains(Attempts.of(allocation))) {
-                release.attemptLost(allocation);
+                allocationRelease.attemptLost(allocation);
             }
         }
     }
@@ -160,7 +160,7 @@
     private void reconcileExited(AgentState agent, Heartbeat.TaskStatus task, Optional<Allocation> allocation) {
         Attempt attempt = task.attempt();
         agent.addExited(attempt);
-        agentsReportingExit
+        agentsReportingExitByJob
                 .computeIfAbsent(attempt.job(), id -> new HashSet<>())
                 .add(agent);
         Optional<Job> openJob = Attempts.openJob(attempt, cluster);
@@ -176,7 +176,7 @@
             }
             agent.addRemovable(attempt);
         }
-        allocation.ifPresent(release::attemptExited);
+        allocation.ifPresent(allocationRelease::attemptExited);
     }
 
     private void reconcileCompleted(AgentState agent, Attempt attempt, Job job, Optional<Allocation> allocation) {
@@ -189,7 +189,7 @@
             if (other != null && other != allocation.orElse(null)) {
                 registry.requestStop(other, 0, StopReason.COMPLETED_ELSEWHERE);
             }
-            onTaskFinished.accept(job, attempt.index());
+            onTaskCompleted.accept(job, attempt.index());
         }
         if (job.recordedDone(attempt.index())) {
             agent.addRemovable(attempt);
@@ -210,7 +210,7 @@
 
     /** Handles that finishes of a job's tasks have been recorded: the agents may forget those attempts. */
     void finishesRecorded(Job job) {
-        Set<AgentState> agents = agentsReportingExit.get(job.id());
+        Set<AgentState> agents = agentsReportingExitByJob.get(job.id());
         if (agents == null) {
             return;
         }
@@ -221,7 +221,7 @@
                     .forEach(agent::addRemovable);
         }
         if (agents.isEmpty() || job.isTerminal()) {
-            agentsReportingExit.remove(job.id());
+            agentsReportingExitByJob.remove(job.id());
         }
     }
 }
--- a/src/main/java/io/quartzgw/agent/UnfencedAttemptsMonitor.java
+++ b/src/main/java/io/quartzgw/agent/UnfencedAttemptsMonitor.java
@@ -19,7 +19,7 @@
  */
 final class UnfencedAttemptsMonitor {
     private static final Logger LOG = LoggerFactory.getLogger(UnfencedAttemptsMonitor.class);
-    private static final double WARNING_CANCEL_FRACTION = 0.5;
+    private static final double WARNING_LIMIT_FRACTION = 0.5;
 
     private final LeaderContext leader;
     private final EventLoop eventLoop;
@@ -50,7 +50,7 @@
         publish(unfenced.size(), oldestMs);
         Set<Attempt> atRisk = new HashSet<>();
         for (Allocation allocation : unfenced) {
-            if (isLongStartable(allocation)) {
+            if (isAtRisk(allocation)) {
                 atRisk.add(Attempts.of(allocation));
                 warnOnce(allocation);
             }
@@ -69,12 +69,12 @@
         eventLoop.setGauge("fencing.oldest_unfenced_ms", oldestMs);
     }
 
-    private boolean isLongStartable(Allocation allocation) {
+    private boolean isAtRisk(Allocation allocation) {
         Machine machine = allocation.machine();
         return allocation.job().isTerminal()
                 && machine.liveness().heartbeatWithin(timing.leaseMs(), eventLoop.nowMs())
-                && allocation.isLostFor((long) (WARNING_CANCEL_FRACTION * timing.cancelMs()), eventLoop.nowMs())
-                && registry.agentOf(machine).mayStart(Attempts.of(allocation));
+                && allocation.isLostFor((long) (WARNING_LIMIT_FRACTION * timing.cancelMs()), eventLoop.nowMs())
+                && registry.agentOf(machine).mayStillStart(Attempts.of(allocation));
     }
 
     private void warnOnce(Allocation allocation) {
--- a/src/test/java/io/quartzgw/agent/AgentCodecsTest.java
+++ b/src/test/java/io/quartzgw/agent/AgentCodecsTest.java
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void commandRequestIsEncodedInTheOrderOfTheProtocol() {
+    void encodesCommandRequestInProtocolOrder() {
         assertEquals(
                 "{\"baton\":4,\"tenure\":3,\"orders\":" + ENCODED_COMMANDS + "}",
                 AgentCommandCodec.encode(new CommandRequest(new CommandFence(4, 3), COMMANDS))
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void responseThatRenewsTheLeaseHasTheTokenAfterTheCommands() {
+    void encodesTokenAfterCommandsInLeaseRenewingResponse() {
         assertEquals(
                 "{\"orders\":" + ENCODED_COMMANDS + ",\"baton\":4}",
                 HeartbeatResponseCodec.encode(HeartbeatResponse.renewingLease(COMMANDS, 4))
@@ -45,14 +45,14 @@
     }
 
     @Test
-    void responseToAStaleHeartbeatHasNoToken() {
+    void encodesNoTokenInResponseToStaleHeartbeat() {
         assertEquals(
                 "{\"orders\":[]}",
                 HeartbeatResponseCodec.encode(HeartbeatResponse.ignored()).toString());
     }
 
     @Test
-    void heartbeatIsDecodedWithItsTasks() {
+    void decodesHeartbeatWithTasks() {
         Heartbeat heartbeat = HeartbeatCodec.decode(
                         bytes(
                                 """
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void messageThatIsNoHeartbeatIsDecodedAsEmpty() {
+    void decodesInvalidHeartbeatAsEmpty() {
         for (String message : List.of("", "[]", "{\"host\":\"i-1\"", "{\"host\":\"i-1\",\"tenure\":1}")) {
             assertEquals(Optional.empty(), HeartbeatCodec.decode(bytes(message)), message);
         }
--- a/src/test/java/io/quartzgw/agent/AgentManagerTest.java
+++ b/src/test/java/io/quartzgw/agent/AgentManagerTest.java
@@ -46,13 +46,14 @@
  * when the attempt exits meanwhile. The start may also be sent in responses to heartbeats.
  */
 class AgentManagerTest {
-    private static final Endpoint STATE = new Endpoint("10.2.0.1", 1);
+    private static final Endpoint STATE_SERVICE = new Endpoint("10.2.0.1", 1);
     private static final MachineType TYPE =
             new MachineType("t", new Resources(8, 0, 32), 40, 1, 1, 0.3, 10, List.of("a"));
 
     private final EventLoop eventLoop = new EventLoop(1);
     private final SimulatedStore stateService = new SimulatedStore();
-    private final StoreClient store = new StoreClient(eventLoop, STATE, new StoreLimits(100_000, 100_000, 8192, 16));
+    private final StoreClient store =
+            new StoreClient(eventLoop, STATE_SERVICE, new StoreLimits(100_000, 100_000, 8192, 16));
     private final Leadership leadership = Elections.candidate(eventLoop, store);
     private long now;
     private long sequence;
@@ -67,11 +68,11 @@
     private final List<Effect.Send> callsInFlight = new ArrayList<>();
 
     @BeforeEach
-    void sendOneStartThatStaysInFlight() {
+    void sendStartInDirectCall() {
         Elections.elect(leadership, this::advance);
         shownToken = FencingTokens.lowestOf(leadership.term());
         cluster = new ClusterState(eventLoop, 1);
-        CloudClient cloud = new CloudClient(eventLoop, STATE, new CloudLimits(4, 5_000));
+        CloudClient cloud = new CloudClient(eventLoop, STATE_SERVICE, new CloudLimits(4, 5_000));
         LeaderTerm term = new LeaderTerm(leadership);
         StartLog startLog = new StartLog(eventLoop, store, term, 2_500);
         agents = new AgentManager(
@@ -134,7 +135,7 @@
     }
 
     /** Advances the clock in steps in which the leader renews its lease. */
-    private void passSeconds(int seconds) {
+    private void advanceBySeconds(int seconds) {
         for (int i = 0; i < seconds; i++) {
             advance(1_000);
         }
@@ -186,7 +187,7 @@
     }
 
     /** Sends a heartbeat, and lets the agent see the token of the response. */
-    private void showTokenOfResponse(String phase) {
+    private void adoptTokenOfResponse(String phase) {
         shownToken = responseTo(phase).path("baton").asLong();
     }
 
@@ -220,14 +221,14 @@
     }
 
     @Test
-    void unansweredStartIsSentAgainInTheNextHeartbeatResponse() {
+    void resendsUnansweredStartInNextHeartbeatResponse() {
         endCall(Reply.lost());
         assertEquals(List.of("run"), heartbeat(""));
     }
 
     // The task is placed elsewhere next: a start that arrives after the removal would run the attempt again.
     @Test
-    void exitedAttemptIsNotRemovedWhileItsUnansweredStartIsOutstanding() {
+    void withholdsRemovalWhileUnansweredStartIsOutstanding() {
         endCall(Reply.lost());
         heartbeat("running");
         agents.requestStop(allocation, 0, StopReason.PREEMPTED);
@@ -238,7 +239,7 @@
 
     // A start in a response has started the attempt before the outcome of the direct call is known.
     @Test
-    void exitedAttemptIsNotRemovedWhileItsStartIsInFlight() {
+    void withholdsRemovalWhileStartIsInFlight() {
         heartbeat("running");
         agents.requestStop(allocation, 0, StopReason.MACHINE_RECLAIMED);
         assertEquals(List.of("kill"), heartbeat("running"));
@@ -248,7 +249,7 @@
     }
 
     @Test
-    void exitedAttemptIsRemovedOnceItsStartIsAnswered() {
+    void removesExitedAttemptOnceStartIsAnswered() {
         heartbeat("running");
         agents.requestStop(allocation, 0, StopReason.MACHINE_RECLAIMED);
         heartbeat("running");
@@ -259,7 +260,7 @@
 
     // A direct call may overtake a response, so that the removal would be executed before the start.
     @Test
-    void directCallRemovesNoAttemptWhoseStartIsOutstandingInAResponse() {
+    void withholdsRemovalInDirectCallWhileResponseWithStartIsOutstanding() {
         endCall(rejected());
         assertEquals(List.of("run"), heartbeat(""));
         agents.contact(machine);
@@ -286,7 +287,7 @@
 
     // The unanswered call may reach the agent of the restarted machine, so the task must not be placed elsewhere.
     @Test
-    void observedAttemptKeepsItsAllocationWhenItsAgentIsReplacedWhileItsStartIsOutstanding() {
+    void keepsAllocationWhenAgentIsReplacedWhileStartIsOutstanding() {
         endCall(Reply.lost());
         heartbeat("running");
         agents.contact(machine);
@@ -298,7 +299,7 @@
     }
 
     /** Ends a contact with a reply that the new agent of a restarted machine made before its last heartbeat. */
-    private void learnThatAgentWasReplaced(List<String> verbsOfResponse) {
+    private void detectAgentReplacement(List<String> verbsOfResponse) {
         agents.contact(machine);
         advance(0);
         sequence = 0;
@@ -310,9 +311,9 @@
 
     // Guards against ran_twice: the response was taken for the former agent's, and the task was started elsewhere.
     @Test
-    void taskWhoseStartIsInAResponseToANewAgentIsNotPendingWhenThatAgentIsFoundOut() {
+    void keepsAllocationWhenReplacementAgentWasSentStartInResponse() {
         endCall(rejected());
-        learnThatAgentWasReplaced(List.of("run"));
+        detectAgentReplacement(List.of("run"));
         assertSame(allocation, machine.allocation(allocation.task()));
         assertFalse(allocation.job().pending().get(0), "the new agent may be executing the response");
         assertEquals(List.of("run"), heartbeat(""), "the new agent is sent the same attempt");
@@ -320,13 +321,13 @@
 
     // Guards against capacity that is never freed: no heartbeat of a replaced agent shows what became of a response.
     @Test
-    void stoppedAttemptWhoseStartWasInAResponseToANewAgentFreesItsCapacityOnceThatResponseIsVoid() {
+    void freesCapacityOfStoppedAttemptOnceResponseToReplacementAgentTimesOut() {
         endCall(rejected());
-        learnThatAgentWasReplaced(List.of("run"));
+        detectAgentReplacement(List.of("run"));
         agents.requestStop(allocation, 0, StopReason.PREEMPTED);
         heartbeat("");
         assertFalse(machine.empty(), "the response may still be executed");
-        passSeconds(5);
+        advanceBySeconds(5);
         agents.contact(machine);
         advance(0);
         endCall(executed(""));
@@ -335,10 +336,10 @@
 
     // Guards against a machine that is fenced for nothing: a response is executed within seconds or never.
     @Test
-    void taskWhoseStartIsInAResponseIsPendingOnceItsMachineWasSilentForItsReservation() {
+    void releasesTaskSentInResponseOnceReservationExpires() {
         endCall(rejected());
-        learnThatAgentWasReplaced(List.of("run"));
-        passSeconds(20);
+        detectAgentReplacement(List.of("run"));
+        advanceBySeconds(20);
         agents.allTasksLost(machine);
         assertTrue(machine.empty());
         assertTrue(allocation.job().pending().get(0));
@@ -346,7 +347,7 @@
 
     // The start was sent only in a response, which was lost: the allocation must not be kept for ever.
     @Test
-    void aStoppedAttemptWhoseStartCameToNothingFreesItsPlace() {
+    void freesCapacityOfStoppedAttemptWhoseResponseWasLost() {
         endCall(rejected());
         assertEquals(List.of("run"), heartbeat(""));
         agents.requestStop(allocation, 0, StopReason.PREEMPTED);
@@ -356,7 +357,7 @@
 
     // The new agent of a restarted machine counts its epochs from the first, which the unanswered call names.
     @Test
-    void attemptKeepsItsAllocationInANewEpochWhileItsStartIsOutstanding() {
+    void keepsAllocationInNewEpochWhileStartIsOutstanding() {
         endCall(Reply.lost());
         epoch = 2;
         heartbeat("");
@@ -365,7 +366,7 @@
     }
 
     @Test
-    void attemptIsReleasedInANewEpochIfItsStartWasNeverSent() {
+    void releasesAllocationInNewEpochIfStartWasNeverSent() {
         endCall(Reply.unsent());
         epoch = 2;
         heartbeat("");
@@ -374,7 +375,7 @@
 
     // Otherwise the late start would run the task on the new agent while it runs elsewhere.
     @Test
-    void exitedAttemptsTaskIsNotPendingUntilTheMachineIsDeleted() {
+    void blocksTaskOfExitedAttemptUntilMachineIsDeleted() {
         endCall(Reply.lost());
         heartbeat("running");
         heartbeat("ended");
@@ -385,7 +386,7 @@
     }
 
     @Test
-    void exitedAttemptsTaskIsPendingOnceItsCallIsAnswered() {
+    void returnsTaskOfExitedAttemptToPendingOnceCallIsAnswered() {
         heartbeat("running");
         heartbeat("ended");
         assertFalse(allocation.job().pending().get(0), "its call is in flight");
@@ -396,7 +397,7 @@
 
     // The late start has reached the new agent of a restarted machine.
     @Test
-    void attemptThatIsStartedAfterAllGetsItsAllocationBack() {
+    void restoresAllocationWhenLateStartIsExecuted() {
         endCall(Reply.lost());
         heartbeat("running");
         heartbeat("ended");
@@ -411,7 +412,7 @@
     // Only a direct call may still start the attempt, and that counts as its exit: its capacity is free, its task
     // waits.
     @Test
-    void unobservedAttemptToBeStoppedIsNotStartedAndFreesItsCapacity() {
+    void freesCapacityOfUnobservedStoppingAttemptWithoutStartingIt() {
         endCall(Reply.lost());
         agents.requestStop(allocation, 0, StopReason.PREEMPTED);
         assertFalse(heartbeat("").contains("run"));
@@ -424,7 +425,7 @@
 
     // Until the heartbeat after it, a response with the start may be on its way.
     @Test
-    void attemptToBeStoppedKeepsItsCapacityWhileItsStartIsOutstandingInAResponse() {
+    void keepsCapacityOfStoppingAttemptWhileResponseWithStartIsOutstanding() {
         endCall(Reply.lost());
         assertEquals(List.of("run"), heartbeat(""));
         agents.requestStop(allocation, 0, StopReason.PREEMPTED);
@@ -437,7 +438,7 @@
     }
 
     @Test
-    void lateStartOfAnAttemptToBeStoppedIsAnsweredByAStop() {
+    void stopsAttemptStartedAfterStopRequest() {
         endCall(Reply.lost());
         agents.requestStop(allocation, 0, StopReason.PREEMPTED);
         heartbeat("");
@@ -446,7 +447,7 @@
     }
 
     @Test
-    void responseAfterAnUnansweredStartCarriesAHigherToken() {
+    void raisesTokenAfterUnansweredStart() {
         assertEquals(shownToken, responseTo("").path("baton").asLong());
         endCall(Reply.lost());
         assertEquals(shownToken + 1, responseTo("").path("baton").asLong());
@@ -457,23 +458,23 @@
     }
 
     @Test
-    void answeredStartRaisesNoToken() {
+    void keepsTokenAfterAnsweredStart() {
         endCall(executed("running"));
         assertEquals(shownToken, responseTo("running").path("baton").asLong());
     }
 
     @Test
-    void exitedAttemptIsRemovedOnceItsAgentHasShownTheRaisedToken() {
+    void removesExitedAttemptOnceAgentShowsRaisedToken() {
         endCall(Reply.lost());
-        showTokenOfResponse("running");
+        adoptTokenOfResponse("running");
         assertEquals(List.of("reap"), heartbeat("ended"), "the agent rejects the late start");
         assertTrue(machine.fencing().hasUnfenced(), "an agent that replaces it does not");
     }
 
     @Test
-    void attemptIsNotRemovedFromAnAgentThatHasReplacedTheOneThatShowedTheRaisedToken() {
+    void withholdsRemovalFromReplacementAgentThatHasNotShownRaisedToken() {
         endCall(Reply.lost());
-        showTokenOfResponse("running");
+        adoptTokenOfResponse("running");
         heartbeat("running");
         agents.contact(machine);
         advance(0);
@@ -484,23 +485,23 @@
     }
 
     @Test
-    void responseRenewsTheLeaseOfAnAgentThatHasSeenAHigherTokenThanThisLeaderKnows() {
+    void renewsLeaseWithHigherTokenShownByAgent() {
         shownToken += 7;
         assertEquals(shownToken, responseTo("").path("baton").asLong());
     }
 
     @Test
-    void unansweredStartThatWasToBeStoppedIsStoppedByEachResponseUntilTheRaisedTokenIsShown() {
+    void stopsUnansweredStartInEachResponseUntilRaisedTokenIsShown() {
         endCall(Reply.lost());
         agents.requestStop(allocation, 0, StopReason.JOB_OVER);
         assertEquals(List.of("kill"), heartbeat(""));
         assertEquals(List.of("kill"), heartbeat(""));
-        showTokenOfResponse("");
+        adoptTokenOfResponse("");
         assertEquals(List.of(), heartbeat(""));
     }
 
     @Test
-    void agentThatHasSeenTheLastTokenIsStartedTasksByResponsesOnly() {
+    void sendsStartsOnlyInResponsesOnceTokensOfTermAreUsedUp() {
         endCall(executed("running"));
         shownToken = leadership.term();
         heartbeat("running");
@@ -512,30 +513,30 @@
     }
 
     @Test
-    void cancelledAttemptThatAnAgentMayStillStartIsReportedOnceAfterHalfOfTheLimit() {
+    void warnsOnceOfStartableCancelledAttemptAfterHalfOfTimeLimit() {
         endCall(Reply.lost());
         cluster.terminate(allocation.job());
         agents.requestStop(allocation, 0, StopReason.JOB_OVER);
         heartbeat("");
-        passSeconds(17);
+        advanceBySeconds(17);
         heartbeat("");
         agents.reportUnfencedAttempts();
         assertTrue(eventLoop.counters().get("fencing.oldest_unfenced_ms") >= 17_000);
         assertFalse(eventLoop.counters().containsKey("fencing.cancelled_at_risk"));
-        passSeconds(1);
+        advanceBySeconds(1);
         agents.reportUnfencedAttempts();
         agents.reportUnfencedAttempts();
         assertEquals(1, eventLoop.counters().get("fencing.cancelled_at_risk"));
     }
 
     @Test
-    void cancelledAttemptIsNotReportedOnceItsAgentHasShownTheRaisedToken() {
+    void doesNotWarnOfCancelledAttemptOnceRaisedTokenIsShown() {
         endCall(Reply.lost());
         cluster.terminate(allocation.job());
         agents.requestStop(allocation, 0, StopReason.JOB_OVER);
-        showTokenOfResponse("");
+        adoptTokenOfResponse("");
         heartbeat("");
-        passSeconds(18);
+        advanceBySeconds(18);
         heartbeat("");
         agents.reportUnfencedAttempts();
         assertEquals(1, eventLoop.counters().get("fencing.unfenced"));
--- a/src/test/java/io/quartzgw/agent/InheritedStartsTest.java
+++ b/src/test/java/io/quartzgw/agent/InheritedStartsTest.java
@@ -57,31 +57,32 @@
 
 /** What a leader does with the starts of former leaders, and when its own may leave in direct calls. */
 class InheritedStartsTest {
-    private static final Endpoint STATE = new Endpoint("10.2.0.1", 1);
+    private static final Endpoint STATE_SERVICE = new Endpoint("10.2.0.1", 1);
     private static final String MACHINE = "i-1";
     private static final String OTHER_MACHINE = "i-2";
     private static final String JOB = "j-000001";
-    private static final int RECORDED_STARTS = 2;
-    private static final long FORMER_ATTEMPT = 7;
+    private static final int RECORDED_START_LIMIT = 2;
+    private static final long PREVIOUS_LEADER_ATTEMPT = 7;
     private static final long HEARTBEAT_MS = 2_500;
     private static final long STEP_MS = 500;
     private static final long TERM_IN_ATTEMPTS = 5;
     /** When the job was cancelled is not known. */
     private static final EndedJobs.End CANCELLED = new EndedJobs.End.Cancelled(OptionalLong.empty());
     /** As in {@code ControllerProcess}. */
-    private static final long OWNER_STACK_BYTES = 256 * 1024;
+    private static final long EVENT_LOOP_STACK_BYTES = 256 * 1024;
 
-    private static final long LOOK_UP_MS = 25_000;
-    private static final Attempt ENDED = new Attempt("j-000009", 0, FORMER_ATTEMPT);
+    private static final long LOOK_UP_DURATION_MS = 25_000;
+    private static final Attempt START_OF_ENDED_JOB = new Attempt("j-000009", 0, PREVIOUS_LEADER_ATTEMPT);
     private static final MachineType TYPE =
             new MachineType("t", new Resources(8, 0, 32), 40, 1, 1, 0.3, 10, List.of("a", "b"));
 
     private final EventLoop eventLoop = new EventLoop(1);
     private final SimulatedStore stateService = new SimulatedStore();
-    private final StoreClient store = new StoreClient(eventLoop, STATE, new StoreLimits(100_000, 100_000, 8192, 16));
+    private final StoreClient store =
+            new StoreClient(eventLoop, STATE_SERVICE, new StoreLimits(100_000, 100_000, 8192, 16));
     private final Leadership leadership = Elections.candidate(eventLoop, store);
     /** The look-ups of ended jobs, with what takes their result. */
-    private final Map<String, Consumer<EndedJobs.End>> endedJobs = new HashMap<>();
+    private final Map<String, Consumer<EndedJobs.End>> pendingLookUps = new HashMap<>();
 
     private final List<Effect.Send> directCalls = new ArrayList<>();
     private long now;
@@ -94,7 +95,7 @@
     private Job job;
 
     @BeforeEach
-    void leadWithAVerifiedMachine() {
+    void createLeaderWithVerifiedMachine() {
         Elections.elect(leadership, this::advance);
         term = new LeaderTerm(leadership);
         cluster = new ClusterState(eventLoop, TERM_IN_ATTEMPTS);
@@ -102,14 +103,14 @@
         startLog.load(List.of());
         eventLoop.onBatchEnd(() -> agents.sendPendingCommands());
         eventLoop.onBatchEnd(startLog::flush);
-        agents = newAgentManager(endedJobs::put);
+        agents = newAgentManager(pendingLookUps::put);
         machine = addMachine(MACHINE, "a");
         job = addJob(JOB, 2);
         cluster.markUnaccounted(job);
     }
 
     private AgentManager newAgentManager(EndedJobs lookUps) {
-        CloudClient cloud = new CloudClient(eventLoop, STATE, new CloudLimits(4, 5_000));
+        CloudClient cloud = new CloudClient(eventLoop, STATE_SERVICE, new CloudLimits(4, 5_000));
         AgentManager manager = new AgentManager(
                 new LeaderContext(eventLoop, term, cluster, new MachineCatalog(eventLoop, store, cloud, () -> true)),
                 new AgentTiming(HEARTBEAT_MS, 16_000, 36_000),
@@ -140,7 +141,7 @@
                         .spec(),
                 1,
                 0));
-        added.recordedStartLimit(RECORDED_STARTS);
+        added.recordedStartLimit(RECORDED_START_LIMIT);
         return added;
     }
 
@@ -208,7 +209,7 @@
         return agents.inheritStarts(List.of(new MachineStarts(machineId, starts)));
     }
 
-    private void resolve() {
+    private void resolveUnaccountedTasks() {
         agents.allocateInheritedStarts(job);
         cluster.resolveUnaccounted(job);
         agents.permitInheritedStarts(unused -> true);
@@ -216,50 +217,50 @@
 
     // Guards against ran_twice: the task was placed anew as soon as no machine ran it.
     @Test
-    void unaccountedTaskIsBoundToTheMachineOfItsInheritedStart() {
-        assertEquals(1, inherit(MACHINE, 0, FORMER_ATTEMPT));
-        resolve();
+    void allocatesUnaccountedTaskToMachineOfInheritedStart() {
+        assertEquals(1, inherit(MACHINE, 0, PREVIOUS_LEADER_ATTEMPT));
+        resolveUnaccountedTasks();
         Allocation allocation = job.allocation(0);
-        assertEquals(FORMER_ATTEMPT, allocation.attempt());
+        assertEquals(PREVIOUS_LEADER_ATTEMPT, allocation.attempt());
         assertTrue(allocation.isLost());
         assertTrue(agents.isStartOutstanding(allocation));
         assertEquals("{1, 2}", job.pending().toString());
     }
 
     @Test
-    void startToAMachineThatIsGoneBindsNothing() {
-        assertEquals(0, inherit("i-9", 0, FORMER_ATTEMPT));
-        resolve();
+    void ignoresInheritedStartToRemovedMachine() {
+        assertEquals(0, inherit("i-9", 0, PREVIOUS_LEADER_ATTEMPT));
+        resolveUnaccountedTasks();
         assertEquals("{0, 1, 2}", job.pending().toString());
     }
 
     // A machine is marked as used before a start is sent to it.
     @Test
-    void startToAMachineThatWasNeverUsedBindsNothing() {
+    void ignoresInheritedStartToUnusedMachine() {
         cluster.add(new Machine(OTHER_MACHINE, TYPE, "a", false, now, now));
-        assertEquals(0, inherit(OTHER_MACHINE, 0, FORMER_ATTEMPT));
+        assertEquals(0, inherit(OTHER_MACHINE, 0, PREVIOUS_LEADER_ATTEMPT));
     }
 
     // Guards against tasks in the wrong place: such a start was announced, but never sent.
     @Test
-    void startBeyondTheRecordedOnesBindsNothing() {
-        assertEquals(0, inherit(MACHINE, 2, FORMER_ATTEMPT));
+    void ignoresInheritedStartAtRecordedStartLimit() {
+        assertEquals(0, inherit(MACHINE, 2, PREVIOUS_LEADER_ATTEMPT));
     }
 
     @Test
-    void ofSeveralStartsOfATaskTheNewestBindsIt() {
+    void allocatesTaskToMachineOfNewestInheritedStart() {
         addMachine(OTHER_MACHINE, "a");
         agents.inheritStarts(List.of(
-                new MachineStarts(MACHINE, Set.of(new Attempt(JOB, 0, FORMER_ATTEMPT + 1))),
-                new MachineStarts(OTHER_MACHINE, Set.of(new Attempt(JOB, 0, FORMER_ATTEMPT)))));
-        resolve();
+                new MachineStarts(MACHINE, Set.of(new Attempt(JOB, 0, PREVIOUS_LEADER_ATTEMPT + 1))),
+                new MachineStarts(OTHER_MACHINE, Set.of(new Attempt(JOB, 0, PREVIOUS_LEADER_ATTEMPT)))));
+        resolveUnaccountedTasks();
         assertEquals(machine, job.allocation(0).machine());
     }
 
     // Guards against a quota that is exceeded: the task of an announced start may have been given up before it left.
     @Test
-    void inheritedStartIsSentAgainOnlyWithinTheQuota() {
-        inherit(MACHINE, 0, FORMER_ATTEMPT);
+    void resendsInheritedStartOnlyWithinQuota() {
+        inherit(MACHINE, 0, PREVIOUS_LEADER_ATTEMPT);
         agents.allocateInheritedStarts(job);
         cluster.resolveUnaccounted(job);
         agents.permitInheritedStarts(unused -> false);
@@ -276,11 +277,11 @@
 
     // Guards against a machine that is fenced only since its agent refuses the start for lack of room.
     @Test
-    void inheritedStartIsSentAgainOnlyWhenItsMachineHasRoom() {
-        inherit(MACHINE, 0, FORMER_ATTEMPT);
+    void resendsInheritedStartOnlyWhenMachineHasCapacity() {
+        inherit(MACHINE, 0, PREVIOUS_LEADER_ATTEMPT);
         Job other = addJob("j-000002", 8);
         Allocation inTheWay = cluster.allocate(other, 0, machine, cluster.nextAttempt());
-        resolve();
+        resolveUnaccountedTasks();
         String response = respondTo(0);
         assertTrue(response.contains("j-000002"));
         assertFalse(response.contains(JOB), "the agent would refuse it");
@@ -290,23 +291,23 @@
 
     // A later attempt is begun only when the earlier ones can't be started any more.
     @Test
-    void startOfATaskThatHasALaterAttemptIsVoid() {
+    void dropsInheritedStartOfTaskWithLaterAttempt() {
         addMachine(OTHER_MACHINE, "a");
-        inherit(OTHER_MACHINE, 0, FORMER_ATTEMPT);
-        agents.receive(heartbeat(MACHINE, "a", FORMER_ATTEMPT + 1));
+        inherit(OTHER_MACHINE, 0, PREVIOUS_LEADER_ATTEMPT);
+        agents.receive(heartbeat(MACHINE, "a", PREVIOUS_LEADER_ATTEMPT + 1));
         agents.reportUnfencedAttempts();
         cluster.release(job.allocation(0));
         Allocation again =
-                cluster.allocate(job, 0, cluster.findMachine(OTHER_MACHINE).orElseThrow(), FORMER_ATTEMPT);
+                cluster.allocate(job, 0, cluster.findMachine(OTHER_MACHINE).orElseThrow(), PREVIOUS_LEADER_ATTEMPT);
         assertFalse(agents.isStartOutstanding(again));
     }
 
     // Guards against ran_twice by a start that the log can't tell: its attempt may end before.
     @Test
-    void attemptOfAFormerLeaderIsUnfencedWhileItsMachineMayGetUnknownStarts() {
+    void keepsAllocationOfPreviousLeaderWhileUnknownStartsMayBeOutstanding() {
         agents.inheritStarts(List.of());
         machine.fencing().expectUnknownStarts();
-        agents.receive(heartbeat(MACHINE, "a", FORMER_ATTEMPT));
+        agents.receive(heartbeat(MACHINE, "a", PREVIOUS_LEADER_ATTEMPT));
         Allocation allocation = job.allocation(0);
         agents.allTasksLost(machine);
         assertEquals(allocation, job.allocation(0));
@@ -316,7 +317,7 @@
 
     // Guards against ran_twice: a successor has to know of a start before it can be late.
     @Test
-    void startLeavesInADirectCallOnceTheLogHasStoredIt() {
+    void sendsStartInDirectCallOnceLogHasStoredIt() {
         advance(0);
         cluster.resolveUnaccounted(job);
         stateService.setOutage(true);
@@ -330,7 +331,7 @@
         assertEquals(1, directCalls.size());
     }
 
-    private void addSilentMachine() {
+    private void addUnresponsiveMachine() {
         Machine silent = new Machine(OTHER_MACHINE, TYPE, "a", false, now, now);
         silent.markHasRunTasks();
         cluster.add(silent);
@@ -339,10 +340,10 @@
     // Guards against ran_twice: a later attempt of the task may run on a machine that is silent.
     @ParameterizedTest
     @ValueSource(strings = {"stopped", "error", "no_room", "busy", "unknown"})
-    void taskWhoseFormerAttemptHasEndedStaysUnaccountedWhileAMachineIsSilent(String exitCause) {
-        addSilentMachine();
+    void keepsTaskOfEndedAttemptUnaccountedWhileMachineIsUnresponsive(String exitCause) {
+        addUnresponsiveMachine();
         agents.inheritStarts(List.of());
-        agents.receive(heartbeat(MACHINE, "a", FORMER_ATTEMPT, "ended", exitCause));
+        agents.receive(heartbeat(MACHINE, "a", PREVIOUS_LEADER_ATTEMPT, "ended", exitCause));
         assertNull(job.allocation(0));
         assertEquals("{0, 1}", job.unaccounted().toString());
         assertEquals("{2}", job.pending().toString());
@@ -355,10 +356,10 @@
     // The same where the start of the former attempt was inherited: it binds nothing before the job is accounted for.
     @ParameterizedTest
     @ValueSource(strings = {"stopped", "no_room"})
-    void taskWithAnInheritedStartStaysUnaccountedWhileAMachineIsSilent(String exitCause) {
-        addSilentMachine();
-        inherit(MACHINE, 0, FORMER_ATTEMPT);
-        agents.receive(heartbeat(MACHINE, "a", FORMER_ATTEMPT, "ended", exitCause));
+    void keepsTaskWithInheritedStartUnaccountedWhileMachineIsUnresponsive(String exitCause) {
+        addUnresponsiveMachine();
+        inherit(MACHINE, 0, PREVIOUS_LEADER_ATTEMPT);
+        agents.receive(heartbeat(MACHINE, "a", PREVIOUS_LEADER_ATTEMPT, "ended", exitCause));
         agents.receive(heartbeat(MACHINE, "a", 0));
         agents.allTasksLost(machine);
         assertEquals("{0, 1}", job.unaccounted().toString());
@@ -368,20 +369,21 @@
     // The one release before the job is accounted for: a current heartbeat has shown the task on this machine, so that
     // no other one has it. Its siblings stay unaccounted.
     @Test
-    void taskThatACurrentHeartbeatHasShownIsPendingOnceItHasEndedThere() {
-        addSilentMachine();
+    void returnsObservedTaskToPendingOnceItsAttemptEnds() {
+        addUnresponsiveMachine();
         agents.inheritStarts(List.of());
-        agents.receive(heartbeat(MACHINE, "a", FORMER_ATTEMPT));
+        agents.receive(heartbeat(MACHINE, "a", PREVIOUS_LEADER_ATTEMPT));
         assertEquals(machine, job.allocation(0).machine());
         assertEquals("{1}", job.unaccounted().toString());
-        agents.receive(heartbeat(MACHINE, "a", FORMER_ATTEMPT, "ended", "stopped"));
+        agents.receive(heartbeat(MACHINE, "a", PREVIOUS_LEADER_ATTEMPT, "ended", "stopped"));
         assertEquals("{1}", job.unaccounted().toString());
         assertEquals("{0, 2}", job.pending().toString());
     }
 
     /** Takes over a log of a former leader that has the start of a job which is not open. */
     private void inheritStartOfEndedJob() {
-        stateService.setValue("sent/0", Json.object().put(ENDED.task() + "/" + ENDED.number(), MACHINE));
+        stateService.setValue(
+                "sent/0", Json.object().put(START_OF_ENDED_JOB.task() + "/" + START_OF_ENDED_JOB.number(), MACHINE));
         store.listPrefix(StartLog.PREFIX, result -> {
             List<KeyValue> pages = ((ListResult.Listed) result).listing().entries();
             agents.inheritStarts(startLog.load(pages).machines());
@@ -390,7 +392,7 @@
     }
 
     /** Returns whether the log keeps a start when the void ones have left it. */
-    private boolean isInLog(Attempt start) {
+    private boolean isInLogAfterCleanup(Attempt start) {
         for (long passed = 0; passed < 4 * HEARTBEAT_MS; passed += STEP_MS) {
             advance(STEP_MS);
         }
@@ -400,52 +402,52 @@
 
     // Guards against ran_cancelled: the start of a cancelled job was dropped by the next leader.
     @Test
-    void machineOfAStartOfACancelledJobIsFencedAndItsStartStaysKnown() {
+    void fencesMachineAndKeepsStartOfCancelledJobInLog() {
         inheritStartOfEndedJob();
-        assertTrue(isInLog(ENDED), "while it is not known how the job has ended");
+        assertTrue(isInLogAfterCleanup(START_OF_ENDED_JOB), "while it is not known how the job has ended");
         assertEquals(0, machine.fencing().cancelledStarts());
-        endedJobs.remove(ENDED.job()).accept(CANCELLED);
+        pendingLookUps.remove(START_OF_ENDED_JOB.job()).accept(CANCELLED);
         assertEquals(1, machine.fencing().cancelledStarts());
-        assertTrue(isInLog(ENDED), "the next leader has to know it too");
+        assertTrue(isInLogAfterCleanup(START_OF_ENDED_JOB), "the next leader has to know it too");
     }
 
     // Each start is released in the end: a task that is done is not started elsewhere.
     @Test
-    void startOfADoneJobIsVoid() {
+    void dropsStartOfCompletedJob() {
         inheritStartOfEndedJob();
-        endedJobs.remove(ENDED.job()).accept(new EndedJobs.End.Done());
+        pendingLookUps.remove(START_OF_ENDED_JOB.job()).accept(new EndedJobs.End.Done());
         assertEquals(0, machine.fencing().cancelledStarts());
-        assertFalse(isInLog(ENDED));
+        assertFalse(isInLogAfterCleanup(START_OF_ENDED_JOB));
     }
 
     // Guards against ran_cancelled: the job was cancelled between the failover and the end of the recovery.
     @Test
-    void machineIsFencedIfTheJobIsCancelledBeforeItsTasksAreAccountedFor() {
-        inherit(MACHINE, 0, FORMER_ATTEMPT);
+    void fencesMachineIfJobIsCancelledBeforeTasksAreAccountedFor() {
+        inherit(MACHINE, 0, PREVIOUS_LEADER_ATTEMPT);
         cluster.terminate(job);
         agents.reportUnfencedAttempts();
-        endedJobs.remove(JOB).accept(CANCELLED);
+        pendingLookUps.remove(JOB).accept(CANCELLED);
         assertEquals(1, machine.fencing().cancelledStarts());
     }
 
     @Test
-    void startOfACancelledJobToAMachineThatIsGoneLeavesTheLog() {
+    void dropsStartOfCancelledJobFromLogOnceMachineIsRemoved() {
         inheritStartOfEndedJob();
         cluster.remove(machine);
         agents.forget(machine);
-        endedJobs.remove(ENDED.job()).accept(CANCELLED);
-        assertFalse(isInLog(ENDED));
+        pendingLookUps.remove(START_OF_ENDED_JOB.job()).accept(CANCELLED);
+        assertFalse(isInLogAfterCleanup(START_OF_ENDED_JOB));
     }
 
     // Guards against ran_cancelled: another task of the job holds the job back, and the start's machine is not fenced.
     @Test
-    void machineIsFencedIfTheJobIsCancelledWhileAnAllocationOfItWaits() {
+    void fencesMachineIfJobIsCancelledWhileOtherAllocationRemains() {
         Machine other = addMachine(OTHER_MACHINE, "a");
-        inherit(MACHINE, 0, FORMER_ATTEMPT);
-        cluster.allocate(job, 1, other, FORMER_ATTEMPT).recordPhase(Allocation.Phase.RUNNING, now);
+        inherit(MACHINE, 0, PREVIOUS_LEADER_ATTEMPT);
+        cluster.allocate(job, 1, other, PREVIOUS_LEADER_ATTEMPT).recordPhase(Allocation.Phase.RUNNING, now);
         cluster.terminate(job);
         agents.reportUnfencedAttempts();
-        endedJobs.remove(JOB).accept(CANCELLED);
+        pendingLookUps.remove(JOB).accept(CANCELLED);
         assertTrue(
                 CancelledTasks.firstCancellationMs(machine).isPresent(),
                 "the start may run the cancelled task at any time");
@@ -453,35 +455,38 @@
 
     // Guards against ran_cancelled: the time that the look-up takes counts, too.
     @Test
-    void limitOfACancellationCountsFromTheCancellation() {
-        inherit(MACHINE, 0, FORMER_ATTEMPT);
+    void measuresCancellationLimitFromCancellationTime() {
+        inherit(MACHINE, 0, PREVIOUS_LEADER_ATTEMPT);
         cluster.terminate(job);
         long cancelledAt = now;
         agents.reportUnfencedAttempts();
-        advance(LOOK_UP_MS);
-        endedJobs.remove(JOB).accept(new EndedJobs.End.Cancelled(OptionalLong.of(cancelledAt)));
+        advance(LOOK_UP_DURATION_MS);
+        pendingLookUps.remove(JOB).accept(new EndedJobs.End.Cancelled(OptionalLong.of(cancelledAt)));
         assertEquals(cancelledAt, CancelledTasks.firstCancellationMs(machine).orElseThrow());
     }
 
     // Guards against the end of the event loop's thread: the look-ups of jobs that are cached answer at once.
     @Test
-    void lookUpsThatAnswerAtOnceDoNotNest() throws InterruptedException {
+    void doesNotRecurseWhenLookUpsCompleteImmediately() throws InterruptedException {
         int jobs = 5_000;
         agents = newAgentManager((id, onEnd) -> {
-            if (id.equals(ENDED.job())) {
-                endedJobs.put(id, onEnd);
+            if (id.equals(START_OF_ENDED_JOB.job())) {
+                pendingLookUps.put(id, onEnd);
             } else {
                 onEnd.accept(new EndedJobs.End.Done());
             }
         });
-        Set<Attempt> starts = new LinkedHashSet<>(Set.of(ENDED));
+        Set<Attempt> starts = new LinkedHashSet<>(Set.of(START_OF_ENDED_JOB));
         for (int i = 0; i < jobs; i++) {
-            starts.add(new Attempt("j-1" + i, 0, FORMER_ATTEMPT));
+            starts.add(new Attempt("j-1" + i, 0, PREVIOUS_LEADER_ATTEMPT));
         }
         agents.inheritStarts(List.of(new MachineStarts(MACHINE, starts)));
         AtomicReference<Throwable> thrown = new AtomicReference<>();
         Thread owner = new Thread(
-                null, () -> endedJobs.remove(ENDED.job()).accept(new EndedJobs.End.Done()), "owner", OWNER_STACK_BYTES);
+                null,
+                () -> pendingLookUps.remove(START_OF_ENDED_JOB.job()).accept(new EndedJobs.End.Done()),
+                "owner",
+                EVENT_LOOP_STACK_BYTES);
         owner.setUncaughtExceptionHandler((thread, throwable) -> thrown.set(throwable));
         owner.start();
         owner.join();
@@ -491,7 +496,7 @@
     // Each start is released in the end. While its job is open, that may be cancelled, and then a late start of a task
     // that is done counts as well.
     @Test
-    void unansweredStartOfADoneTaskLeavesTheLogOnceItsJobIsDone() {
+    void dropsUnansweredStartOfCompletedTaskFromLogOnceJobIsCompleted() {
         advance(0);
         cluster.resolveUnaccounted(job);
         Allocation allocation = cluster.allocate(job, 0, machine, cluster.nextAttempt());
@@ -506,13 +511,13 @@
         assertTrue(job.isDone(0));
         assertNull(job.allocation(0));
         agents.reportUnfencedAttempts();
-        assertTrue(isInLog(start));
+        assertTrue(isInLogAfterCleanup(start));
         cluster.markDone(job, 1);
         cluster.markDone(job, 2);
         cluster.terminate(job);
         agents.reportUnfencedAttempts();
-        endedJobs.remove(JOB).accept(new EndedJobs.End.Done());
-        assertFalse(isInLog(start));
+        pendingLookUps.remove(JOB).accept(new EndedJobs.End.Done());
+        assertFalse(isInLogAfterCleanup(start));
     }
 
     private void endCall(Effect.Send call, Reply reply) {
