--- a/src/main/java/io/quartzgw/agent/AgentCommand.java
+++ b/src/main/java/io/quartzgw/agent/AgentCommand.java
@@ -9,13 +9,13 @@
     /** The attempt that the command applies to. */
     Attempt attempt();
 
-    /** Starts an attempt; an agent that knows the attempt ignores it. */
+    /** Starts an attempt; ignored by an agent that already holds the attempt. */
     record Start(Attempt attempt) implements AgentCommand {}
 
     /**
      * Stops an attempt.
      *
-     * @param graceSeconds how long the task may take to save its state
+     * @param graceSeconds time that the task has to save its state
      */
     record Stop(Attempt attempt, double graceSeconds) implements AgentCommand {
         /** Stops an attempt without a grace period. */
@@ -24,10 +24,10 @@
         }
     }
 
-    /** Makes the agent forget an attempt that has ended. */
+    /** Removes an ended attempt from the agent. */
     record Remove(Attempt attempt) implements AgentCommand {}
 
-    /** Returns the attempts that some commands start. */
+    /** Returns the attempts of the start commands in a list of commands. */
     static List<Attempt> startedAttempts(List<AgentCommand> commands) {
         return commands.stream()
                 .filter(Start.class::isInstance)
--- a/src/main/java/io/quartzgw/agent/AgentCommandCodec.java
+++ b/src/main/java/io/quartzgw/agent/AgentCommandCodec.java
@@ -6,7 +6,7 @@
 import io.quartzgw.model.Attempt;
 import java.util.List;
 
-/** Encodes commands to agents with the names that the protocol uses. */
+/** Encodes commands to agents with the field names of the protocol. */
 final class AgentCommandCodec {
     /** The path of direct calls to agents. */
     static final String PATH = "/orders";
--- a/src/main/java/io/quartzgw/agent/AgentManager.java
+++ b/src/main/java/io/quartzgw/agent/AgentManager.java
@@ -18,8 +18,8 @@
 /**
  * Manages the agents during one term of this leader: receives their heartbeats and sends them commands.
  *
- * <p>A heartbeat takes one way: {@link HeartbeatCodec} decodes it, {@link HeartbeatProcessor} classifies its freshness
- * and lets {@link TaskReconciler} apply its task list, and {@link HeartbeatResponder} builds the response.
+ * <p>Each heartbeat is decoded by {@link HeartbeatCodec}. {@link HeartbeatProcessor} classifies its freshness and
+ * passes the task list to {@link TaskReconciler}; {@link HeartbeatResponder} builds the response.
  */
 public final class AgentManager {
     private static final Logger LOG = LoggerFactory.getLogger(AgentManager.class);
@@ -40,30 +40,30 @@
     private final StartLogUpdater startLogUpdater;
     private final InheritedStarts inheritedStarts;
     private final EndedJobStarts endedJobStarts;
-    /** The newest heartbeat of each machine that came before the stored state was read. */
+    /** Newest heartbeat received before the stored state was loaded, by machine ID. */
     private final Map<String, Heartbeat> heartbeatsBeforeStateLoaded = new HashMap<>();
 
     private boolean stateLoaded;
 
-    /** Takes the events that other parts of the leader have to act on. */
+    /** Receives the events that other parts of the leader have to act on. */
     public interface Listener {
-        /** A task has completed; that has to be recorded before its agent may forget the attempt. */
+        /** A task has completed; the completion must be recorded before the agent may remove the attempt. */
         void taskFinished(Job job, int index);
 
-        /** It has to be recorded that a machine runs tasks, before its first start is sent. */
+        /** The machine must be recorded as one that runs tasks before a first start is sent to it. */
         void recordNeeded(Machine machine);
 
-        /** It has to be recorded that a task may be started, before its start is sent. */
+        /** The task must be recorded as one that may be started before its start is sent. */
         void recordNeeded(Job job, int index);
     }
 
     /**
      * Creates the manager for the current term.
      *
-     * @param maxDirectCalls how many direct calls to agents may be in flight at once
-     * @param isCancelled whether a job is known to be cancelled, also before the open jobs have been read
-     * @param startLog stores starts before they leave in direct calls
-     * @param endedJobs tells whether a job that is not open was cancelled
+     * @param maxDirectCalls maximum number of direct calls in flight
+     * @param isCancelled whether a job is known to be cancelled; usable before the open jobs have been read
+     * @param startLog stores starts before they are sent in direct calls
+     * @param endedJobs looks up whether a job that is not open was cancelled
      */
     public AgentManager(
             LeaderContext leader,
@@ -95,11 +95,13 @@
 
     // ---- heartbeats
 
-    /** Processes a heartbeat; {@link #respond} is due before the batch ends. */
+    /** Processes a heartbeat; {@link #respond} must be called before the batch ends. */
     public ReceivedHeartbeat receive(Heartbeat heartbeat) {
         if (!stateLoaded) {
             heartbeatsBeforeStateLoaded.merge(
-                    heartbeat.machine(), heartbeat, (old, latest) -> latest.id().isNewerThan(old.id()) ? latest : old);
+                    heartbeat.machine(),
+                    heartbeat,
+                    (first, second) -> second.id().isNewerThan(first.id()) ? second : first);
             return ReceivedHeartbeat.beforeStateLoaded(heartbeat);
         }
         Freshness freshness = process(heartbeat);
@@ -110,14 +112,14 @@
         return ReceivedHeartbeat.processed(heartbeat, freshness);
     }
 
-    /** Returns the response to a heartbeat; unless the heartbeat is stale, it renews the agent's lease. */
+    /** Returns the response to a heartbeat; the response renews the agent's lease unless the heartbeat is stale. */
     public HeartbeatResponse respond(ReceivedHeartbeat received) {
         return received.freshness()
                 .map(freshness -> responder.respond(received.heartbeat(), freshness))
                 .orElseGet(() -> responder.respondBeforeStateLoaded(received.heartbeat()));
     }
 
-    /** Starts to apply heartbeats to the cluster state, which has been read from the state service. */
+    /** Starts to apply heartbeats to the cluster state; called when that has been read from the state service. */
     public void beginReconciling() {
         stateLoaded = true;
         heartbeatsBeforeStateLoaded.values().forEach(this::process);
@@ -151,16 +153,16 @@
 
     // ---- tasks and machines
 
-    /** Forgets the agent of a machine that has been removed. */
+    /** Drops the state of the agent of a machine that has been removed. */
     public void forget(Machine machine) {
         registry.remove(machine).ifPresent(reconciler::agentRemoved);
         startLogUpdater.machineRemoved(machine.id());
     }
 
     /**
-     * Takes over the starts of former leaders that may still be on their way.
+     * Takes over the starts of previous leaders that may still be executed.
      *
-     * @return how many were taken over: the others went to machines that are gone, or are of tasks that have ended
+     * @return the number of starts taken over, excluding starts to removed machines and starts of tasks that have ended
      */
     public int inheritStarts(Collection<MachineStarts> previousStarts) {
         int inherited = inheritedStarts.inherit(previousStarts);
@@ -169,24 +171,24 @@
     }
 
     /**
-     * Allocates the unaccounted tasks of a job that a former leader's call may still start to the machines of those
-     * calls, since no silent machine can run them.
+     * Allocates unaccounted tasks of a job to the machines on which a direct call of a previous leader may still start
+     * them. Called once no unresponsive machine can be running them.
      */
     public void allocateInheritedStarts(Job job) {
         inheritedStarts.allocateUnaccounted(job);
     }
 
     /**
-     * Updates whether a machine runs orphaned attempts, whose capacity no open job accounts for until they have
-     * stopped.
+     * Updates whether a machine runs orphaned attempts. They use capacity that no allocation of an open job accounts
+     * for until they have stopped.
      */
     public void updateUnaccountedCapacity(Machine machine) {
         reconciler.updateUnaccountedCapacity(machine);
     }
 
-    /** Handles that finishes of a job's tasks have been recorded: the agents may forget those attempts. */
+    /** Handles that completions of tasks of a job have been recorded: the agents may remove those attempts. */
     public void finishesRecorded(Job job) {
-        reconciler.finishesRecorded(job);
+        reconciler.completionsRecorded(job);
     }
 
     /** Returns whether a direct call may still start an allocation's attempt, even if its machine is unreachable. */
@@ -195,19 +197,19 @@
     }
 
     /**
-     * Handles that nothing runs on a machine any more, though it may be started again: its tasks are placed elsewhere,
-     * but for those whose start is outstanding.
+     * Handles that no attempt runs on a machine any more, although the machine may be rebooted. Its tasks become free
+     * to be placed on other machines, except those whose start is outstanding.
      */
     public void allTasksLost(Machine machine) {
         allocationRelease.allAttemptsLost(machine);
     }
 
-    /** Sends the starts of former leaders again for which there is quota; called in every batch. */
+    /** Resends the starts of previous leaders whose jobs are within quota; called in every batch. */
     public void permitInheritedStarts(Predicate<Job> isWithinQuota) {
         inheritedStarts.resendWithinQuota(isWithinQuota);
     }
 
-    /** Reports the attempts that are unfenced, and warns of starts that may come too late; called regularly. */
+    /** Reports the unfenced attempts and warns of cancelled attempts that may still be started; called regularly. */
     public void reportUnfencedAttempts() {
         inheritedStarts.dropObsolete();
         endedJobStarts.update();
@@ -216,24 +218,24 @@
 
     // ---- commands
 
-    /** Requests that the start of an allocation is sent at the end of this batch. */
+    /** Requests that the start of an allocation be sent at the end of this batch. */
     public void requestStart(Allocation allocation) {
         registry.requestStart(allocation);
     }
 
-    /** Requests that the unsent starts of a machine's allocations are sent. */
+    /** Requests that the unsent starts of a machine's allocations be sent. */
     public void requestStarts(Machine machine) {
         registry.requestStarts(machine);
     }
 
-    /** Requests that the unsent starts of a job's allocations are sent. */
+    /** Requests that the unsent starts of a job's allocations be sent. */
     public void requestStarts(Job job) {
         registry.requestStarts(job);
     }
 
     /**
-     * Requests that an allocation's attempt is stopped: directly at the end of this batch, and in responses to
-     * heartbeats until it has ended.
+     * Requests that the attempt of an allocation be stopped: in a direct call at the end of this batch, and in
+     * heartbeat responses until it has ended.
      */
     public void requestStop(Allocation allocation, double graceSeconds, StopReason reason) {
         registry.requestStop(allocation, graceSeconds, reason);
@@ -244,7 +246,7 @@
         dispatcher.sendPending();
     }
 
-    /** Asks a machine's agent for a heartbeat, which also shows it this leader's token. */
+    /** Requests a heartbeat from a machine's agent in a direct call, which also shows the agent this leader's token. */
     public void contact(Machine machine) {
         dispatcher.contact(machine);
     }
--- a/src/main/java/io/quartzgw/agent/AgentRegistry.java
+++ b/src/main/java/io/quartzgw/agent/AgentRegistry.java
@@ -16,14 +16,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The state of every agent, and which of the agents have pending commands. */
+/** Holds the state of every agent, and the set of agents with pending commands. */
 final class AgentRegistry {
     private static final Logger LOG = LoggerFactory.getLogger(AgentRegistry.class);
 
     private final ClusterState cluster;
     private final long term;
     private final Map<String, AgentState> agents = new HashMap<>();
-    /** Agents with pending commands, in the order in which their first one came up. */
+    /** Agents with pending commands, in the order in which they were added. */
     private final Set<AgentState> withPendingCommands = new LinkedHashSet<>();
 
     AgentRegistry(LeaderContext leader) {
@@ -31,7 +31,7 @@
         this.term = leader.term().number();
     }
 
-    /** Returns the state of a machine's agent, and creates it if the machine is new or has taken the ID of another. */
+    /** Returns the state of a machine's agent; creates it if the machine is new or reuses the ID of another machine. */
     AgentState agentOf(Machine machine) {
         AgentState agent = agents.get(machine.id());
         if (agent == null || agent.machine() != machine) {
@@ -41,24 +41,21 @@
         return agent;
     }
 
-    /** Removes the state of a machine's agent and returns it, if there was any. */
     Optional<AgentState> remove(Machine machine) {
         Optional<AgentState> removed = Optional.ofNullable(agents.remove(machine.id()));
         removed.ifPresent(withPendingCommands::remove);
         return removed;
     }
 
-    /** Adds an agent to those with pending commands. */
     void addPending(AgentState agent) {
         withPendingCommands.add(agent);
     }
 
-    /** Removes an agent from those with pending commands. */
     void removePending(AgentState agent) {
         withPendingCommands.remove(agent);
     }
 
-    /** Returns all agents; not to be modified. */
+    /** Returns an unmodifiable view of all agents. */
     Collection<AgentState> agents() {
         return Collections.unmodifiableCollection(agents.values());
     }
@@ -68,24 +65,24 @@
         return List.copyOf(withPendingCommands);
     }
 
-    /** Requests that the start of an allocation is sent at the end of this batch. */
+    /** Requests that the start of an allocation be sent at the end of this batch. */
     void requestStart(Allocation allocation) {
         requestStarts(allocation.machine());
     }
 
-    /** Requests that the unsent starts of a machine's allocations are sent. */
+    /** Requests that the unsent starts of a machine's allocations be sent. */
     void requestStarts(Machine machine) {
         withPendingCommands.add(agentOf(machine));
     }
 
-    /** Requests that the unsent starts of a job's allocations are sent. */
+    /** Requests that the unsent starts of a job's allocations be sent. */
     void requestStarts(Job job) {
         job.allocations().stream().filter(allocation -> !allocation.startSent()).forEach(this::requestStart);
     }
 
     /**
-     * Requests that an allocation's attempt is stopped: directly at the end of this batch, and in responses to
-     * heartbeats until it has ended. An attempt whose start was never sent is released at once.
+     * Requests that the attempt of an allocation be stopped: in a direct call at the end of this batch, and in
+     * heartbeat responses until it has ended. An allocation whose start was never sent is released immediately.
      */
     void requestStop(Allocation allocation, double graceSeconds, StopReason reason) {
         LOG.atDebug()
@@ -102,7 +99,7 @@
                 && !agent.outstandingStarts().isOutstanding(Attempts.of(allocation));
         if (neverSent) {
             cluster.release(allocation);
-            // The log has to drop its start.
+            // Processing the agent's commands also drops the start from the start log.
             withPendingCommands.add(agent);
             return;
         }
--- a/src/main/java/io/quartzgw/agent/AgentState.java
+++ b/src/main/java/io/quartzgw/agent/AgentState.java
@@ -13,30 +13,30 @@
 import java.util.stream.Collectors;
 
 /**
- * What the leader knows of one agent beyond its liveness: the attempts that the agent reports, the starts that are
- * outstanding, and the direct call in flight.
+ * The leader's state of one agent, apart from its liveness: the attempts that the agent reports, the outstanding starts
+ * and the direct call in flight.
  */
 final class AgentState {
     private static final byte[] NO_TASK_LIST = new byte[0];
-    /** Long before any time that the event loop's clock shows. */
+    /** Precedes every time of the event loop's clock; half the range, so that differences do not overflow. */
     private static final long DISTANT_PAST_MS = Long.MIN_VALUE / 2;
 
     private final Machine machine;
     private final AgentToken token;
     private final OutstandingStarts outstandingStarts = new OutstandingStarts();
-    /** Attempts that have ended and that the agent still reports. */
+    /** Ended attempts that the agent still reports. */
     private final Set<Attempt> exited = new HashSet<>();
-    /** Exited attempts that the agent may forget, since their outcome is in the state service. */
+    /** Exited attempts that the agent may remove, because their outcome is recorded or needs no record. */
     private final Set<Attempt> removable = new HashSet<>();
-    /** Exited attempts whose task has not completed and has to be started again. */
+    /** Exited attempts whose task is not completed and has to be started again. */
     private final Set<Attempt> unfinished = new HashSet<>();
-    /** Attempts that run without an allocation and have to be stopped. */
+    /** Attempts that run without an allocation and must be stopped. */
     private final Set<Attempt> orphans = new HashSet<>();
 
     private byte[] lastTaskList = NO_TASK_LIST;
     private boolean callInFlight;
     private long callSentAtMs = DISTANT_PAST_MS;
-    /** The newest current heartbeat when the last direct call was sent. */
+    /** The newest current heartbeat at the time when the last direct call was sent. */
     private HeartbeatId latestHeartbeatAtCall;
 
     private long lastContactMs = DISTANT_PAST_MS;
@@ -48,38 +48,36 @@
         this.latestHeartbeatAtCall = machine.liveness().latestHeartbeat();
     }
 
-    /** Returns the machine that the agent runs on. */
     Machine machine() {
         return machine;
     }
 
-    /** Returns the fencing token of the agent. */
     AgentToken token() {
         return token;
     }
 
-    /** Returns the starts that the agent may still execute. */
+    /** Returns the starts that agents of the machine may still execute. */
     OutstandingStarts outstandingStarts() {
         return outstandingStarts;
     }
 
     // ---- attempts
 
-    /** Stores a task list and returns whether it differs from the one that was stored before. */
+    /** Stores a task list and returns whether it differs from the previous one. */
     boolean replaceTaskList(byte[] taskList) {
         boolean changed = !Arrays.equals(lastTaskList, taskList);
         lastTaskList = taskList;
         return changed;
     }
 
-    /** Forgets the exited and orphaned attempts, before those of a changed task list are added. */
+    /** Clears the exited and orphaned attempts before those of a changed task list are added. */
     void beginTaskList() {
         exited.clear();
         unfinished.clear();
         orphans.clear();
     }
 
-    /** Forgets the removable attempts that are not in the task list any more. */
+    /** Drops the removable attempts that are no longer in the task list. */
     void endTaskList() {
         removable.retainAll(exited);
     }
@@ -94,7 +92,7 @@
         unfinished.add(attempt);
     }
 
-    /** Records that the agent may forget an exited attempt. */
+    /** Records that the agent may remove an exited attempt. */
     void addRemovable(Attempt attempt) {
         removable.add(attempt);
     }
@@ -104,12 +102,11 @@
         orphans.add(attempt);
     }
 
-    /** Returns the exited attempts of a job. */
     List<Attempt> exitedAttempts(String job) {
         return exited.stream().filter(attempt -> attempt.job().equals(job)).toList();
     }
 
-    /** Returns the attempts that the agent may forget. */
+    /** Returns the exited attempts that the agent may remove. */
     Collection<Attempt> removable() {
         return Collections.unmodifiableCollection(removable);
     }
@@ -120,8 +117,8 @@
     }
 
     /**
-     * Returns the jobs whose tasks the agent would refuse: it takes no other attempt of a task while it knows one, and
-     * that one can't be removed while its start is outstanding.
+     * Returns the jobs whose tasks the agent would refuse. An agent accepts no further attempt of a task while it still
+     * holds an earlier one, and that one must not be removed while its start is outstanding.
      */
     Set<String> refusedJobs() {
         if (outstandingStarts.isEmpty()) {
@@ -133,13 +130,15 @@
                 .collect(Collectors.toUnmodifiableSet());
     }
 
-    /** Returns whether the present agent may still execute a start of an attempt that it does not know. */
+    /**
+     * Returns whether the current agent may still execute a start of the attempt, once it no longer holds the attempt.
+     */
     boolean mayStillStart(Attempt attempt) {
         CommandFence agent = new CommandFence(token.shown(), machine.liveness().epoch());
         return outstandingStarts.isOutstandingFor(agent, attempt);
     }
 
-    /** Returns whether the start of an allocation has to be sent. */
+    /** Returns whether the start of an allocation still has to be sent. */
     boolean isStartPending(Allocation allocation) {
         return !allocation.observed()
                 && !allocation.stopping()
@@ -149,13 +148,13 @@
                 && !outstandingStarts.isInFlight(Attempts.of(allocation));
     }
 
-    /** Handles a new agent on the same machine: it knows neither tasks nor tokens. */
+    /** Handles a replacement agent on the same machine, which has no tasks and has seen no token. */
     void agentReplaced() {
         token.agentReplaced();
         clearTasks();
     }
 
-    /** Handles a new epoch of the agent: it knows no tasks. */
+    /** Handles a new epoch of the agent, in which it has no tasks. */
     void epochChanged() {
         outstandingStarts.epochChanged();
         clearTasks();
@@ -171,12 +170,12 @@
 
     // ---- direct calls
 
-    /** Returns whether a direct call is in flight; there is one at a time, so that commands keep their order. */
+    /** Returns whether a direct call is in flight; at most one is, so that commands keep their order. */
     boolean callInFlight() {
         return callInFlight;
     }
 
-    /** Records that a direct call with some starts is sent. */
+    /** Records that a direct call is sent, with the starts that it contains. */
     void directCallSent(List<Attempt> starts, CommandFence fence, long nowMs) {
         callInFlight = true;
         callSentAtMs = nowMs;
@@ -187,7 +186,7 @@
     /**
      * Records that the direct call has ended.
      *
-     * @param settled whether its commands are certainly not executed from now on
+     * @param settled whether it is certain that none of its commands is executed from now on
      */
     void directCallEnded(boolean settled) {
         callInFlight = false;
@@ -203,17 +202,20 @@
         outstandingStarts.replyReceived(callSentAtMs);
     }
 
-    /** Returns whether a reply is older than what was known when its call was sent, as only a new agent's can be. */
+    /**
+     * Returns whether a reply to a direct call comes from a replacement agent. Only such a reply can be no newer than
+     * the newest heartbeat at the time when the call was sent.
+     */
     boolean isFromReplacementAgent(Heartbeat reply) {
         return !reply.id().isNewerThan(latestHeartbeatAtCall);
     }
 
-    /** Returns how long ago the agent was last asked for a heartbeat. */
+    /** Returns the time since the agent was last sent a request for a heartbeat. */
     long msSinceContact(long nowMs) {
         return nowMs - lastContactMs;
     }
 
-    /** Records that the agent is asked for a heartbeat. */
+    /** Records that a request for a heartbeat is sent to the agent. */
     void recordContact(long nowMs) {
         lastContactMs = nowMs;
     }
--- a/src/main/java/io/quartzgw/agent/AllocationRelease.java
+++ b/src/main/java/io/quartzgw/agent/AllocationRelease.java
@@ -9,10 +9,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Releases the allocations of attempts that run no more, so that their tasks may be started elsewhere. The one rule for
- * all of them: while a direct call may still start the attempt on its machine, the task stays bound to that machine.
- * Neither the fencing token nor the epoch voids such a call, since the agent of a machine that was started again knows
- * no token and counts its epochs from the first. The call is void once it is answered or the machine is deleted.
+ * Releases the allocations of attempts that no longer run, so that their tasks may be started on other machines.
+ *
+ * <p>One rule holds for all of them: while a direct call may still start the attempt on its machine, the task stays
+ * bound to that machine. The fencing token and the epoch do not rule out such a late start, because the agent of a
+ * rebooted machine has seen no token and counts its epochs from the first. The call can no longer be executed once it
+ * is answered or the machine is deleted.
  */
 final class AllocationRelease {
     private static final Logger LOG = LoggerFactory.getLogger(AllocationRelease.class);
@@ -21,13 +23,13 @@
     private final ClusterState cluster;
     private final AgentRegistry registry;
 
-    /** How an attempt came to run no more. */
+    /** Why an attempt no longer runs. */
     private enum End {
-        /** The agent reports that it has ended. */
+        /** The agent reports that the attempt has ended. */
         EXITED,
-        /** Its agent is gone, has begun a new epoch, or no longer reports it. */
+        /** The agent is gone, has begun a new epoch, or no longer reports the attempt. */
         LOST,
-        /** It was to be stopped before any heartbeat has shown it. */
+        /** The attempt was requested to stop before any heartbeat listed it. */
         NEVER_SEEN
     }
 
@@ -37,7 +39,7 @@
         this.registry = registry;
     }
 
-    /** Returns whether a direct call may still start an allocation's attempt. */
+    /** Returns whether a direct call may still start the attempt of an allocation. */
     boolean isStartOutstanding(Allocation allocation) {
         boolean mayBeUnknown =
                 allocation.machine().fencing().hasUnknownStarts() && cluster.isOfFormerLeader(allocation.attempt());
@@ -48,13 +50,13 @@
     }
 
     private boolean isSafeToRelease(Allocation allocation) {
-        // A task that is done is not started elsewhere.
+        // A completed task is not started again, so a late start needs no protection.
         return allocation.job().isDone(allocation.index()) || !isStartOutstanding(allocation);
     }
 
     /**
-     * Returns whether an agent may be waiting for a response with the start of an unfinished task. It need not be the
-     * agent that has lost the attempt: that one may have been replaced.
+     * Returns whether an agent may be waiting for a heartbeat response with the start of an allocation whose task is
+     * not done. The agent may be a replacement for the one that lost the attempt.
      */
     private boolean isResponseAwaited(Allocation allocation) {
         return !allocation.job().isDone(allocation.index())
@@ -63,7 +65,6 @@
                         .isResponseAwaited(Attempts.of(allocation), eventLoop.nowMs());
     }
 
-    /** Handles that an attempt has exited. */
     void attemptExited(Allocation allocation) {
         releaseOrRetainUnfenced(allocation, End.EXITED);
     }
@@ -78,8 +79,8 @@
     }
 
     /**
-     * Handles that an agent no longer has an attempt. Where its start is outstanding, the allocation remains, and the
-     * same attempt is started again on the machine if its agent can be reached.
+     * Handles that an agent no longer has an attempt. If the start is outstanding, the allocation remains, and the same
+     * attempt is started again on the machine if its agent is reachable.
      */
     void attemptLost(Allocation allocation) {
         if (isSafeToRelease(allocation) && !isResponseAwaited(allocation)) {
@@ -90,17 +91,17 @@
         }
     }
 
-    /** Handles that nothing runs on a machine any more, since its lease has ended or its agent is a new one. */
+    /** Handles that no attempt runs on a machine any more, because its lease has expired or its agent was replaced. */
     void allAttemptsLost(Machine machine) {
         machine.allocationsSnapshot().forEach(this::attemptLost);
     }
 
     /**
-     * Settles the allocations of an agent's attempts that do not run, as far as no response can start them any more:
-     * releases those that nothing can start, and retains those to be stopped that a direct call may still start.
+     * Releases allocations of an agent's attempts that do not run, once no command can start them any more. A stopping
+     * attempt that only an unanswered direct call may still start is retained as unfenced.
      *
-     * <p>Called after every current heartbeat of an agent. It shows what the calls answered before have started, and
-     * that the responses to earlier heartbeats were executed or lost.
+     * <p>Called after every current heartbeat of an agent. The heartbeat lists the attempts that previously answered
+     * direct calls started, and shows that the responses to earlier heartbeats were executed or lost.
      */
     void settleUnstarted(AgentState agent) {
         Machine machine = agent.machine();
--- a/src/main/java/io/quartzgw/agent/Attempts.java
+++ b/src/main/java/io/quartzgw/agent/Attempts.java
@@ -6,7 +6,7 @@
 import io.quartzgw.scheduling.Job;
 import java.util.Optional;
 
-/** Relates attempts, which agents and commands name, to the jobs and allocations of the cluster state. */
+/** Maps between the attempts in heartbeats and commands and the jobs and allocations of the cluster state. */
 final class Attempts {
     private Attempts() {}
 
--- a/src/main/java/io/quartzgw/agent/CommandDispatcher.java
+++ b/src/main/java/io/quartzgw/agent/CommandDispatcher.java
@@ -14,22 +14,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sends pending commands in direct calls to agents, one call at a time to each.
+ * Sends pending commands to agents in direct calls, at most one call at a time to each agent.
  *
- * <p>A start in a call without an answer may still be executed minutes later ({@link OutstandingStarts}). Its
- * allocation remains: the same attempt is sent again in responses to heartbeats, and the task is placed nowhere else
- * while its machine exists.
+ * <p>A start in an unanswered call may still be executed minutes later ({@link OutstandingStarts}). Its allocation
+ * remains: the start of the same attempt is resent in heartbeat responses, and the task is not placed on another
+ * machine while its machine exists.
  */
 final class CommandDispatcher {
     private static final Logger LOG = LoggerFactory.getLogger(CommandDispatcher.class);
 
-    /** A direct call times out after this fraction of a heartbeat interval. */
+    /** Timeout of a direct call, as a fraction of the heartbeat interval. */
     private static final double TIMEOUT_HEARTBEAT_FRACTION = 0.8;
-    /** The fraction of the direct calls that may ask for heartbeats, so that commands can always be sent. */
+    /** Calls that only request a heartbeat may use this fraction of the direct calls; the rest is left to commands. */
     private static final double MAX_CONTACT_CALL_FRACTION = 0.5;
     /** The agent has executed the commands. */
     private static final int STATUS_EXECUTED = 200;
-    /** The agent has executed no command: the token is too low, or the epoch is another one. */
+    /** The agent has executed no command: the token is too low, or the epoch is not the agent's. */
     private static final int STATUS_REJECTED = 409;
 
     private final LeaderContext leader;
@@ -43,13 +43,13 @@
     private final ReplyHandler replyHandler;
     private int callsInFlight;
 
-    /** Takes the heartbeats with which agents reply to direct calls. */
+    /** Receives the heartbeats with which agents reply to direct calls. */
     interface ReplyHandler {
-        /** Applies a heartbeat and returns true, or returns false if the leader can't apply heartbeats yet. */
+        /** Applies a heartbeat and returns true; returns false if the leader cannot apply heartbeats yet. */
         boolean onReply(AgentState agent, Heartbeat heartbeat);
     }
 
-    /** @param maxCalls how many direct calls may be in flight at once */
+    /** @param maxCalls maximum number of direct calls in flight */
     CommandDispatcher(
             LeaderContext leader,
             AgentRegistry registry,
@@ -69,7 +69,7 @@
         this.replyHandler = replyHandler;
     }
 
-    /** Sends the pending commands of the agents that can take a direct call now. */
+    /** Sends the pending commands of the agents to which a direct call can be sent now. */
     void sendPending() {
         for (AgentState agent : registry.withPendingCommands()) {
             if (callsInFlight >= maxCalls) {
@@ -93,8 +93,9 @@
     }
 
     /**
-     * Asks an agent for a heartbeat, which also shows it this leader's token. An agent is not asked more often than it
-     * sends heartbeats by itself, and only a fraction of the agents at a time.
+     * Requests a heartbeat from an agent in a direct call, which also shows the agent this leader's token. An agent
+     * receives at most one such request per heartbeat interval, and only a fraction of the direct calls may be
+     * requests.
      */
     void contact(Machine machine) {
         AgentState agent = registry.agentOf(machine);
@@ -125,7 +126,7 @@
         long timeoutMs = (long) (TIMEOUT_HEARTBEAT_FRACTION * timing.heartbeatMs());
         long sentAtMs = eventLoop.nowMs();
         Call call = Call.post(machine.address(), AgentCommandCodec.PATH, AgentCommandCodec.encode(request), timeoutMs);
-        // The process may be paused before the call leaves.
+        // The process may be paused before the call is sent; the term may no longer be confirmed by then.
         long validUntilMs = starts.isEmpty() ? Effect.ALWAYS_VALID : term.confirmedUntilMs();
         eventLoop.call(call, validUntilMs, reply -> {
             logReply(machine, reply, sentAtMs, starts);
@@ -134,8 +135,8 @@
     }
 
     /**
-     * Returns the epoch that a call names. For commands it is the verified one: a start that names a later epoch would
-     * outlive its allocation, which is released when the epoch changes.
+     * Returns the epoch that a call carries. With commands it is the verified epoch: a start with a later epoch could
+     * be executed after its allocation was released, which happens when the epoch changes.
      */
     private static long epochFor(Machine machine, List<AgentCommand> commands) {
         AgentLiveness liveness = machine.liveness();
@@ -166,7 +167,7 @@
         }
     }
 
-    /** Makes the agent reject a call without an answer from the next message on that reaches it. */
+    /** Raises the token, so that the agent rejects the unanswered call once it has received the new token. */
     private void raiseToken(AgentState agent, List<Attempt> starts) {
         agent.token().raise(eventLoop.nowMs());
         eventLoop.increment("fencing.tokens_raised", 1);
@@ -184,10 +185,10 @@
             return;
         }
         if (rejected) {
-            // The commands are sent again with the epoch that the heartbeat has shown.
+            // The commands are resent with the epoch of this heartbeat.
             registry.addPending(agent);
             if (!agent.machine().liveness().verified()) {
-                // The call named the wrong epoch; the next one names the right one and shows the agent the new token.
+                // The rejected call carried a wrong epoch; the next one carries the right epoch and the new token.
                 contactNow(agent);
             }
         }
--- a/src/main/java/io/quartzgw/agent/CommandFence.java
+++ b/src/main/java/io/quartzgw/agent/CommandFence.java
@@ -3,22 +3,21 @@
 import io.quartzgw.leadership.LeaderTerm;
 
 /**
- * What a direct call names so that an agent rejects it where it no longer applies; of an agent, the highest token that
- * it has seen and its epoch.
+ * The token and the epoch by which an agent rejects a direct call that no longer applies.
  *
- * @param token the fencing token
- * @param epoch the agent's epoch
+ * @param token of a call, its fencing token; of an agent, the highest token that it has shown
+ * @param epoch of a call, the agent epoch that it is meant for; of an agent, its epoch
  */
 record CommandFence(long token, long epoch) {
-    /** Stands for each epoch, where it is not known which one a call names. */
+    /** Matches every epoch; used for calls whose epoch is unknown. */
     private static final long ANY_EPOCH = -1;
 
-    /** Returns a fence that is accepted wherever a call of a leader before a term may be. */
+    /** Returns a fence that is accepted by every agent that may accept a call of a leader before the given term. */
     static CommandFence ofPreviousLeader(LeaderTerm term) {
         return new CommandFence(term.lowestToken() - 1, ANY_EPOCH);
     }
 
-    /** Returns whether an agent executes a call with this fence. */
+    /** Returns whether an agent with the given token and epoch executes a call with this fence. */
     boolean isAcceptedBy(CommandFence agent) {
         return token >= agent.token && (epoch == ANY_EPOCH || epoch == agent.epoch);
     }
--- a/src/main/java/io/quartzgw/agent/CommandLog.java
+++ b/src/main/java/io/quartzgw/agent/CommandLog.java
@@ -24,7 +24,7 @@
                 .log("commands sent");
     }
 
-    /** Logs a response that renews a lease while the term is not confirmed, with all its commands, also none. */
+    /** Logs a response that renews a lease while the term is not confirmed, with its commands, if any. */
     static void respondedUnconfirmed(Heartbeat heartbeat, LeaderTerm term, List<AgentCommand> commands) {
         LOG.atDebug()
                 .addKeyValue("machine", heartbeat.machine())
--- a/src/main/java/io/quartzgw/agent/EndedJobStarts.java
+++ b/src/main/java/io/quartzgw/agent/EndedJobStarts.java
@@ -16,14 +16,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The outstanding starts of jobs that have ended, of this leader and of former ones. The start of a cancelled job must
- * not be executed, so its machine is fenced; that of a job which is done is void. Which of the two it is has to be
- * looked up.
+ * Resolves the outstanding starts of jobs that have ended, whether sent by this leader or by a previous one. How a job
+ * ended has to be looked up. The start of a cancelled job must not be executed, so its machine is fenced. The start of
+ * a completed job is dropped, since its execution would be harmless.
  */
 final class EndedJobStarts {
     private static final Logger LOG = LoggerFactory.getLogger(EndedJobStarts.class);
     private static final int MAX_LOOK_UPS_IN_FLIGHT = 8;
-    /** Stands for a cancellation whose time is not known: its limit may be over. */
+    /** Stands for an unknown cancellation time; long ago, since the time limit of the cancellation may have passed. */
     private static final long UNKNOWN_TIME_MS = Long.MIN_VALUE / 2;
 
     private final EventLoop eventLoop;
@@ -31,14 +31,14 @@
     private final AgentRegistry registry;
     private final EndedJobs endedJobs;
     private final Consumer<OutstandingStart> onDroppable;
-    /** By job whose end is not known yet. */
+    /** Outstanding starts by job ID, for jobs whose terminal state has not been looked up yet. */
     private final Map<String, Set<OutstandingStart>> unresolvedByJob = new HashMap<>();
 
     private final Deque<String> jobsToLookUp = new ArrayDeque<>();
     private int lookUpsInFlight;
     private boolean startingLookUps;
 
-    /** @param onDroppable notified of each start that may be forgotten */
+    /** @param onDroppable notified of each start that may be dropped */
     EndedJobStarts(
             LeaderContext leader, AgentRegistry registry, EndedJobs endedJobs, Consumer<OutstandingStart> onDroppable) {
         this.eventLoop = leader.eventLoop();
@@ -48,7 +48,7 @@
         this.onDroppable = onDroppable;
     }
 
-    /** Finds the starts whose jobs have ended since the last call, and has their machines fenced or forgets them. */
+    /** Finds the outstanding starts of ended jobs, and fences their machines or drops them after a look-up. */
     void update() {
         for (AgentState agent : registry.agents()) {
             for (Attempt start : agent.outstandingStarts().unanswered()) {
@@ -60,7 +60,10 @@
         startLookUps();
     }
 
-    /** While an attempt has an allocation, that is retained until the machine is gone ({@link AllocationRelease}). */
+    /**
+     * Returns whether a start belongs to an ended job and has no allocation. An allocation already protects its start,
+     * since it is retained until the machine is gone ({@link AllocationRelease}).
+     */
     private boolean isOfEndedJob(Machine machine, Attempt start) {
         Allocation allocation = machine.allocation(start.task());
         boolean allocated = allocation != null && allocation.attempt() == start.number();
@@ -83,7 +86,7 @@
 
     private void startLookUps() {
         if (startingLookUps) {
-            // A look-up has been answered at once: the loop below goes on with the next one.
+            // Called from a look-up that completed immediately; the loop below continues with the next job.
             return;
         }
         startingLookUps = true;
--- a/src/main/java/io/quartzgw/agent/EndedJobs.java
+++ b/src/main/java/io/quartzgw/agent/EndedJobs.java
@@ -3,22 +3,22 @@
 import java.util.OptionalLong;
 import java.util.function.Consumer;
 
-/** Tells how jobs have ended that are not open any more. */
+/** Looks up the terminal state of jobs that are no longer open. */
 public interface EndedJobs {
 
-    /** How a job has ended. */
+    /** The terminal state of a job. */
     sealed interface End {
-        /** All its tasks are done. */
+        /** All tasks of the job are completed. */
         record Done() implements End {}
 
         /**
-         * It was cancelled.
+         * The job was cancelled.
          *
-         * @param atMs when a user was told so, as far as this controller knows
+         * @param atMs when the cancellation was acknowledged to a user, if this controller knows the time
          */
         record Cancelled(OptionalLong atMs) implements End {}
     }
 
-    /** Answers, at once or later, how a job that is not open has ended. */
-    void lookUp(String job, Consumer<End> onEnd);
+    /** Looks up how a job that is not open has ended; the callback runs during this call or later. */
+    void lookUp(String job, Consumer<End> callback);
 }
--- a/src/main/java/io/quartzgw/agent/Heartbeat.java
+++ b/src/main/java/io/quartzgw/agent/Heartbeat.java
@@ -7,14 +7,14 @@
 import java.util.OptionalDouble;
 
 /**
- * An agent's report on its machine and tasks. The task list is kept encoded and decoded only when it differs from the
- * agent's previous one, since most heartbeats of hundreds of machines carry nothing new.
+ * An agent's periodic report on its machine and tasks. The task list is kept encoded and is decoded only if it differs
+ * from the agent's previous one, because most heartbeats of hundreds of machines carry no change.
  *
  * @param source the machine that the agent runs on
  * @param id the agent's epoch and the sequence of the heartbeat
  * @param fencingToken the highest token that the agent has seen
- * @param reclaimInSeconds when the cloud takes the machine back, if the agent was notified
- * @param taskList the encoded task list, empty if the heartbeat had none
+ * @param reclaimInSeconds seconds until the cloud reclaims the machine, if the agent was notified
+ * @param taskList the encoded task list; empty if the heartbeat had none
  */
 public record Heartbeat(
         Source source, HeartbeatId id, long fencingToken, OptionalDouble reclaimInSeconds, byte[] taskList) {
@@ -38,11 +38,11 @@
         DONE,
         STOPPED,
         ERROR,
-        /** Not all members of its gang started, or one of them ended. */
+        /** Not all members of the gang started, or one of them ended. */
         GANG_FAILED,
-        /** The agent refused it: the machine had no free capacity, another attempt, or no such job. */
+        /** The agent refused the attempt: no free capacity, another attempt of the task present, or job unknown. */
         REFUSED,
-        /** It has not ended, or the agent names no cause. */
+        /** The attempt has not ended, or the agent reported no cause. */
         NONE
     }
 
@@ -51,22 +51,21 @@
         return source.machine();
     }
 
-    /** Returns the endpoint at which the agent takes commands. */
+    /** Returns the endpoint at which the agent receives commands. */
     public Endpoint address() {
         return source.address();
     }
 
-    /** Returns the agent's epoch. */
     public long epoch() {
         return id.epoch();
     }
 
-    /** Returns the number of the heartbeat within the epoch. */
+    /** Returns the sequence number of the heartbeat within the epoch. */
     public long sequence() {
         return id.sequence();
     }
 
-    /** Decodes the task list, without the items that are not valid. */
+    /** Decodes the task list, skipping invalid items. */
     List<TaskStatus> tasks() {
         return HeartbeatCodec.decodeTasks(taskList);
     }
--- a/src/main/java/io/quartzgw/agent/HeartbeatCodec.java
+++ b/src/main/java/io/quartzgw/agent/HeartbeatCodec.java
@@ -13,7 +13,7 @@
 import java.util.Optional;
 import java.util.OptionalDouble;
 
-/** Decodes heartbeats from the JSON and the names that the protocol uses. */
+/** Decodes heartbeats from JSON with the field names of the protocol. */
 public final class HeartbeatCodec {
     private static final JsonFactory JSON = new JsonFactory();
     private static final byte[] NO_TASKS = new byte[0];
@@ -21,7 +21,7 @@
 
     private HeartbeatCodec() {}
 
-    /** Decodes a heartbeat without its task list; empty if the message is not a valid heartbeat. */
+    /** Decodes a heartbeat, leaving its task list encoded; returns empty if the message is not a valid heartbeat. */
     public static Optional<Heartbeat> decode(byte[] message) {
         try (JsonParser parser = JSON.createParser(message)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
@@ -95,7 +95,7 @@
         }
     }
 
-    /** Decodes the task list of a heartbeat, without the items that are not valid. */
+    /** Decodes the task list of a heartbeat, skipping invalid items. */
     static List<Heartbeat.TaskStatus> decodeTasks(byte[] taskList) {
         List<Heartbeat.TaskStatus> tasks = new ArrayList<>();
         if (taskList.length == 0) {
@@ -154,7 +154,7 @@
 
     private static Heartbeat.TaskState decodeState(String state) {
         return switch (state) {
-            // A gang member that waits for the others does not run yet.
+            // A gang member that waits for the other members does not run yet.
             case "fetching", "gathering" -> Heartbeat.TaskState.FETCHING;
             case "flushing" -> Heartbeat.TaskState.CHECKPOINTING;
             case "ended" -> Heartbeat.TaskState.EXITED;
--- a/src/main/java/io/quartzgw/agent/HeartbeatProcessor.java
+++ b/src/main/java/io/quartzgw/agent/HeartbeatProcessor.java
@@ -27,7 +27,7 @@
     /**
      * The result of processing a heartbeat.
      *
-     * @param contact the machine whose agent has to be asked for a heartbeat in a direct call, if any
+     * @param contact the machine whose agent must be sent a direct call that requests a heartbeat, if any
      */
     record Result(Freshness freshness, Optional<Machine> contact) {}
 
@@ -44,7 +44,7 @@
         this.allocationRelease = allocationRelease;
     }
 
-    /** Processes a heartbeat that an agent has sent. */
+    /** Processes a heartbeat that an agent has sent on its own. */
     Result process(Heartbeat heartbeat) {
         return process(heartbeat, Origin.AGENT);
     }
@@ -74,8 +74,8 @@
             applyCurrent(machine, heartbeat, origin);
         } else {
             machine.address(heartbeat.address());
-            // The agent is new, or the machine came back, or the heartbeat is a duplicate: a reply tells which. Agents
-            // that a former leader used are contacted by the failover recovery.
+            // The agent is new, the machine was rebooted, or the heartbeat is a duplicate. The reply to a direct call
+            // distinguishes these cases. The failover recovery contacts the agents that a previous leader used.
             contactNeeded = !machine.hasRunTasks() || liveness.verified();
         }
         if (origin == Origin.AGENT) {
@@ -98,7 +98,7 @@
     private Optional<Machine> adoptMachine(Heartbeat heartbeat) {
         Heartbeat.Source source = heartbeat.source();
         Optional<MachineType> type = leader.machineTypes().find(source.machineType());
-        // Without this leader's token it may be a duplicate from a machine that is long gone.
+        // Without a token of this term, it may be a delayed duplicate from a machine that no longer exists.
         if (type.isEmpty() || cluster.wasRemoved(source.machine()) || !showsTokenOfTerm(heartbeat)) {
             return Optional.empty();
         }
@@ -167,8 +167,8 @@
     }
 
     /**
-     * Handles a new epoch: the lease has ended, and the agent has killed and forgotten its tasks. Responses may not
-     * reach the agent, so it counts as unreachable until it replies to a direct call.
+     * Handles a new epoch: the lease has expired, and the agent has killed and removed its tasks. Responses may not be
+     * reaching the agent, so it counts as unreachable until it replies to a direct call.
      */
     private void onEpochChanged(AgentState agent, Heartbeat heartbeat) {
         Machine machine = agent.machine();
@@ -182,7 +182,7 @@
         machine.liveness().markUnreachable(eventLoop.nowMs());
     }
 
-    /** Handles a new agent: the tasks of the former one are gone. */
+    /** Handles a replacement agent on a machine: the tasks of the previous agent are gone. */
     private void onAgentReplaced(AgentState agent, Heartbeat heartbeat) {
         Machine machine = agent.machine();
         LOG.atInfo()
--- a/src/main/java/io/quartzgw/agent/HeartbeatResponder.java
+++ b/src/main/java/io/quartzgw/agent/HeartbeatResponder.java
@@ -11,8 +11,8 @@
  * Builds the responses to heartbeats.
  *
  * <p>Every response that renews a lease also stops the attempts of jobs that are known to have ended, whether or not
- * the heartbeat is verified. Otherwise each of several leaders in quick succession could renew the lease of a cancelled
- * task with its first response without stopping it.
+ * the heartbeat is verified. Otherwise, when leaders change in quick succession, the first response of each could renew
+ * the lease of a cancelled task without stopping it.
  */
 final class HeartbeatResponder {
     private final LeaderContext leader;
@@ -20,7 +20,7 @@
     private final PendingCommands pendingCommands;
     private final Predicate<String> isCancelled;
 
-    /** @param isCancelled whether a job is known to be cancelled, also before the open jobs have been read */
+    /** @param isCancelled whether a job is known to be cancelled; usable before the open jobs have been read */
     HeartbeatResponder(
             LeaderContext leader,
             AgentRegistry registry,
@@ -32,7 +32,7 @@
         this.isCancelled = isCancelled;
     }
 
-    /** Returns the response while the open jobs are not known yet. */
+    /** Returns the response to a heartbeat that was received before the open jobs were read. */
     HeartbeatResponse respondBeforeStateLoaded(Heartbeat heartbeat) {
         return renewLease(heartbeat, stopsOfEndedJobs(heartbeat, attempt -> isCancelled.test(attempt.job())));
     }
@@ -69,14 +69,17 @@
     }
 
     /**
-     * Returns whether a heartbeat is of the verified epoch. An agent of a later epoch would execute a start, while the
-     * heartbeat that verifies the later epoch releases the allocation and lets the task be placed elsewhere.
+     * Returns whether a heartbeat is of the verified epoch. An agent in a later epoch would execute a start although
+     * the heartbeat that verifies the later epoch releases the allocation, so that the task may be placed elsewhere.
      */
     private static boolean isFromVerifiedEpoch(Heartbeat heartbeat, Machine machine) {
         return machine.liveness().verified() && machine.liveness().epoch() == heartbeat.epoch();
     }
 
-    /** A task is only started by a leader that has read its job, so a job that this leader does not have has ended. */
+    /**
+     * Returns whether the job of an attempt has ended. A leader starts a task only after it has read the job, so a job
+     * that is missing here has ended.
+     */
     private boolean isOfEndedJob(Attempt attempt) {
         return isCancelled.test(attempt.job())
                 || Attempts.openJob(attempt, leader.cluster()).isEmpty();
--- a/src/main/java/io/quartzgw/agent/HeartbeatResponse.java
+++ b/src/main/java/io/quartzgw/agent/HeartbeatResponse.java
@@ -7,7 +7,7 @@
  * The response to a heartbeat.
  *
  * @param commands executed by the agent in this order
- * @param fencingToken the leader's token, which renews the agent's lease; an agent ignores a response without it
+ * @param fencingToken the leader's token, which renews the agent's lease; an agent ignores a response without a token
  */
 public record HeartbeatResponse(List<AgentCommand> commands, OptionalLong fencingToken) {
 
@@ -16,7 +16,7 @@
         return new HeartbeatResponse(commands, OptionalLong.of(fencingToken));
     }
 
-    /** Whether the response starts a task, which only a confirmed leader may do. */
+    /** Returns whether the response contains a start, which only a confirmed leader may send. */
     public boolean startsTasks() {
         return !AgentCommand.startedAttempts(commands).isEmpty();
     }
--- a/src/main/java/io/quartzgw/agent/HeartbeatResponseCodec.java
+++ b/src/main/java/io/quartzgw/agent/HeartbeatResponseCodec.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quartzgw.http.Json;
 
-/** Encodes responses to heartbeats with the names that the protocol uses. */
+/** Encodes heartbeat responses with the field names of the protocol. */
 public final class HeartbeatResponseCodec {
     private HeartbeatResponseCodec() {}
 
--- a/src/main/java/io/quartzgw/agent/InheritedStarts.java
+++ b/src/main/java/io/quartzgw/agent/InheritedStarts.java
@@ -16,8 +16,9 @@
 import java.util.function.Predicate;
 
 /**
- * The starts of former leaders that may still be on their way. Each is outstanding on its machine like a call of this
- * leader without an answer, so its task is placed nowhere else while that machine exists ({@link AllocationRelease}).
+ * Tracks the starts of previous leaders that may still be executed. Each is outstanding on its machine like a start in
+ * an unanswered direct call of this leader, so its task is not placed on another machine while that machine exists
+ * ({@link AllocationRelease}).
  */
 final class InheritedStarts {
     private final LeaderContext leader;
@@ -25,10 +26,13 @@
     private final ClusterState cluster;
     private final AgentRegistry registry;
     private final StartLogUpdater startLogUpdater;
-    /** By task of an open job; the newest start of a task proves that the earlier ones are void. */
+    /**
+     * Newest inherited start of each task of an open job, by task. Only the newest matters, because a leader sends a
+     * later start only once the earlier ones can no longer be executed.
+     */
     private final Map<String, OutstandingStart> newestByTask = new HashMap<>();
 
-    /** Allocations of inherited starts that must not be sent again yet. */
+    /** Allocations of inherited starts that must not be resent yet. */
     private final Set<Allocation> withheldAllocations = new LinkedHashSet<>();
 
     InheritedStarts(LeaderContext leader, AgentRegistry registry, StartLogUpdater startLogUpdater) {
@@ -40,15 +44,15 @@
     }
 
     /**
-     * Takes over the starts that may have been sent to machines that exist. They are outstanding, also those of jobs
-     * that have ended.
+     * Takes over the starts that may have been sent to machines that still exist, and marks them as outstanding. This
+     * includes starts of jobs that have ended.
      *
-     * @return how many tasks of open jobs, which are not done, they are for
+     * @return the number of tasks with such a start that are not done and whose job is open
      */
     int inherit(Collection<MachineStarts> previousStarts) {
         Map<String, OutstandingStart> newest = new HashMap<>();
         for (MachineStarts machineStarts : previousStarts) {
-            // A machine is marked as used before a start is sent to it.
+            // A leader records that a machine runs tasks before it sends a start to the machine.
             cluster.findMachine(machineStarts.machine())
                     .filter(Machine::hasRunTasks)
                     .ifPresent(machine -> addNewest(machine, machineStarts.starts(), newest));
@@ -69,7 +73,10 @@
         }
     }
 
-    /** A start is announced before it is recorded, and recorded before it is sent. */
+    /**
+     * Returns whether a start may have been sent. A start enters the log before its task is recorded as one that may be
+     * started, and it is sent only after that record.
+     */
     private boolean mayHaveBeenSent(Attempt start) {
         return cluster.findJob(start.job())
                 .filter(job -> !job.isTerminal())
@@ -89,7 +96,7 @@
         agent.outstandingStarts().addInherited(start.attempt(), CommandFence.ofPreviousLeader(leader.term()));
     }
 
-    // The others are void, and leave the log.
+    // Drops from the log the starts that can no longer be executed.
     private void updateLog(String machineId) {
         cluster.findMachine(machineId)
                 .ifPresentOrElse(
@@ -98,8 +105,9 @@
     }
 
     /**
-     * Allocates the unaccounted tasks of a job whose start was inherited to the machines of those starts, with the same
-     * attempts, as if they had been lost there. Called when no silent machine can run them.
+     * Allocates the unaccounted tasks of a job that have an inherited start to the machine of that start. The
+     * allocation has the attempt of the start and counts as lost. Called once no unresponsive machine can be running
+     * the tasks.
      */
     void allocateUnaccounted(Job job) {
         job.unaccounted().stream().boxed().toList().forEach(index -> allocateIfInherited(job, index));
@@ -123,8 +131,8 @@
     }
 
     /**
-     * Sends the inherited starts again for which there is quota. A start may have been announced and its task given up
-     * without being sent; then the former leader has given its share of the quota to another task.
+     * Resends the withheld starts whose jobs are within quota. The previous leader may have logged a start but released
+     * its task without sending it, and then given its share of the quota to another task.
      */
     void resendWithinQuota(Predicate<Job> isWithinQuota) {
         withheldAllocations.removeIf(allocation -> !allocation.isLost() || !isAllocated(allocation));
@@ -143,8 +151,9 @@
     }
 
     /**
-     * Forgets the starts that bind no task any more: those to machines that are gone, of tasks that are done, and of
-     * tasks that have a later attempt, which no leader begins before an earlier one is void. Called regularly.
+     * Drops the starts that no longer bind a task to a machine: starts to removed machines, starts of tasks that are
+     * done, and starts of tasks with a later attempt. A leader begins a later attempt only once the earlier start can
+     * no longer be executed. Called regularly.
      */
     void dropObsolete() {
         for (OutstandingStart start : List.copyOf(newestByTask.values())) {
@@ -166,7 +175,7 @@
                 .isPresent();
     }
 
-    /** Forgets a start that can't be executed any more, or harms nobody if it is. */
+    /** Drops a start that can no longer be executed, or whose execution would be harmless. */
     void drop(OutstandingStart start) {
         if (cluster.contains(start.machine())) {
             AgentState agent = registry.agentOf(start.machine());
--- a/src/main/java/io/quartzgw/agent/LeaderContext.java
+++ b/src/main/java/io/quartzgw/agent/LeaderContext.java
@@ -6,7 +6,7 @@
 import io.quartzgw.scheduling.ClusterState;
 
 /**
- * What every part of one leader shares.
+ * The objects that all components of one leader share.
  *
  * @param eventLoop clock, timers, outbound calls and counters
  * @param term the term in which this controller leads
--- a/src/main/java/io/quartzgw/agent/OutstandingStarts.java
+++ b/src/main/java/io/quartzgw/agent/OutstandingStarts.java
@@ -9,48 +9,52 @@
 import java.util.Set;
 
 /**
- * The starts that the agents of one machine may still execute, by attempt.
+ * Tracks the starts that the agents of one machine may still execute, by attempt.
  *
- * <p>The same start may be sent several times: in a direct call, and in responses to heartbeats until one of them shows
- * the attempt. A direct call may be executed minutes late; a response is executed before the agent's next heartbeat, or
- * never. While a start is outstanding, an attempt that has ended must stay known to the agent, since a start that
- * arrives after the removal runs it again.
+ * <p>A start may be sent several times: in a direct call, and in heartbeat responses until a heartbeat lists the
+ * attempt. A direct call may be executed minutes after it was sent. A heartbeat response is executed before the agent
+ * sends its next heartbeat, or never. While a start is outstanding, the agent must not remove the ended attempt,
+ * because a start that arrives after the removal would run the attempt again.
  *
- * <p>A direct call names a token and an epoch ({@link CommandFence}). An agent that has seen a higher token or has
- * begun a later epoch rejects it, but an agent that replaces this one has seen none and counts its epochs from the
- * first. So a direct call without an answer may be executed for as long as the machine exists, and the task must be
- * placed nowhere else ({@link AllocationRelease}).
+ * <p>A direct call carries a fencing token and an epoch ({@link CommandFence}). An agent that has seen a higher token
+ * or is in a later epoch rejects the call. A replacement agent on the same machine has seen no token and counts its
+ * epochs from the first, so it may accept the call. An unanswered direct call may therefore be executed for as long as
+ * the machine exists, and until then the task must not be placed on another machine ({@link AllocationRelease}).
  */
 final class OutstandingStarts {
-    /** How long an agent waits for the response to a heartbeat, by the protocol; it drops one that comes later. */
+    /** How long the protocol lets an agent wait for a heartbeat response; the agent drops a later response. */
     private static final long RESPONSE_TIMEOUT_MS = 4_000;
-    /** The longest time by this controller's clock, since the clocks drift apart. */
+    /** The longest such wait as measured by this controller's clock; allows for a clock drift of 1/1000. */
     private static final long MAX_RESPONSE_WAIT_MS = RESPONSE_TIMEOUT_MS + RESPONSE_TIMEOUT_MS / 1_000;
 
-    /** Starts in the direct call in flight. */
+    /** Starts in the direct call that is in flight. */
     private final Set<Attempt> inFlight = new HashSet<>();
-    /** Starts in direct calls without an answer, with what the calls named. */
+    /** Starts in unanswered direct calls, with the fences of those calls. */
     private final Map<Attempt, Set<CommandFence>> unanswered = new HashMap<>();
-    /** Starts in responses, with the last response that had them. */
+    /** Starts sent in heartbeat responses, with the latest response that contained each. */
     private final Map<Attempt, SentResponse> sentInResponses = new HashMap<>();
 
     private CommandFence fenceInFlight;
 
-    /** A response to the heartbeat with a sequence. */
+    /**
+     * A heartbeat response that contained a start.
+     *
+     * @param sequence the sequence of the heartbeat that it answers
+     */
     private record SentResponse(long sequence, long sentAtMs) {}
 
-    /** Records that a direct call is sent; there is one at a time. */
+    /** Records that a direct call is sent; at most one is in flight at a time. */
     void directCallSent(Collection<Attempt> starts, CommandFence fence) {
         inFlight.addAll(starts);
         fenceInFlight = fence;
     }
 
-    /** Handles the answer to a direct call: none of its starts is executed later. */
+    /** Handles that the direct call was answered: none of its starts can be executed later. */
     void directCallAnswered() {
         inFlight.clear();
     }
 
-    /** Handles a direct call without an answer: its starts may have been executed, or may be later. */
+    /** Handles that the direct call remained unanswered: its starts may have been executed or may be executed later. */
     void directCallUnanswered() {
         for (Attempt start : inFlight) {
             unanswered.computeIfAbsent(start, attempt -> new HashSet<>()).add(fenceInFlight);
@@ -58,86 +62,95 @@
         inFlight.clear();
     }
 
-    /** Records a start that a direct call of a former leader may carry. */
+    /** Adds a start that may still arrive in a direct call of a previous leader. */
     void addInherited(Attempt start, CommandFence fence) {
         unanswered.computeIfAbsent(start, attempt -> new HashSet<>()).add(fence);
     }
 
-    /** Handles that direct calls without an answer carry a start no more, or that it harms nobody if they do. */
+    /** Removes a start that no unanswered direct call can execute any more, or whose execution would be harmless. */
     void removeUnanswered(Attempt start) {
         unanswered.remove(start);
     }
 
-    /** Returns the starts in direct calls without an answer. */
+    /** Returns the starts in unanswered direct calls. */
     Set<Attempt> unanswered() {
         return Collections.unmodifiableSet(unanswered.keySet());
     }
 
-    /** Returns the starts that direct calls may still carry. */
+    /** Returns the starts in direct calls that are in flight or unanswered. */
     Set<Attempt> outstandingInDirectCalls() {
         Set<Attempt> starts = new HashSet<>(unanswered.keySet());
         starts.addAll(inFlight);
         return starts;
     }
 
-    /** Records that a start is sent in the response to a heartbeat. */
+    /** Records that a start is sent in a heartbeat response. */
     void sentInResponse(Attempt start, long sequence, long nowMs) {
         sentInResponses.put(start, new SentResponse(sequence, nowMs));
     }
 
-    /** Handles a heartbeat: an agent sends one at a time, so it has executed or lost the responses to earlier ones. */
+    /**
+     * Handles a heartbeat. An agent sends one heartbeat at a time, so the responses to earlier heartbeats have been
+     * executed or lost.
+     */
     void heartbeatReceived(long sequence) {
         sentInResponses.values().removeIf(response -> response.sequence < sequence);
     }
 
     /**
-     * Handles the reply to a direct call: the agent has executed or dropped the responses that had left so long before
-     * the call that it waits for them no more.
+     * Handles the reply to a direct call. The agent has executed or dropped every response that was sent at least the
+     * longest response wait before the call.
      */
     void replyReceived(long callSentAtMs) {
         sentInResponses.values().removeIf(response -> callSentAtMs - response.sentAtMs >= MAX_RESPONSE_WAIT_MS);
     }
 
     /**
-     * Handles a new epoch of the same agent: it drops the responses to earlier heartbeats. An agent that replaces it
-     * does not: the leader may have answered heartbeats of the new agent before it is known to be one.
+     * Handles a new epoch of the same agent, which drops the responses to earlier heartbeats. This does not hold for a
+     * replacement agent: the leader may have answered its heartbeats before the replacement was detected.
      */
     void epochChanged() {
         sentInResponses.clear();
     }
 
-    /** Returns whether the start is in the direct call in flight. */
+    /** Returns whether the start is in the direct call that is in flight. */
     boolean isInFlight(Attempt start) {
         return inFlight.contains(start);
     }
 
-    /** Returns whether a direct call with the start had no answer. */
+    /** Returns whether a direct call with the start remained unanswered. */
     boolean isUnanswered(Attempt start) {
         return unanswered.containsKey(start);
     }
 
-    /** Returns whether a direct call may still start the attempt on this machine, however late, by whichever agent. */
+    /**
+     * Returns whether a direct call may still start the attempt on this machine, at any later time and on any agent.
+     */
     boolean isOutstandingInDirectCalls(Attempt start) {
         return inFlight.contains(start) || unanswered.containsKey(start);
     }
 
-    /** Returns whether an agent may still be waiting for a response with the start. */
+    /** Returns whether an agent may still be waiting for a heartbeat response that contains the start. */
     boolean isResponseAwaited(Attempt start, long nowMs) {
         SentResponse response = sentInResponses.get(start);
         return response != null && nowMs - response.sentAtMs < MAX_RESPONSE_WAIT_MS;
     }
 
-    /** Returns whether the start may still be executed from direct calls without an answer, and from nothing else. */
+    /** Returns whether the start is outstanding in unanswered direct calls only. */
     boolean isOutstandingOnlyInUnansweredCalls(Attempt start) {
         return unanswered.containsKey(start) && !inFlight.contains(start) && !sentInResponses.containsKey(start);
     }
 
-    /** Returns whether the start may still be executed on this machine, from a direct call or a response. */
+    /** Returns whether the start may still be executed on this machine, from a direct call or a heartbeat response. */
     boolean isOutstanding(Attempt start) {
         return isOutstandingInDirectCalls(start) || sentInResponses.containsKey(start);
     }
 
-    /** Returns whether the present agent may still execute the start. */
+    /**
+     * Returns whether an agent may still execute the start.
+     *
+     * @param agent the highest token that the agent has shown, and its epoch
+     */
     boolean isOutstandingFor(CommandFence agent, Attempt start) {
         return inFlight.contains(start)
                 || unanswered.getOrDefault(start, Set.of()).stream().anyMatch(call -> call.isAcceptedBy(agent))
--- a/src/main/java/io/quartzgw/agent/PendingCommands.java
+++ b/src/main/java/io/quartzgw/agent/PendingCommands.java
@@ -12,7 +12,7 @@
     private final StartLogUpdater startLogUpdater;
     private final AgentManager.Listener listener;
 
-    /** @param listener notified of what has to be recorded before a start */
+    /** @param listener notified of what must be recorded before a start is sent */
     PendingCommands(LeaderContext leader, StartLogUpdater startLogUpdater, AgentManager.Listener listener) {
         this.leader = leader;
         this.startLogUpdater = startLogUpdater;
@@ -68,8 +68,9 @@
         return commands;
     }
 
-    // The response that shows the agent a raised token also stops what the call before may have started since the
-    // agent's heartbeat: then the attempt neither runs nor can be started, though the response renews the lease.
+    // Stops the attempts that an unanswered call may have started since the agent's heartbeat. The response with these
+    // stops also carries the raised token. After it, such an attempt neither runs nor can be started, although the
+    // response renews the lease.
     private static List<AgentCommand> stopsOfUnfencedAttempts(AgentState agent) {
         List<AgentCommand> commands = new ArrayList<>();
         for (Allocation allocation : agent.machine().fencing().unfenced()) {
@@ -81,9 +82,11 @@
         return commands;
     }
 
-    // A stop is never preceded by a start, though the agent would then ignore a late one: the task would run for a
-    // moment, and a leader that is not confirmed, or knows the job as cancelled, must start nothing. An attempt whose
-    // start comes late is stopped once a heartbeat shows it, and its task waits until then (AllocationRelease).
+    // No start is sent ahead of the stop, although the agent would then ignore a late start: the task would run
+    // briefly, and a leader that is not confirmed or has the job as cancelled must start nothing. An attempt that a
+    // late
+    // start begins is stopped once a heartbeat lists it; until then its task is not placed elsewhere
+    // (AllocationRelease).
     private static void addStop(AgentState agent, Allocation allocation, List<AgentCommand> commands) {
         Attempt attempt = Attempts.of(allocation);
         if (allocation.observed() || agent.outstandingStarts().isUnanswered(attempt)) {
--- a/src/main/java/io/quartzgw/agent/ReceivedHeartbeat.java
+++ b/src/main/java/io/quartzgw/agent/ReceivedHeartbeat.java
@@ -6,7 +6,7 @@
 /**
  * A heartbeat that has been received and awaits its response.
  *
- * @param freshness how it was classified; empty if it came before the stored state was read
+ * @param freshness how it was classified; empty if it was received before the stored state was loaded
  */
 public record ReceivedHeartbeat(Heartbeat heartbeat, Optional<Freshness> freshness) {
 
--- a/src/main/java/io/quartzgw/agent/StartLogUpdater.java
+++ b/src/main/java/io/quartzgw/agent/StartLogUpdater.java
@@ -8,8 +8,8 @@
 import java.util.stream.Stream;
 
 /**
- * Announces the starts that direct calls may carry to the log, before a call leaves and until none may be executed any
- * more. So a successor of this leader knows them, and places their tasks nowhere else.
+ * Keeps the starts that direct calls may carry in the start log, from before a call is sent until the start can no
+ * longer be executed. The next leader reads them there and does not place their tasks on other machines.
  */
 final class StartLogUpdater {
     private final StartLog log;
@@ -18,7 +18,9 @@
         this.log = log;
     }
 
-    /** Announces all starts that direct calls may carry to an agent's machine from now on, or may still carry. */
+    /**
+     * Sets the starts that the log holds for an agent's machine: those pending and those outstanding in direct calls.
+     */
     void updateStarts(AgentState agent) {
         Stream<Attempt> pending = agent.machine().allocations().stream()
                 .filter(agent::isStartPending)
@@ -29,12 +31,12 @@
         log.announce(agent.machine().id(), starts);
     }
 
-    /** Announces that no direct call can carry a start to a machine, since the machine is gone. */
+    /** Drops all starts for a machine from the log, since the machine is gone. */
     void machineRemoved(String machine) {
         log.announce(machine, Set.of());
     }
 
-    /** Returns whether a direct call may carry a start: the log has stored it. */
+    /** Returns whether a start may be sent in a direct call, which requires that the log has stored it. */
     boolean maySendDirectly(AgentState agent, Attempt attempt) {
         return log.isStored(agent.machine().id(), attempt);
     }
--- a/src/main/java/io/quartzgw/agent/TaskReconciler.java
+++ b/src/main/java/io/quartzgw/agent/TaskReconciler.java
@@ -18,12 +18,12 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Reconciles the allocations of a machine with the task list of its agent, which takes precedence. */
+/** Reconciles the allocations of a machine with the task list of its agent; the task list takes precedence. */
 final class TaskReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(TaskReconciler.class);
-    /** How long a task is not started again after an error. */
+    /** Delay before a task is started again after an error, in heartbeat intervals. */
     private static final double ERROR_DELAY_HEARTBEATS = 0.4;
-    /** How long a job is not started again after an agent has refused one of its tasks. */
+    /** Delay before a job is started again after an agent refused one of its tasks, in heartbeat intervals. */
     private static final double REFUSAL_DELAY_HEARTBEATS = 0.2;
 
     private final EventLoop eventLoop;
@@ -33,10 +33,10 @@
     private final BiConsumer<Job, Integer> onTaskCompleted;
     private final long errorDelayMs;
     private final long refusalDelayMs;
-    /** By job ID, the agents that still report an exited attempt of the job. */
+    /** Agents that still report an exited attempt of a job, by job ID. */
     private final Map<String, Set<AgentState>> agentsReportingExitByJob = new HashMap<>();
 
-    /** @param onTaskCompleted notified of the index of each task that has completed */
+    /** @param onTaskCompleted notified of the job and index of each completed task */
     TaskReconciler(
             LeaderContext leader,
             AgentRegistry registry,
@@ -52,7 +52,7 @@
         this.refusalDelayMs = (long) (REFUSAL_DELAY_HEARTBEATS * timing.heartbeatMs());
     }
 
-    /** Forgets the agent of a machine that has been removed. */
+    /** Drops the agent of a machine that has been removed. */
     void agentRemoved(AgentState agent) {
         agentsReportingExitByJob.values().removeIf(agents -> agents.remove(agent) && agents.isEmpty());
     }
@@ -81,7 +81,7 @@
                 .filter(allocation -> allocation.attempt() == attempt.number());
     }
 
-    /** Restores the allocation of an attempt that had ended, if a late start has reached a new agent. */
+    /** Restores the allocation of an unfenced attempt that a new agent runs, because a late start has reached it. */
     private Optional<Allocation> restoreUnfenced(Machine machine, Attempt attempt) {
         Optional<Allocation> unfenced = machine.fencing().find(attempt.task(), attempt.number());
         unfenced.ifPresent(cluster::restoreUnfenced);
@@ -89,8 +89,8 @@
     }
 
     /**
-     * Releases the attempts that were observed and are gone: they ended, and a former leader had them removed, or their
-     * agent was replaced.
+     * Releases the allocations of observed attempts that the agent no longer reports. Either they ended and a previous
+     * leader had them removed, or their agent was replaced.
      */
     private void releaseUnreported(Machine machine, Set<Attempt> reported) {
         for (Allocation allocation : machine.allocationsSnapshot()) {
@@ -100,7 +100,7 @@
         }
     }
 
-    /** Updates the jobs that are not placed on the agent's machine, since the agent would refuse their tasks. */
+    /** Updates the jobs that must not be placed on the agent's machine, because the agent would refuse their tasks. */
     void updateRefusedJobs(AgentState agent) {
         Set<String> refused = agent.refusedJobs();
         if (!refused.equals(agent.machine().exclusions().refusedJobs())) {
@@ -110,8 +110,8 @@
     }
 
     /**
-     * Updates whether a machine runs orphaned attempts, whose capacity no open job accounts for until they have
-     * stopped.
+     * Updates whether a machine runs orphaned attempts. They use capacity that no allocation of an open job accounts
+     * for until they have stopped.
      */
     void updateUnaccountedCapacity(Machine machine) {
         cluster.setUnexplained(
@@ -198,7 +198,7 @@
 
     private void recordFailure(Machine machine, Job job, Heartbeat.ExitCause cause) {
         if (cause == Heartbeat.ExitCause.ERROR) {
-            // A job's later failures count against the job: one that fails everywhere must not discredit every machine.
+            // Later failures count against the job only: one that fails everywhere must not discredit every machine.
             if (job.failures() == 0) {
                 machine.exclusions().jobFailed(job.id());
             }
@@ -208,8 +208,8 @@
         }
     }
 
-    /** Handles that finishes of a job's tasks have been recorded: the agents may forget those attempts. */
-    void finishesRecorded(Job job) {
+    /** Handles that completions of tasks of a job have been recorded: the agents may remove those attempts. */
+    void completionsRecorded(Job job) {
         Set<AgentState> agents = agentsReportingExitByJob.get(job.id());
         if (agents == null) {
             return;
--- a/src/main/java/io/quartzgw/agent/UnfencedAttemptsMonitor.java
+++ b/src/main/java/io/quartzgw/agent/UnfencedAttemptsMonitor.java
@@ -13,9 +13,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reports how many attempts are unfenced and for how long, and warns of each cancelled one that its agent may still
- * start when half of the time limit of a cancellation has passed. A silent agent is not among them: the end of its
- * lease voids the start.
+ * Reports the number of unfenced attempts and the age of the oldest. Warns of each cancelled attempt that its agent may
+ * still start after half of the time limit of a cancellation. Unresponsive agents are excluded: an agent whose lease
+ * has expired rejects the start.
  */
 final class UnfencedAttemptsMonitor {
     private static final Logger LOG = LoggerFactory.getLogger(UnfencedAttemptsMonitor.class);
@@ -34,7 +34,7 @@
         this.timing = timing;
     }
 
-    /** Reports and warns; without a current term there is nothing to report. */
+    /** Updates the gauges and warns of attempts at risk; reports zeros if the term is not current. */
     void check() {
         if (!leader.term().isCurrent()) {
             publish(0, 0);
--- a/src/test/java/io/quartzgw/agent/AgentManagerTest.java
+++ b/src/test/java/io/quartzgw/agent/AgentManagerTest.java
@@ -42,8 +42,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests the handling of a start that is sent in a direct call: while the call is in flight, when its reply is lost, and
- * when the attempt exits meanwhile. The start may also be sent in responses to heartbeats.
+ * Tests the handling of a start that is sent in a direct call: while the call is in flight, after its reply was lost,
+ * and after the attempt has exited meanwhile. The start may also be sent in heartbeat responses.
  */
 class AgentManagerTest {
     private static final Endpoint STATE_SERVICE = new Endpoint("10.2.0.1", 1);
@@ -58,7 +58,7 @@
     private long now;
     private long sequence;
     private long epoch = 1;
-    /** The highest token that the agent has seen. */
+    /** Highest token that the agent has seen; it shows the token in its heartbeats. */
     private long shownToken;
 
     private ClusterState cluster;
@@ -96,7 +96,7 @@
         assertEquals(1, callsInFlight.size());
     }
 
-    /** Sends the pending commands, whose starts are stored in the log before. */
+    /** Sends the pending commands; their starts are stored in the start log first. */
     private void sendPendingCommands() {
         agents.sendPendingCommands();
         advance(0);
@@ -128,13 +128,13 @@
         public void recordNeeded(Job job, int index) {}
     }
 
-    /** Advances the clock; the state service replies, and direct calls to the agent stay in flight. */
+    /** Advances the clock. The state service replies immediately; direct calls to the agent stay in flight. */
     private void advance(long ms) {
         now += ms;
         deliver(eventLoop.processBatch(List.of(), new ClockReading(now, now)));
     }
 
-    /** Advances the clock in steps in which the leader renews its lease. */
+    /** Advances the clock in steps of one second, so that the leader renews its lease. */
     private void advanceBySeconds(int seconds) {
         for (int i = 0; i < seconds; i++) {
             advance(1_000);
@@ -158,13 +158,13 @@
         }
     }
 
-    /** Ends the direct call in flight. */
+    /** Ends the oldest direct call in flight with a reply. */
     private void endCall(Reply reply) {
         Command ended = new Command.CallEnded(callsInFlight.remove(0).call(), reply);
         deliver(eventLoop.processBatch(List.of(ended), new ClockReading(++now, now)));
     }
 
-    /** Returns the verbs of the commands in the direct call in flight. */
+    /** Returns the verbs of the commands in the oldest direct call in flight. */
     private List<String> directCommands() {
         return verbs(Json.readOrNull(callsInFlight.get(0).request().body()));
     }
@@ -175,7 +175,11 @@
         return verbs;
     }
 
-    /** Sends a heartbeat that lists the attempt in a phase, or no attempt, and returns the verbs of the response. */
+    /**
+     * Sends a heartbeat and returns the verbs of the commands in its response.
+     *
+     * @param phase the phase of the attempt in the heartbeat; empty for no attempt
+     */
     private List<String> heartbeat(String phase) {
         return verbs(responseTo(phase));
     }
@@ -186,7 +190,7 @@
         return HeartbeatResponseCodec.encode(agents.respond(agents.receive(heartbeat)));
     }
 
-    /** Sends a heartbeat, and lets the agent see the token of the response. */
+    /** Sends a heartbeat; the agent shows the token of the response from now on. */
     private void adoptTokenOfResponse(String phase) {
         shownToken = responseTo(phase).path("baton").asLong();
     }
@@ -226,7 +230,7 @@
         assertEquals(List.of("run"), heartbeat(""));
     }
 
-    // The task is placed elsewhere next: a start that arrives after the removal would run the attempt again.
+    // A start that arrives after the removal would run the attempt again, after its task was placed elsewhere.
     @Test
     void withholdsRemovalWhileUnansweredStartIsOutstanding() {
         endCall(Reply.lost());
@@ -234,18 +238,18 @@
         agents.requestStop(allocation, 0, StopReason.PREEMPTED);
         assertEquals(List.of("kill"), heartbeat("running"));
         assertFalse(heartbeat("ended").contains("reap"));
-        assertTrue(machine.empty(), "its capacity is free all the same");
+        assertTrue(machine.empty(), "capacity is free despite the outstanding start");
     }
 
-    // A start in a response has started the attempt before the outcome of the direct call is known.
+    // The attempt was started by a heartbeat response while the direct call with the same start was in flight.
     @Test
     void withholdsRemovalWhileStartIsInFlight() {
         heartbeat("running");
         agents.requestStop(allocation, 0, StopReason.MACHINE_RECLAIMED);
         assertEquals(List.of("kill"), heartbeat("running"));
-        assertFalse(heartbeat("ended").contains("reap"), "the call is in flight");
+        assertFalse(heartbeat("ended").contains("reap"), "direct call is in flight");
         endCall(Reply.lost());
-        assertFalse(heartbeat("ended").contains("reap"), "the call had no reply");
+        assertFalse(heartbeat("ended").contains("reap"), "direct call is unanswered");
     }
 
     @Test
@@ -253,12 +257,12 @@
         heartbeat("running");
         agents.requestStop(allocation, 0, StopReason.MACHINE_RECLAIMED);
         heartbeat("running");
-        assertFalse(heartbeat("ended").contains("reap"), "the call is in flight");
+        assertFalse(heartbeat("ended").contains("reap"), "direct call is in flight");
         endCall(executed("ended"));
         assertEquals(List.of("reap"), heartbeat("ended"));
     }
 
-    // A direct call may overtake a response, so that the removal would be executed before the start.
+    // A direct call may overtake a heartbeat response, so that the removal would be executed before the start.
     @Test
     void withholdsRemovalInDirectCallWhileResponseWithStartIsOutstanding() {
         endCall(rejected());
@@ -268,12 +272,12 @@
         endCall(executed("ended"));
         agents.requestStart(allocate("j-000002"));
         sendPendingCommands();
-        assertFalse(directCommands().contains("reap"), "the response may still be executed");
-        assertEquals(List.of("reap"), heartbeat("ended"), "the response was executed or lost");
+        assertFalse(directCommands().contains("reap"), "response with the start may still be executed");
+        assertEquals(List.of("reap"), heartbeat("ended"), "response with the start was executed or lost");
     }
 
-    // When the reservation of an unreachable machine expires, its tasks are placed elsewhere unless a start is
-    // outstanding.
+    // When the reservation of an unreachable machine expires, its tasks are placed elsewhere, except those with an
+    // outstanding start.
     @Test
     void startIsOutstandingUntilItsCallIsAnswered() {
         assertTrue(agents.isStartOutstanding(allocation), "in flight");
@@ -285,7 +289,7 @@
         assertTrue(agents.isStartOutstanding(allocation), "unanswered");
     }
 
-    // The unanswered call may reach the agent of the restarted machine, so the task must not be placed elsewhere.
+    // The unanswered call may reach the agent of the rebooted machine, so the task must not be placed elsewhere.
     @Test
     void keepsAllocationWhenAgentIsReplacedWhileStartIsOutstanding() {
         endCall(Reply.lost());
@@ -295,46 +299,52 @@
         sequence = 0;
         endCall(executed(""));
         assertSame(allocation, machine.allocation(allocation.task()));
-        assertEquals(List.of("run"), heartbeat(""), "the new agent is sent the same attempt");
+        assertEquals(List.of("run"), heartbeat(""), "start of the same attempt is sent to the new agent");
     }
 
-    /** Ends a contact with a reply that the new agent of a restarted machine made before its last heartbeat. */
-    private void detectAgentReplacement(List<String> verbsOfResponse) {
+    /**
+     * Lets the leader detect that the agent was replaced, after it has answered a heartbeat of the new agent. The
+     * leader detects it by the reply to a direct call. The new agent of the rebooted machine sent that reply before its
+     * heartbeat.
+     */
+    private void detectAgentReplacement(List<String> expectedCommands) {
         agents.contact(machine);
         advance(0);
         sequence = 0;
         Reply delayedReply = executed("");
         sequence = 10;
-        assertEquals(verbsOfResponse, heartbeat(""), "the new agent has the higher sequence");
+        assertEquals(expectedCommands, heartbeat(""), "new agent has the higher sequence");
         endCall(delayedReply);
     }
 
-    // Guards against ran_twice: the response was taken for the former agent's, and the task was started elsewhere.
+    // Guards against ran_twice: the leader attributed the response to the replaced agent, although the new agent had
+    // received it, and started the task elsewhere.
     @Test
     void keepsAllocationWhenReplacementAgentWasSentStartInResponse() {
         endCall(rejected());
         detectAgentReplacement(List.of("run"));
         assertSame(allocation, machine.allocation(allocation.task()));
-        assertFalse(allocation.job().pending().get(0), "the new agent may be executing the response");
-        assertEquals(List.of("run"), heartbeat(""), "the new agent is sent the same attempt");
+        assertFalse(allocation.job().pending().get(0), "new agent may be executing the response");
+        assertEquals(List.of("run"), heartbeat(""), "start of the same attempt is sent to the new agent");
     }
 
-    // Guards against capacity that is never freed: no heartbeat of a replaced agent shows what became of a response.
+    // Guards against capacity that is never freed. Heartbeats of a replacement agent may be duplicates of the replaced
+    // agent's and are not current, so none of them shows that an earlier response was executed or dropped.
     @Test
     void freesCapacityOfStoppedAttemptOnceResponseToReplacementAgentTimesOut() {
         endCall(rejected());
         detectAgentReplacement(List.of("run"));
         agents.requestStop(allocation, 0, StopReason.PREEMPTED);
         heartbeat("");
-        assertFalse(machine.empty(), "the response may still be executed");
+        assertFalse(machine.empty(), "response may still be executed");
         advanceBySeconds(5);
         agents.contact(machine);
         advance(0);
         endCall(executed(""));
-        assertTrue(machine.empty(), "the agent has executed or dropped the response");
+        assertTrue(machine.empty(), "response was executed or dropped");
     }
 
-    // Guards against a machine that is fenced for nothing: a response is executed within seconds or never.
+    // Guards against fencing a machine unnecessarily: a heartbeat response is executed within seconds or never.
     @Test
     void releasesTaskSentInResponseOnceReservationExpires() {
         endCall(rejected());
@@ -345,24 +355,24 @@
         assertTrue(allocation.job().pending().get(0));
     }
 
-    // The start was sent only in a response, which was lost: the allocation must not be kept for ever.
+    // The start was sent only in a heartbeat response, which was lost; the allocation must not be kept forever.
     @Test
     void freesCapacityOfStoppedAttemptWhoseResponseWasLost() {
         endCall(rejected());
         assertEquals(List.of("run"), heartbeat(""));
         agents.requestStop(allocation, 0, StopReason.PREEMPTED);
         heartbeat("");
-        assertTrue(machine.empty(), "nothing can start the attempt any more");
+        assertTrue(machine.empty(), "attempt can no longer be started");
     }
 
-    // The new agent of a restarted machine counts its epochs from the first, which the unanswered call names.
+    // The new agent of a rebooted machine counts its epochs from the first, which is the epoch of the unanswered call.
     @Test
     void keepsAllocationInNewEpochWhileStartIsOutstanding() {
         endCall(Reply.lost());
         epoch = 2;
         heartbeat("");
         assertSame(allocation, machine.allocation(allocation.task()));
-        assertEquals(List.of("run"), heartbeat(""), "the same attempt is started in the new epoch");
+        assertEquals(List.of("run"), heartbeat(""), "start of the same attempt is sent in the new epoch");
     }
 
     @Test
@@ -370,32 +380,32 @@
         endCall(Reply.unsent());
         epoch = 2;
         heartbeat("");
-        assertTrue(machine.empty(), "the call left over no connection");
+        assertTrue(machine.empty(), "direct call was never sent");
     }
 
-    // Otherwise the late start would run the task on the new agent while it runs elsewhere.
+    // Otherwise a late start could run the task on a replacement agent while it also runs elsewhere.
     @Test
     void blocksTaskOfExitedAttemptUntilMachineIsDeleted() {
         endCall(Reply.lost());
         heartbeat("running");
         heartbeat("ended");
-        assertFalse(allocation.job().pending().get(0), "its start is outstanding");
+        assertFalse(allocation.job().pending().get(0), "start is outstanding");
         assertTrue(machine.fencing().hasUnfenced());
         cluster.remove(machine);
-        assertTrue(allocation.job().pending().get(0), "nothing can start it any more");
+        assertTrue(allocation.job().pending().get(0), "attempt can no longer be started");
     }
 
     @Test
     void returnsTaskOfExitedAttemptToPendingOnceCallIsAnswered() {
         heartbeat("running");
         heartbeat("ended");
-        assertFalse(allocation.job().pending().get(0), "its call is in flight");
+        assertFalse(allocation.job().pending().get(0), "direct call is in flight");
         endCall(executed("ended"));
         assertTrue(allocation.job().pending().get(0));
         assertFalse(machine.fencing().hasUnfenced());
     }
 
-    // The late start has reached the new agent of a restarted machine.
+    // The late start has reached the new agent of a rebooted machine.
     @Test
     void restoresAllocationWhenLateStartIsExecuted() {
         endCall(Reply.lost());
@@ -409,21 +419,21 @@
         assertFalse(machine.fencing().hasUnfenced());
     }
 
-    // Only a direct call may still start the attempt, and that counts as its exit: its capacity is free, its task
-    // waits.
+    // Only an unanswered direct call may still start the attempt. The attempt then counts as exited: its capacity is
+    // free, but its task is not pending yet.
     @Test
     void freesCapacityOfUnobservedStoppingAttemptWithoutStartingIt() {
         endCall(Reply.lost());
         agents.requestStop(allocation, 0, StopReason.PREEMPTED);
         assertFalse(heartbeat("").contains("run"));
-        assertTrue(machine.empty(), "its capacity is free");
-        assertFalse(allocation.job().pending().get(0), "its start is outstanding");
+        assertTrue(machine.empty(), "capacity is free");
+        assertFalse(allocation.job().pending().get(0), "start is outstanding");
         assertTrue(machine.fencing().hasUnfenced());
         cluster.remove(machine);
-        assertTrue(allocation.job().pending().get(0), "nothing can start it any more");
+        assertTrue(allocation.job().pending().get(0), "attempt can no longer be started");
     }
 
-    // Until the heartbeat after it, a response with the start may be on its way.
+    // A heartbeat response with the start may still be executed until the agent sends its next heartbeat.
     @Test
     void keepsCapacityOfStoppingAttemptWhileResponseWithStartIsOutstanding() {
         endCall(Reply.lost());
@@ -432,9 +442,9 @@
         agents.contact(machine);
         advance(0);
         endCall(executed(""));
-        assertFalse(machine.empty(), "the response may still be executed");
-        assertEquals(List.of("kill"), heartbeat(""), "the direct call may be executed before the response is");
-        assertTrue(machine.empty(), "the response was executed or lost");
+        assertFalse(machine.empty(), "response with the start may still be executed");
+        assertEquals(List.of("kill"), heartbeat(""), "direct call may be executed before this response");
+        assertTrue(machine.empty(), "response with the start was executed or lost");
     }
 
     @Test
@@ -454,7 +464,7 @@
         agents.contact(machine);
         advance(0);
         JsonNode call = Json.readOrNull(callsInFlight.get(0).request().body());
-        assertEquals(shownToken + 1, call.path("baton").asLong(), "a call with a lower token would be rejected");
+        assertEquals(shownToken + 1, call.path("baton").asLong(), "call with a lower token would be rejected");
     }
 
     @Test
@@ -467,8 +477,8 @@
     void removesExitedAttemptOnceAgentShowsRaisedToken() {
         endCall(Reply.lost());
         adoptTokenOfResponse("running");
-        assertEquals(List.of("reap"), heartbeat("ended"), "the agent rejects the late start");
-        assertTrue(machine.fencing().hasUnfenced(), "an agent that replaces it does not");
+        assertEquals(List.of("reap"), heartbeat("ended"), "agent rejects the late start");
+        assertTrue(machine.fencing().hasUnfenced(), "replacement agent may execute the late start");
     }
 
     @Test
@@ -481,7 +491,7 @@
         sequence = 0;
         shownToken = FencingTokens.lowestOf(leadership.term());
         endCall(executed("ended"));
-        assertFalse(heartbeat("ended").contains("reap"), "the new agent may still execute the start");
+        assertFalse(heartbeat("ended").contains("reap"), "new agent may still execute the start");
     }
 
     @Test
--- a/src/test/java/io/quartzgw/agent/InheritedStartsTest.java
+++ b/src/test/java/io/quartzgw/agent/InheritedStartsTest.java
@@ -55,7 +55,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What a leader does with the starts of former leaders, and when its own may leave in direct calls. */
+/**
+ * Tests how a leader handles the starts that previous leaders may have sent, and when it may send its own starts in
+ * direct calls.
+ */
 class InheritedStartsTest {
     private static final Endpoint STATE_SERVICE = new Endpoint("10.2.0.1", 1);
     private static final String MACHINE = "i-1";
@@ -66,9 +69,9 @@
     private static final long HEARTBEAT_MS = 2_500;
     private static final long STEP_MS = 500;
     private static final long TERM_IN_ATTEMPTS = 5;
-    /** When the job was cancelled is not known. */
+    /** A cancellation at an unknown time. */
     private static final EndedJobs.End CANCELLED = new EndedJobs.End.Cancelled(OptionalLong.empty());
-    /** As in {@code ControllerProcess}. */
+    /** Stack size of the event loop's thread, as in {@code ControllerProcess}. */
     private static final long EVENT_LOOP_STACK_BYTES = 256 * 1024;
 
     private static final long LOOK_UP_DURATION_MS = 25_000;
@@ -81,7 +84,7 @@
     private final StoreClient store =
             new StoreClient(eventLoop, STATE_SERVICE, new StoreLimits(100_000, 100_000, 8192, 16));
     private final Leadership leadership = Elections.candidate(eventLoop, store);
-    /** The look-ups of ended jobs, with what takes their result. */
+    /** Callbacks of the pending look-ups of ended jobs, by job ID. */
     private final Map<String, Consumer<EndedJobs.End>> pendingLookUps = new HashMap<>();
 
     private final List<Effect.Send> directCalls = new ArrayList<>();
@@ -186,7 +189,7 @@
         deliver(eventLoop.processBatch(List.of(), new ClockReading(now, now)));
     }
 
-    /** The state service replies at once; direct calls to agents stay in flight. */
+    /** Executes effects. The state service replies immediately; direct calls to agents stay in flight. */
     private void deliver(List<Effect> initial) {
         List<Effect> effects = initial;
         while (!effects.isEmpty()) {
@@ -215,7 +218,7 @@
         agents.permitInheritedStarts(unused -> true);
     }
 
-    // Guards against ran_twice: the task was placed anew as soon as no machine ran it.
+    // Guards against ran_twice: the task was placed on another machine as soon as no machine was running it.
     @Test
     void allocatesUnaccountedTaskToMachineOfInheritedStart() {
         assertEquals(1, inherit(MACHINE, 0, PREVIOUS_LEADER_ATTEMPT));
@@ -234,14 +237,14 @@
         assertEquals("{0, 1, 2}", job.pending().toString());
     }
 
-    // A machine is marked as used before a start is sent to it.
+    // A leader records that a machine runs tasks before it sends a start to the machine.
     @Test
     void ignoresInheritedStartToUnusedMachine() {
         cluster.add(new Machine(OTHER_MACHINE, TYPE, "a", false, now, now));
         assertEquals(0, inherit(OTHER_MACHINE, 0, PREVIOUS_LEADER_ATTEMPT));
     }
 
-    // Guards against tasks in the wrong place: such a start was announced, but never sent.
+    // Guards against binding a task to the wrong machine: such a start was logged but never sent.
     @Test
     void ignoresInheritedStartAtRecordedStartLimit() {
         assertEquals(0, inherit(MACHINE, 2, PREVIOUS_LEADER_ATTEMPT));
@@ -257,7 +260,7 @@
         assertEquals(machine, job.allocation(0).machine());
     }
 
-    // Guards against a quota that is exceeded: the task of an announced start may have been given up before it left.
+    // Guards against exceeding a quota: the task of a logged start may have been released before the start was sent.
     @Test
     void resendsInheritedStartOnlyWithinQuota() {
         inherit(MACHINE, 0, PREVIOUS_LEADER_ATTEMPT);
@@ -265,7 +268,7 @@
         cluster.resolveUnaccounted(job);
         agents.permitInheritedStarts(unused -> false);
         assertFalse(respondTo(0).contains("run"));
-        assertNotNull(job.allocation(0), "it may run all the same");
+        assertNotNull(job.allocation(0), "attempt may be running nevertheless");
         agents.permitInheritedStarts(unused -> true);
         assertTrue(respondTo(0).contains("run"));
     }
@@ -275,21 +278,21 @@
         return HeartbeatResponseCodec.encode(agents.respond(received)).toString();
     }
 
-    // Guards against a machine that is fenced only since its agent refuses the start for lack of room.
+    // Guards against fencing a machine only because its agent refuses the start for lack of capacity.
     @Test
     void resendsInheritedStartOnlyWhenMachineHasCapacity() {
         inherit(MACHINE, 0, PREVIOUS_LEADER_ATTEMPT);
         Job other = addJob("j-000002", 8);
-        Allocation inTheWay = cluster.allocate(other, 0, machine, cluster.nextAttempt());
+        Allocation occupying = cluster.allocate(other, 0, machine, cluster.nextAttempt());
         resolveUnaccountedTasks();
         String response = respondTo(0);
         assertTrue(response.contains("j-000002"));
-        assertFalse(response.contains(JOB), "the agent would refuse it");
-        cluster.release(inTheWay);
+        assertFalse(response.contains(JOB), "agent would refuse the start");
+        cluster.release(occupying);
         assertTrue(respondTo(0).contains(JOB));
     }
 
-    // A later attempt is begun only when the earlier ones can't be started any more.
+    // A leader begins a later attempt only once the earlier ones can no longer be started.
     @Test
     void dropsInheritedStartOfTaskWithLaterAttempt() {
         addMachine(OTHER_MACHINE, "a");
@@ -297,12 +300,12 @@
         agents.receive(heartbeat(MACHINE, "a", PREVIOUS_LEADER_ATTEMPT + 1));
         agents.reportUnfencedAttempts();
         cluster.release(job.allocation(0));
-        Allocation again =
+        Allocation reallocated =
                 cluster.allocate(job, 0, cluster.findMachine(OTHER_MACHINE).orElseThrow(), PREVIOUS_LEADER_ATTEMPT);
-        assertFalse(agents.isStartOutstanding(again));
+        assertFalse(agents.isStartOutstanding(reallocated));
     }
 
-    // Guards against ran_twice by a start that the log can't tell: its attempt may end before.
+    // Guards against ran_twice by a start that the log does not show, and that may be executed after its attempt ended.
     @Test
     void keepsAllocationOfPreviousLeaderWhileUnknownStartsMayBeOutstanding() {
         agents.inheritStarts(List.of());
@@ -315,7 +318,7 @@
         assertNull(job.allocation(0));
     }
 
-    // Guards against ran_twice: a successor has to know of a start before it can be late.
+    // Guards against ran_twice: the next leader must be able to read a start in the log before it can be executed late.
     @Test
     void sendsStartInDirectCallOnceLogHasStoredIt() {
         advance(0);
@@ -324,20 +327,20 @@
         Allocation allocation = cluster.allocate(job, 0, machine, cluster.nextAttempt());
         agents.requestStart(allocation);
         advance(1);
-        assertEquals(List.of(), directCalls, "the log has not stored it");
-        assertTrue(respondTo(0).contains("run"), "a response is never late");
+        assertEquals(List.of(), directCalls, "log has not stored the start");
+        assertTrue(respondTo(0).contains("run"), "response is never executed late");
         stateService.setOutage(false);
         advance(HEARTBEAT_MS);
         assertEquals(1, directCalls.size());
     }
 
     private void addUnresponsiveMachine() {
-        Machine silent = new Machine(OTHER_MACHINE, TYPE, "a", false, now, now);
-        silent.markHasRunTasks();
-        cluster.add(silent);
+        Machine unresponsive = new Machine(OTHER_MACHINE, TYPE, "a", false, now, now);
+        unresponsive.markHasRunTasks();
+        cluster.add(unresponsive);
     }
 
-    // Guards against ran_twice: a later attempt of the task may run on a machine that is silent.
+    // Guards against ran_twice: a later attempt of the task may be running on an unresponsive machine.
     @ParameterizedTest
     @ValueSource(strings = {"stopped", "error", "no_room", "busy", "unknown"})
     void keepsTaskOfEndedAttemptUnaccountedWhileMachineIsUnresponsive(String exitCause) {
@@ -353,7 +356,7 @@
         assertEquals("{2}", job.pending().toString());
     }
 
-    // The same where the start of the former attempt was inherited: it binds nothing before the job is accounted for.
+    // Same as above with an inherited start, which does not bind the task before the job is accounted for.
     @ParameterizedTest
     @ValueSource(strings = {"stopped", "no_room"})
     void keepsTaskWithInheritedStartUnaccountedWhileMachineIsUnresponsive(String exitCause) {
@@ -366,8 +369,8 @@
         assertEquals("{2}", job.pending().toString());
     }
 
-    // The one release before the job is accounted for: a current heartbeat has shown the task on this machine, so that
-    // no other one has it. Its siblings stay unaccounted.
+    // The only case in which a task is released before its job is accounted for: a current heartbeat has shown the task
+    // on this machine, so no other machine runs it. The other tasks of the job stay unaccounted.
     @Test
     void returnsObservedTaskToPendingOnceItsAttemptEnds() {
         addUnresponsiveMachine();
@@ -380,7 +383,7 @@
         assertEquals("{0, 2}", job.pending().toString());
     }
 
-    /** Takes over a log of a former leader that has the start of a job which is not open. */
+    /** Takes over the log of a previous leader that contains a start of a job that is not open. */
     private void inheritStartOfEndedJob() {
         stateService.setValue(
                 "sent/0", Json.object().put(START_OF_ENDED_JOB.task() + "/" + START_OF_ENDED_JOB.number(), MACHINE));
@@ -391,7 +394,7 @@
         advance(0);
     }
 
-    /** Returns whether the log keeps a start when the void ones have left it. */
+    /** Returns whether the log still contains a start after it has dropped those that can no longer be executed. */
     private boolean isInLogAfterCleanup(Attempt start) {
         for (long passed = 0; passed < 4 * HEARTBEAT_MS; passed += STEP_MS) {
             advance(STEP_MS);
@@ -400,18 +403,18 @@
         return page != null && page.has(start.task() + "/" + start.number());
     }
 
-    // Guards against ran_cancelled: the start of a cancelled job was dropped by the next leader.
+    // Guards against ran_cancelled: the next leader dropped the start of a cancelled job.
     @Test
     void fencesMachineAndKeepsStartOfCancelledJobInLog() {
         inheritStartOfEndedJob();
-        assertTrue(isInLogAfterCleanup(START_OF_ENDED_JOB), "while it is not known how the job has ended");
+        assertTrue(isInLogAfterCleanup(START_OF_ENDED_JOB), "terminal state of the job is not looked up yet");
         assertEquals(0, machine.fencing().cancelledStarts());
         pendingLookUps.remove(START_OF_ENDED_JOB.job()).accept(CANCELLED);
         assertEquals(1, machine.fencing().cancelledStarts());
-        assertTrue(isInLogAfterCleanup(START_OF_ENDED_JOB), "the next leader has to know it too");
+        assertTrue(isInLogAfterCleanup(START_OF_ENDED_JOB), "next leader must inherit the start");
     }
 
-    // Each start is released in the end: a task that is done is not started elsewhere.
+    // Every start must eventually be dropped; a completed task is not started on another machine.
     @Test
     void dropsStartOfCompletedJob() {
         inheritStartOfEndedJob();
@@ -420,7 +423,7 @@
         assertFalse(isInLogAfterCleanup(START_OF_ENDED_JOB));
     }
 
-    // Guards against ran_cancelled: the job was cancelled between the failover and the end of the recovery.
+    // Guards against ran_cancelled: the job was cancelled after the failover and before the recovery was complete.
     @Test
     void fencesMachineIfJobIsCancelledBeforeTasksAreAccountedFor() {
         inherit(MACHINE, 0, PREVIOUS_LEADER_ATTEMPT);
@@ -439,7 +442,7 @@
         assertFalse(isInLogAfterCleanup(START_OF_ENDED_JOB));
     }
 
-    // Guards against ran_cancelled: another task of the job holds the job back, and the start's machine is not fenced.
+    // Guards against ran_cancelled: another allocation of the job remained, so the machine of the start was not fenced.
     @Test
     void fencesMachineIfJobIsCancelledWhileOtherAllocationRemains() {
         Machine other = addMachine(OTHER_MACHINE, "a");
@@ -450,10 +453,10 @@
         pendingLookUps.remove(JOB).accept(CANCELLED);
         assertTrue(
                 CancelledTasks.firstCancellationMs(machine).isPresent(),
-                "the start may run the cancelled task at any time");
+                "inherited start may run the cancelled task at any time");
     }
 
-    // Guards against ran_cancelled: the time that the look-up takes counts, too.
+    // Guards against ran_cancelled: the duration of the look-up counts towards the time limit of the cancellation.
     @Test
     void measuresCancellationLimitFromCancellationTime() {
         inherit(MACHINE, 0, PREVIOUS_LEADER_ATTEMPT);
@@ -465,15 +468,17 @@
         assertEquals(cancelledAt, CancelledTasks.firstCancellationMs(machine).orElseThrow());
     }
 
-    // Guards against the end of the event loop's thread: the look-ups of jobs that are cached answer at once.
+    // Guards against a stack overflow in the event loop's thread: look-ups of cached jobs complete immediately, and
+    // each
+    // completion starts the next look-up.
     @Test
     void doesNotRecurseWhenLookUpsCompleteImmediately() throws InterruptedException {
         int jobs = 5_000;
-        agents = newAgentManager((id, onEnd) -> {
+        agents = newAgentManager((id, callback) -> {
             if (id.equals(START_OF_ENDED_JOB.job())) {
-                pendingLookUps.put(id, onEnd);
+                pendingLookUps.put(id, callback);
             } else {
-                onEnd.accept(new EndedJobs.End.Done());
+                callback.accept(new EndedJobs.End.Done());
             }
         });
         Set<Attempt> starts = new LinkedHashSet<>(Set.of(START_OF_ENDED_JOB));
@@ -482,19 +487,19 @@
         }
         agents.inheritStarts(List.of(new MachineStarts(MACHINE, starts)));
         AtomicReference<Throwable> thrown = new AtomicReference<>();
-        Thread owner = new Thread(
+        Thread eventLoopThread = new Thread(
                 null,
                 () -> pendingLookUps.remove(START_OF_ENDED_JOB.job()).accept(new EndedJobs.End.Done()),
                 "owner",
                 EVENT_LOOP_STACK_BYTES);
-        owner.setUncaughtExceptionHandler((thread, throwable) -> thrown.set(throwable));
-        owner.start();
-        owner.join();
+        eventLoopThread.setUncaughtExceptionHandler((thread, throwable) -> thrown.set(throwable));
+        eventLoopThread.start();
+        eventLoopThread.join();
         assertNull(thrown.get());
     }
 
-    // Each start is released in the end. While its job is open, that may be cancelled, and then a late start of a task
-    // that is done counts as well.
+    // Every start must eventually be dropped. It is kept while its job is open: the job may be cancelled, and then even
+    // a late start of a completed task would run a cancelled task.
     @Test
     void dropsUnansweredStartOfCompletedTaskFromLogOnceJobIsCompleted() {
         advance(0);
--- a/src/test/java/io/quartzgw/agent/package-info.java
+++ b/src/test/java/io/quartzgw/agent/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the commands that agents are sent. */
+/** Tests of the commands that the leader sends to agents. */
 package io.quartzgw.agent;
