--- a/src/main/java/io/quartzgw/agent/AllocationRelease.java
+++ b/src/main/java/io/quartzgw/agent/AllocationRelease.java
@@ -41,9 +41,9 @@
 
     /** Returns whether a direct call may still start the attempt of an allocation. */
     boolean isStartOutstanding(Allocation allocation) {
-        boolean mayBeUnknown =
+        boolean mayHaveUnknownStart =
                 allocation.machine().fencing().hasUnknownStarts() && cluster.isOfFormerLeader(allocation.attempt());
-        return mayBeUnknown
+        return mayHaveUnknownStart
                 || registry.agentOf(allocation.machine())
                         .outstandingStarts()
                         .isOutstandingInDirectCalls(Attempts.of(allocation));
--- a/src/test/java/io/quartzgw/agent/InheritedStartsTest.java
+++ b/src/test/java/io/quartzgw/agent/InheritedStartsTest.java
@@ -470,7 +470,7 @@
 
     // Guards against a stack overflow in the event loop's thread: look-ups of cached jobs complete immediately, and
     // each
-    // completion starts the next look-up.
+    // of them starts the next one.
     @Test
     void doesNotRecurseWhenLookUpsCompleteImmediately() throws InterruptedException {
         int jobs = 5_000;
