--- a/src/main/java/io/quartzgw/agent/CommandDispatcher.java
+++ b/src/main/java/io/quartzgw/agent/CommandDispatcher.java
@@ -14,22 +14,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sends pending commands in direct calls to agents, one call at a time to each.
+ * Sends pending commands to agents in direct calls, at most one call at a time to each agent.
  *
- * <p>A start in a call without an answer may still be executed minutes later ({@link OutstandingStarts}). Its
- * allocation remains: the same attempt is sent again in responses to heartbeats, and the task is placed nowhere else
- * while its machine exists.
+ * <p>A start in an unanswered call may still be executed minutes later ({@link OutstandingStarts}). Its allocation
+ * remains: the start of the same attempt is resent in heartbeat responses, and the task is not placed on another
+ * machine while its machine exists.
  */
 final class CommandDispatcher {
     private static final Logger LOG = LoggerFactory.getLogger(CommandDispatcher.class);
 
-    /** A direct call times out after this fraction of a heartbeat interval. */
-    private static final double TIMEOUT_HEARTBEATS = 0.8;
-    /** The fraction of the direct calls that may ask for heartbeats, so that commands can always be sent. */
-    private static final double MAX_CONTACT_FRACTION = 0.5;
+    /** Timeout of a direct call, as a fraction of the heartbeat interval. */
+    private static final double TIMEOUT_HEARTBEAT_FRACTION = 0.8;
+    /** Calls that only request a heartbeat may use this fraction of the direct calls; the rest is left to commands. */
+    private static final double MAX_CONTACT_CALL_FRACTION = 0.5;
     /** The agent has executed the commands. */
     private static final int STATUS_EXECUTED = 200;
-    /** The agent has executed no command: the token is too low, or the epoch is another one. */
+    /** The agent has executed no command: the token is too low, or the epoch is not the agent's. */
     private static final int STATUS_REJECTED = 409;
 
     private final LeaderContext leader;
@@ -37,24 +37,24 @@
     private final LeaderTerm term;
     private final AgentRegistry registry;
     private final PendingCommands pendingCommands;
-    private final StartAnnouncer announcer;
+    private final StartLogUpdater startLogUpdater;
     private final AgentTiming timing;
     private final int maxCalls;
     private final ReplyHandler replyHandler;
     private int callsInFlight;
 
-    /** Takes the heartbeats with which agents reply to direct calls. */
+    /** Receives the heartbeats with which agents reply to direct calls. */
     interface ReplyHandler {
-        /** Applies a heartbeat and returns true, or returns false if the leader can't apply heartbeats yet. */
+        /** Applies a heartbeat and returns true; returns false if the leader cannot apply heartbeats yet. */
         boolean onReply(AgentState agent, Heartbeat heartbeat);
     }
 
-    /** @param maxCalls how many direct calls may be in flight at once */
+    /** @param maxCalls maximum number of direct calls in flight */
     CommandDispatcher(
             LeaderContext leader,
             AgentRegistry registry,
             PendingCommands pendingCommands,
-            StartAnnouncer announcer,
+            StartLogUpdater startLogUpdater,
             AgentTiming timing,
             int maxCalls,
             ReplyHandler replyHandler) {
@@ -63,23 +63,23 @@
         this.term = leader.term();
         this.registry = registry;
         this.pendingCommands = pendingCommands;
-        this.announcer = announcer;
+        this.startLogUpdater = startLogUpdater;
         this.timing = timing;
         this.maxCalls = maxCalls;
         this.replyHandler = replyHandler;
     }
 
-    /** Sends the pending commands of the agents that can take a direct call now. */
+    /** Sends the pending commands of the agents to which a direct call can be sent now. */
     void sendPending() {
         for (AgentState agent : registry.withPendingCommands()) {
             if (callsInFlight >= maxCalls) {
                 return;
             }
-            if (!canTakeCommands(agent)) {
+            if (!canSendCommands(agent)) {
                 continue;
             }
             registry.removePending(agent);
-            announcer.announce(agent);
+            startLogUpdater.updateStarts(agent);
             List<AgentCommand> commands = pendingCommands.forDirectCall(agent);
             if (!commands.isEmpty()) {
                 send(agent, commands);
@@ -87,18 +87,19 @@
         }
     }
 
-    private static boolean canTakeCommands(AgentState agent) {
+    private static boolean canSendCommands(AgentState agent) {
         AgentLiveness liveness = agent.machine().liveness();
         return !agent.callInFlight() && liveness.verified() && !liveness.unreachable();
     }
 
     /**
-     * Asks an agent for a heartbeat, which also shows it this leader's token. An agent is not asked more often than it
-     * sends heartbeats by itself, and only a fraction of the agents at a time.
+     * Requests a heartbeat from an agent in a direct call, which also shows the agent this leader's token. An agent
+     * receives at most one such request per heartbeat interval, and only a fraction of the direct calls may be
+     * requests.
      */
     void contact(Machine machine) {
         AgentState agent = registry.agentOf(machine);
-        if (agent.sinceContactMs(eventLoop.nowMs()) >= timing.heartbeatMs()) {
+        if (agent.msSinceContact(eventLoop.nowMs()) >= timing.heartbeatMs()) {
             contactNow(agent);
         }
     }
@@ -106,8 +107,8 @@
     private void contactNow(AgentState agent) {
         if (agent.machine().address() != null
                 && !agent.callInFlight()
-                && callsInFlight < maxCalls * MAX_CONTACT_FRACTION) {
-            agent.contacted(eventLoop.nowMs());
+                && callsInFlight < maxCalls * MAX_CONTACT_CALL_FRACTION) {
+            agent.recordContact(eventLoop.nowMs());
             send(agent, List.of());
         }
     }
@@ -117,15 +118,15 @@
         CommandFence fence = new CommandFence(agent.token().current(), epochFor(machine, commands));
         CommandRequest request = new CommandRequest(fence, commands);
         List<Attempt> starts = AgentCommand.startedAttempts(commands);
-        agent.callStarted(starts, fence, eventLoop.nowMs());
+        agent.directCallSent(starts, fence, eventLoop.nowMs());
         callsInFlight++;
         CommandLog.sentDirectly(machine.id(), term, request);
         eventLoop.increment("orders.calls", 1);
         eventLoop.increment("orders.sent", commands.size());
-        long timeoutMs = (long) (TIMEOUT_HEARTBEATS * timing.heartbeatMs());
+        long timeoutMs = (long) (TIMEOUT_HEARTBEAT_FRACTION * timing.heartbeatMs());
         long sentAtMs = eventLoop.nowMs();
         Call call = Call.post(machine.address(), AgentCommandCodec.PATH, AgentCommandCodec.encode(request), timeoutMs);
-        // The process may be paused before the call leaves.
+        // The process may be paused before the call is sent; the term may no longer be confirmed by then.
         long validUntilMs = starts.isEmpty() ? Effect.ALWAYS_VALID : term.confirmedUntilMs();
         eventLoop.call(call, validUntilMs, reply -> {
             logReply(machine, reply, sentAtMs, starts);
@@ -134,8 +135,8 @@
     }
 
     /**
-     * Returns the epoch that a call names. For commands it is the verified one: a start that names a later epoch would
-     * outlive its allocation, which is released when the epoch changes.
+     * Returns the epoch that a call carries. With commands it is the verified epoch: a start with a later epoch could
+     * be executed after its allocation was released, which happens when the epoch changes.
      */
     private static long epochFor(Machine machine, List<AgentCommand> commands) {
         AgentLiveness liveness = machine.liveness();
@@ -145,29 +146,29 @@
     private void onReply(AgentState agent, Reply reply, List<Attempt> starts) {
         boolean answered = reply.status() == STATUS_EXECUTED || reply.status() == STATUS_REJECTED;
         boolean settled = answered || !reply.sent();
-        agent.callEnded(settled);
+        agent.directCallEnded(settled);
         callsInFlight--;
         Machine machine = agent.machine();
         if (!term.isCurrent() || !leader.cluster().contains(machine)) {
             return;
         }
         if (!settled && !starts.isEmpty()) {
-            fenceOff(agent, starts);
+            raiseToken(agent, starts);
         }
         if (answered) {
             boolean rejected = reply.status() == STATUS_REJECTED;
-            HeartbeatCodec.decode(reply.body()).ifPresent(heartbeat -> onAnswer(agent, heartbeat, rejected));
+            HeartbeatCodec.decode(reply.body()).ifPresent(heartbeat -> onHeartbeatReply(agent, heartbeat, rejected));
         } else if (reply.status() == Reply.LOST) {
             eventLoop.increment(reply.sent() ? "orders.unanswered" : "orders.unsent", 1);
             machine.liveness().markUnreachable(eventLoop.nowMs());
         }
         if (!starts.isEmpty()) {
-            announcer.announce(agent);
+            startLogUpdater.updateStarts(agent);
         }
     }
 
-    /** Makes the agent reject a call without an answer from the next message on that reaches it. */
-    private void fenceOff(AgentState agent, List<Attempt> starts) {
+    /** Raises the token, so that the agent rejects the unanswered call once it has received the new token. */
+    private void raiseToken(AgentState agent, List<Attempt> starts) {
         agent.token().raise(eventLoop.nowMs());
         eventLoop.increment("fencing.tokens_raised", 1);
         LOG.atInfo()
@@ -178,16 +179,16 @@
                 .log("start unanswered");
     }
 
-    private void onAnswer(AgentState agent, Heartbeat heartbeat, boolean rejected) {
+    private void onHeartbeatReply(AgentState agent, Heartbeat heartbeat, boolean rejected) {
         term.observeToken(heartbeat.fencingToken());
         if (!term.isCurrent() || !replyHandler.onReply(agent, heartbeat)) {
             return;
         }
         if (rejected) {
-            // The commands are sent again with the epoch that the heartbeat has shown.
+            // The commands are resent with the epoch of this heartbeat.
             registry.addPending(agent);
             if (!agent.machine().liveness().verified()) {
-                // The call named the wrong epoch; the next one names the right one and shows the agent the new token.
+                // The rejected call carried a wrong epoch; the next one carries the right epoch and the new token.
                 contactNow(agent);
             }
         }
--- a/src/main/java/io/quartzgw/agent/EndedJobStarts.java
+++ b/src/main/java/io/quartzgw/agent/EndedJobStarts.java
@@ -16,39 +16,39 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The outstanding starts of jobs that have ended, of this leader and of former ones. The start of a cancelled job must
- * not be executed, so its machine is fenced; that of a job which is done is void. Which of the two it is has to be
- * looked up.
+ * Resolves the outstanding starts of jobs that have ended, whether sent by this leader or by a previous one. How a job
+ * ended has to be looked up. The start of a cancelled job must not be executed, so its machine is fenced. The start of
+ * a completed job is dropped, since its execution would be harmless.
  */
 final class EndedJobStarts {
     private static final Logger LOG = LoggerFactory.getLogger(EndedJobStarts.class);
-    private static final int MAX_LOOK_UPS = 8;
-    /** Stands for a cancellation whose time is not known: its limit may be over. */
-    private static final long LONG_AGO_MS = Long.MIN_VALUE / 2;
+    private static final int MAX_LOOK_UPS_IN_FLIGHT = 8;
+    /** Stands for an unknown cancellation time; long ago, since the time limit of the cancellation may have passed. */
+    private static final long UNKNOWN_TIME_MS = Long.MIN_VALUE / 2;
 
     private final EventLoop eventLoop;
     private final ClusterState cluster;
     private final AgentRegistry registry;
     private final EndedJobs endedJobs;
-    private final Consumer<OutstandingStart> onVoid;
-    /** By job whose end is not known yet. */
+    private final Consumer<OutstandingStart> onDroppable;
+    /** Outstanding starts by job ID, for jobs whose terminal state has not been looked up yet. */
     private final Map<String, Set<OutstandingStart>> unresolvedByJob = new HashMap<>();
 
-    private final Deque<String> waitingJobs = new ArrayDeque<>();
-    private int lookUps;
-    private boolean beginningLookUps;
+    private final Deque<String> jobsToLookUp = new ArrayDeque<>();
+    private int lookUpsInFlight;
+    private boolean startingLookUps;
 
-    /** @param onVoid notified of each start that may be forgotten */
+    /** @param onDroppable notified of each start that may be dropped */
     EndedJobStarts(
-            LeaderContext leader, AgentRegistry registry, EndedJobs endedJobs, Consumer<OutstandingStart> onVoid) {
+            LeaderContext leader, AgentRegistry registry, EndedJobs endedJobs, Consumer<OutstandingStart> onDroppable) {
         this.eventLoop = leader.eventLoop();
         this.cluster = leader.cluster();
         this.registry = registry;
         this.endedJobs = endedJobs;
-        this.onVoid = onVoid;
+        this.onDroppable = onDroppable;
     }
 
-    /** Finds the starts whose jobs have ended since the last call, and has their machines fenced or forgets them. */
+    /** Finds the outstanding starts of ended jobs, and fences their machines or drops them after a look-up. */
     void update() {
         for (AgentState agent : registry.agents()) {
             for (Attempt start : agent.outstandingStarts().unanswered()) {
@@ -57,10 +57,13 @@
                 }
             }
         }
-        lookUp();
+        startLookUps();
     }
 
-    /** While an attempt has an allocation, that is retained until the machine is gone ({@link AllocationRelease}). */
+    /**
+     * Returns whether a start belongs to an ended job and has no allocation. An allocation already protects its start,
+     * since it is retained until the machine is gone ({@link AllocationRelease}).
+     */
     private boolean isOfEndedJob(Machine machine, Attempt start) {
         Allocation allocation = machine.allocation(start.task());
         boolean allocated = allocation != null && allocation.attempt() == start.number();
@@ -76,38 +79,38 @@
         String job = start.attempt().job();
         if (!unresolvedByJob.containsKey(job)) {
             unresolvedByJob.put(job, new LinkedHashSet<>());
-            waitingJobs.addLast(job);
+            jobsToLookUp.addLast(job);
         }
         unresolvedByJob.get(job).add(start);
     }
 
-    private void lookUp() {
-        if (beginningLookUps) {
-            // A look-up has been answered at once: the loop below goes on with the next one.
+    private void startLookUps() {
+        if (startingLookUps) {
+            // Called from a look-up that completed immediately; the loop below continues with the next job.
             return;
         }
-        beginningLookUps = true;
-        while (lookUps < MAX_LOOK_UPS && !waitingJobs.isEmpty()) {
-            String job = waitingJobs.pollFirst();
-            lookUps++;
-            endedJobs.lookUp(job, end -> onEnd(job, end));
+        startingLookUps = true;
+        while (lookUpsInFlight < MAX_LOOK_UPS_IN_FLIGHT && !jobsToLookUp.isEmpty()) {
+            String job = jobsToLookUp.pollFirst();
+            lookUpsInFlight++;
+            endedJobs.lookUp(job, end -> onLookedUp(job, end));
         }
-        beginningLookUps = false;
+        startingLookUps = false;
     }
 
-    private void onEnd(String job, EndedJobs.End end) {
-        lookUps--;
+    private void onLookedUp(String job, EndedJobs.End end) {
+        lookUpsInFlight--;
         unresolvedByJob.remove(job).stream()
                 .filter(start -> cluster.contains(start.machine()))
                 .forEach(start -> resolve(start, end));
-        lookUp();
+        startLookUps();
     }
 
     private void resolve(OutstandingStart start, EndedJobs.End end) {
         if (end instanceof EndedJobs.End.Cancelled cancelled) {
-            fence(start, cancelled.atMs().orElse(LONG_AGO_MS));
+            fence(start, cancelled.atMs().orElse(UNKNOWN_TIME_MS));
         } else {
-            onVoid.accept(start);
+            onDroppable.accept(start);
         }
     }
 
--- a/src/main/java/io/quartzgw/agent/HeartbeatProcessor.java
+++ b/src/main/java/io/quartzgw/agent/HeartbeatProcessor.java
@@ -22,26 +22,29 @@
     private final ClusterState cluster;
     private final AgentRegistry registry;
     private final TaskReconciler reconciler;
-    private final AllocationRelease release;
+    private final AllocationRelease allocationRelease;
 
     /**
      * The result of processing a heartbeat.
      *
-     * @param contact the machine whose agent has to be asked for a heartbeat in a direct call, if any
+     * @param contact the machine whose agent must be sent a direct call that requests a heartbeat, if any
      */
     record Result(Freshness freshness, Optional<Machine> contact) {}
 
     HeartbeatProcessor(
-            LeaderContext leader, AgentRegistry registry, TaskReconciler reconciler, AllocationRelease release) {
+            LeaderContext leader,
+            AgentRegistry registry,
+            TaskReconciler reconciler,
+            AllocationRelease allocationRelease) {
         this.leader = leader;
         this.eventLoop = leader.eventLoop();
         this.cluster = leader.cluster();
         this.registry = registry;
         this.reconciler = reconciler;
-        this.release = release;
+        this.allocationRelease = allocationRelease;
     }
 
-    /** Processes a heartbeat that an agent has sent. */
+    /** Processes a heartbeat that an agent has sent on its own. */
     Result process(Heartbeat heartbeat) {
         return process(heartbeat, Origin.AGENT);
     }
@@ -51,7 +54,7 @@
         AgentLiveness liveness = agent.machine().liveness();
         liveness.markReachable();
         agent.replyReceived();
-        if (liveness.verified() && agent.isFromReplacedAgent(heartbeat)) {
+        if (liveness.verified() && agent.isFromReplacementAgent(heartbeat)) {
             onAgentReplaced(agent, heartbeat);
         }
         liveness.observeEpoch(heartbeat.epoch());
@@ -65,14 +68,14 @@
         }
         Machine machine = source.get();
         AgentLiveness liveness = machine.liveness();
-        Freshness freshness = liveness.classify(heartbeat.id(), showsToken(heartbeat), origin);
+        Freshness freshness = liveness.classify(heartbeat.id(), showsTokenOfTerm(heartbeat), origin);
         boolean contactNeeded = false;
         if (freshness == Freshness.CURRENT) {
             applyCurrent(machine, heartbeat, origin);
         } else {
             machine.address(heartbeat.address());
-            // The agent is new, or the machine came back, or the heartbeat is a duplicate: a reply tells which. Agents
-            // that a former leader used are contacted by the failover recovery.
+            // The agent is new, the machine was rebooted, or the heartbeat is a duplicate. The reply to a direct call
+            // distinguishes these cases. The failover recovery contacts the agents that a previous leader used.
             contactNeeded = !machine.hasRunTasks() || liveness.verified();
         }
         if (origin == Origin.AGENT) {
@@ -84,7 +87,7 @@
         return new Result(freshness, contactNeeded ? Optional.of(machine) : Optional.empty());
     }
 
-    private boolean showsToken(Heartbeat heartbeat) {
+    private boolean showsTokenOfTerm(Heartbeat heartbeat) {
         return heartbeat.fencingToken() >= leader.term().lowestToken();
     }
 
@@ -95,8 +98,8 @@
     private Optional<Machine> adoptMachine(Heartbeat heartbeat) {
         Heartbeat.Source source = heartbeat.source();
         Optional<MachineType> type = leader.machineTypes().find(source.machineType());
-        // Without this leader's token it may be a duplicate from a machine that is long gone.
-        if (type.isEmpty() || cluster.wasRemoved(source.machine()) || !showsToken(heartbeat)) {
+        // Without a token of this term, it may be a delayed duplicate from a machine that no longer exists.
+        if (type.isEmpty() || cluster.wasRemoved(source.machine()) || !showsTokenOfTerm(heartbeat)) {
             return Optional.empty();
         }
         long nowMs = eventLoop.nowMs();
@@ -159,13 +162,13 @@
                     .log("task list changed");
             reconciler.apply(agent, tasks);
         }
-        release.releaseSettled(agent);
+        allocationRelease.settleUnstarted(agent);
         reconciler.updateRefusedJobs(agent);
     }
 
     /**
-     * Handles a new epoch: the lease has ended, and the agent has killed and forgotten its tasks. Responses may not
-     * reach the agent, so it counts as unreachable until it replies to a direct call.
+     * Handles a new epoch: the lease has expired, and the agent has killed and removed its tasks. Responses may not be
+     * reaching the agent, so it counts as unreachable until it replies to a direct call.
      */
     private void onEpochChanged(AgentState agent, Heartbeat heartbeat) {
         Machine machine = agent.machine();
@@ -175,11 +178,11 @@
                 .log("agent epoch changed");
         agent.epochChanged();
         reconciler.updateUnaccountedCapacity(machine);
-        release.allLost(machine);
+        allocationRelease.allAttemptsLost(machine);
         machine.liveness().markUnreachable(eventLoop.nowMs());
     }
 
-    /** Handles a new agent: the tasks of the former one are gone. */
+    /** Handles a replacement agent on a machine: the tasks of the previous agent are gone. */
     private void onAgentReplaced(AgentState agent, Heartbeat heartbeat) {
         Machine machine = agent.machine();
         LOG.atInfo()
@@ -189,6 +192,6 @@
         agent.agentReplaced();
         reconciler.updateUnaccountedCapacity(machine);
         machine.liveness().agentReplaced(heartbeat.id());
-        release.allLost(machine);
+        allocationRelease.allAttemptsLost(machine);
     }
 }
--- a/src/main/java/io/quartzgw/agent/HeartbeatResponder.java
+++ b/src/main/java/io/quartzgw/agent/HeartbeatResponder.java
@@ -11,8 +11,8 @@
  * Builds the responses to heartbeats.
  *
  * <p>Every response that renews a lease also stops the attempts of jobs that are known to have ended, whether or not
- * the heartbeat is verified. Otherwise each of several leaders in quick succession could renew the lease of a cancelled
- * task with its first response without stopping it.
+ * the heartbeat is verified. Otherwise, when leaders change in quick succession, the first response of each could renew
+ * the lease of a cancelled task without stopping it.
  */
 final class HeartbeatResponder {
     private final LeaderContext leader;
@@ -20,7 +20,7 @@
     private final PendingCommands pendingCommands;
     private final Predicate<String> isCancelled;
 
-    /** @param isCancelled whether a job is known to be cancelled, also before the open jobs have been read */
+    /** @param isCancelled whether a job is known to be cancelled; usable before the open jobs have been read */
     HeartbeatResponder(
             LeaderContext leader,
             AgentRegistry registry,
@@ -32,9 +32,9 @@
         this.isCancelled = isCancelled;
     }
 
-    /** Returns the response while the open jobs are not known yet. */
+    /** Returns the response to a heartbeat that was received before the open jobs were read. */
     HeartbeatResponse respondBeforeStateLoaded(Heartbeat heartbeat) {
-        return renewLease(heartbeat, terminalStops(heartbeat, attempt -> isCancelled.test(attempt.job())));
+        return renewLease(heartbeat, stopsOfEndedJobs(heartbeat, attempt -> isCancelled.test(attempt.job())));
     }
 
     private HeartbeatResponse renewLease(Heartbeat heartbeat, List<AgentCommand> commands) {
@@ -59,7 +59,7 @@
         }
         List<AgentCommand> commands = new ArrayList<>();
         if (freshness != Freshness.CURRENT) {
-            commands.addAll(terminalStops(heartbeat, this::isTerminal));
+            commands.addAll(stopsOfEndedJobs(heartbeat, this::isOfEndedJob));
         }
         leader.cluster()
                 .findMachine(heartbeat.machine())
@@ -69,20 +69,23 @@
     }
 
     /**
-     * Returns whether a heartbeat is of the verified epoch. An agent of a later epoch would execute a start, while the
-     * heartbeat that verifies the later epoch releases the allocation and lets the task be placed elsewhere.
+     * Returns whether a heartbeat is of the verified epoch. An agent in a later epoch would execute a start although
+     * the heartbeat that verifies the later epoch releases the allocation, so that the task may be placed elsewhere.
      */
     private static boolean isFromVerifiedEpoch(Heartbeat heartbeat, Machine machine) {
         return machine.liveness().verified() && machine.liveness().epoch() == heartbeat.epoch();
     }
 
-    /** A task is only started by a leader that has read its job, so a job that this leader does not have has ended. */
-    private boolean isTerminal(Attempt attempt) {
+    /**
+     * Returns whether the job of an attempt has ended. A leader starts a task only after it has read the job, so a job
+     * that is missing here has ended.
+     */
+    private boolean isOfEndedJob(Attempt attempt) {
         return isCancelled.test(attempt.job())
                 || Attempts.openJob(attempt, leader.cluster()).isEmpty();
     }
 
-    private static List<AgentCommand> terminalStops(Heartbeat heartbeat, Predicate<Attempt> terminal) {
+    private static List<AgentCommand> stopsOfEndedJobs(Heartbeat heartbeat, Predicate<Attempt> terminal) {
         List<AgentCommand> stops = new ArrayList<>();
         for (Heartbeat.TaskStatus task : heartbeat.tasks()) {
             if (task.state() != Heartbeat.TaskState.EXITED && terminal.test(task.attempt())) {
--- a/src/main/java/io/quartzgw/agent/TaskReconciler.java
+++ b/src/main/java/io/quartzgw/agent/TaskReconciler.java
@@ -18,43 +18,43 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Reconciles the allocations of a machine with the task list of its agent, which takes precedence. */
+/** Reconciles the allocations of a machine with the task list of its agent; the task list takes precedence. */
 final class TaskReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(TaskReconciler.class);
-    /** How long a task is not started again after an error. */
+    /** Delay before a task is started again after an error, in heartbeat intervals. */
     private static final double ERROR_DELAY_HEARTBEATS = 0.4;
-    /** How long a job is not started again after an agent has refused one of its tasks. */
+    /** Delay before a job is started again after an agent refused one of its tasks, in heartbeat intervals. */
     private static final double REFUSAL_DELAY_HEARTBEATS = 0.2;
 
     private final EventLoop eventLoop;
     private final ClusterState cluster;
     private final AgentRegistry registry;
-    private final AllocationRelease release;
-    private final BiConsumer<Job, Integer> onTaskFinished;
+    private final AllocationRelease allocationRelease;
+    private final BiConsumer<Job, Integer> onTaskCompleted;
     private final long errorDelayMs;
     private final long refusalDelayMs;
-    /** By job ID, the agents that still report an exited attempt of the job. */
-    private final Map<String, Set<AgentState>> agentsReportingExit = new HashMap<>();
+    /** Agents that still report an exited attempt of a job, by job ID. */
+    private final Map<String, Set<AgentState>> agentsReportingExitByJob = new HashMap<>();
 
-    /** @param onTaskFinished notified of the index of each task that has completed */
+    /** @param onTaskCompleted notified of the job and index of each completed task */
     TaskReconciler(
             LeaderContext leader,
             AgentRegistry registry,
-            AllocationRelease release,
+            AllocationRelease allocationRelease,
             AgentTiming timing,
-            BiConsumer<Job, Integer> onTaskFinished) {
+            BiConsumer<Job, Integer> onTaskCompleted) {
         this.eventLoop = leader.eventLoop();
         this.cluster = leader.cluster();
         this.registry = registry;
-        this.release = release;
-        this.onTaskFinished = onTaskFinished;
+        this.allocationRelease = allocationRelease;
+        this.onTaskCompleted = onTaskCompleted;
         this.errorDelayMs = (long) (ERROR_DELAY_HEARTBEATS * timing.heartbeatMs());
         this.refusalDelayMs = (long) (REFUSAL_DELAY_HEARTBEATS * timing.heartbeatMs());
     }
 
-    /** Forgets the agent of a machine that has been removed. */
-    void forget(AgentState agent) {
-        agentsReportingExit.values().removeIf(agents -> agents.remove(agent) && agents.isEmpty());
+    /** Drops the agent of a machine that has been removed. */
+    void agentRemoved(AgentState agent) {
+        agentsReportingExitByJob.values().removeIf(agents -> agents.remove(agent) && agents.isEmpty());
     }
 
     /** Applies the task list of a current heartbeat. */
@@ -81,7 +81,7 @@
                 .filter(allocation -> allocation.attempt() == attempt.number());
     }
 
-    /** Restores the allocation of an attempt that had ended, if a late start has reached a new agent. */
+    /** Restores the allocation of an unfenced attempt that a new agent runs, because a late start has reached it. */
     private Optional<Allocation> restoreUnfenced(Machine machine, Attempt attempt) {
         Optional<Allocation> unfenced = machine.fencing().find(attempt.task(), attempt.number());
         unfenced.ifPresent(cluster::restoreUnfenced);
@@ -89,18 +89,18 @@
     }
 
     /**
-     * Releases the attempts that were observed and are gone: they ended, and a former leader had them removed, or their
-     * agent was replaced.
+     * Releases the allocations of observed attempts that the agent no longer reports. Either they ended and a previous
+     * leader had them removed, or their agent was replaced.
      */
     private void releaseUnreported(Machine machine, Set<Attempt> reported) {
         for (Allocation allocation : machine.allocationsSnapshot()) {
             if (allocation.observed() && !reported.contains(Attempts.of(allocation))) {
-                release.attemptLost(allocation);
+                allocationRelease.attemptLost(allocation);
             }
         }
     }
 
-    /** Updates the jobs that are not placed on the agent's machine, since the agent would refuse their tasks. */
+    /** Updates the jobs that must not be placed on the agent's machine, because the agent would refuse their tasks. */
     void updateRefusedJobs(AgentState agent) {
         Set<String> refused = agent.refusedJobs();
         if (!refused.equals(agent.machine().exclusions().refusedJobs())) {
@@ -110,8 +110,8 @@
     }
 
     /**
-     * Updates whether a machine runs orphaned attempts, whose capacity no open job accounts for until they have
-     * stopped.
+     * Updates whether a machine runs orphaned attempts. They use capacity that no allocation of an open job accounts
+     * for until they have stopped.
      */
     void updateUnaccountedCapacity(Machine machine) {
         cluster.setUnexplained(
@@ -160,7 +160,7 @@
     private void reconcileExited(AgentState agent, Heartbeat.TaskStatus task, Optional<Allocation> allocation) {
         Attempt attempt = task.attempt();
         agent.addExited(attempt);
-        agentsReportingExit
+        agentsReportingExitByJob
                 .computeIfAbsent(attempt.job(), id -> new HashSet<>())
                 .add(agent);
         Optional<Job> openJob = Attempts.openJob(attempt, cluster);
@@ -176,7 +176,7 @@
             }
             agent.addRemovable(attempt);
         }
-        allocation.ifPresent(release::attemptExited);
+        allocation.ifPresent(allocationRelease::attemptExited);
     }
 
     private void reconcileCompleted(AgentState agent, Attempt attempt, Job job, Optional<Allocation> allocation) {
@@ -189,7 +189,7 @@
             if (other != null && other != allocation.orElse(null)) {
                 registry.requestStop(other, 0, StopReason.COMPLETED_ELSEWHERE);
             }
-            onTaskFinished.accept(job, attempt.index());
+            onTaskCompleted.accept(job, attempt.index());
         }
         if (job.recordedDone(attempt.index())) {
             agent.addRemovable(attempt);
@@ -198,7 +198,7 @@
 
     private void recordFailure(Machine machine, Job job, Heartbeat.ExitCause cause) {
         if (cause == Heartbeat.ExitCause.ERROR) {
-            // A job's later failures count against the job: one that fails everywhere must not discredit every machine.
+            // Later failures count against the job only: one that fails everywhere must not discredit every machine.
             if (job.failures() == 0) {
                 machine.exclusions().jobFailed(job.id());
             }
@@ -208,9 +208,9 @@
         }
     }
 
-    /** Handles that finishes of a job's tasks have been recorded: the agents may forget those attempts. */
-    void finishesRecorded(Job job) {
-        Set<AgentState> agents = agentsReportingExit.get(job.id());
+    /** Handles that completions of tasks of a job have been recorded: the agents may remove those attempts. */
+    void completionsRecorded(Job job) {
+        Set<AgentState> agents = agentsReportingExitByJob.get(job.id());
         if (agents == null) {
             return;
         }
@@ -221,7 +221,7 @@
                     .forEach(agent::addRemovable);
         }
         if (agents.isEmpty() || job.isTerminal()) {
-            agentsReportingExit.remove(job.id());
+            agentsReportingExitByJob.remove(job.id());
         }
     }
 }
--- a/src/main/java/io/quartzgw/agent/UnfencedAttemptsMonitor.java
+++ b/src/main/java/io/quartzgw/agent/UnfencedAttemptsMonitor.java
@@ -13,13 +13,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reports how many attempts are unfenced and for how long, and warns of each cancelled one that its agent may still
- * start when half of the time limit of a cancellation has passed. A silent agent is not among them: the end of its
- * lease voids the start.
+ * Reports the number of unfenced attempts and the age of the oldest. Warns of each cancelled attempt that its agent may
+ * still start after half of the time limit of a cancellation. Unresponsive agents are excluded: an agent whose lease
+ * has expired rejects the start.
  */
 final class UnfencedAttemptsMonitor {
     private static final Logger LOG = LoggerFactory.getLogger(UnfencedAttemptsMonitor.class);
-    private static final double WARNING_CANCEL_FRACTION = 0.5;
+    private static final double WARNING_LIMIT_FRACTION = 0.5;
 
     private final LeaderContext leader;
     private final EventLoop eventLoop;
@@ -34,7 +34,7 @@
         this.timing = timing;
     }
 
-    /** Reports and warns; without a current term there is nothing to report. */
+    /** Updates the gauges and warns of attempts at risk; reports zeros if the term is not current. */
     void check() {
         if (!leader.term().isCurrent()) {
             publish(0, 0);
@@ -50,7 +50,7 @@
         publish(unfenced.size(), oldestMs);
         Set<Attempt> atRisk = new HashSet<>();
         for (Allocation allocation : unfenced) {
-            if (isLongStartable(allocation)) {
+            if (isAtRisk(allocation)) {
                 atRisk.add(Attempts.of(allocation));
                 warnOnce(allocation);
             }
@@ -69,12 +69,12 @@
         eventLoop.setGauge("fencing.oldest_unfenced_ms", oldestMs);
     }
 
-    private boolean isLongStartable(Allocation allocation) {
+    private boolean isAtRisk(Allocation allocation) {
         Machine machine = allocation.machine();
         return allocation.job().isTerminal()
                 && machine.liveness().heartbeatWithin(timing.leaseMs(), eventLoop.nowMs())
-                && allocation.isLostFor((long) (WARNING_CANCEL_FRACTION * timing.cancelMs()), eventLoop.nowMs())
-                && registry.agentOf(machine).mayStart(Attempts.of(allocation));
+                && allocation.isLostFor((long) (WARNING_LIMIT_FRACTION * timing.cancelMs()), eventLoop.nowMs())
+                && registry.agentOf(machine).mayStillStart(Attempts.of(allocation));
     }
 
     private void warnOnce(Allocation allocation) {
