--- a/src/main/java/io/quartzgw/cancellation/CancellationRegistry.java
+++ b/src/main/java/io/quartzgw/cancellation/CancellationRegistry.java
@@ -16,23 +16,23 @@
     /**
      * How long a job is announced, in cancel limits: longer than its tasks may run, as clocks drift and messages wait.
      */
-    private static final double ANNOUNCED_LIMITS = 1.5;
+    private static final double ANNOUNCEMENT_CANCEL_LIMITS = 1.5;
     /** How long a job is retained: longer than announced, so that a late announcement does not make it new again. */
-    private static final double RETAINED_LIMITS = 4;
+    private static final double RETENTION_CANCEL_LIMITS = 4;
     /** At 24 bytes each, with the age, a message stays below 64 KiB beside all its other fields. */
-    private static final int MAX_ANNOUNCED = 1_500;
+    private static final int MAX_ANNOUNCED_JOBS = 1_500;
 
     private final EventLoop eventLoop;
-    private final long announcedMs;
-    private final long retainedMs;
+    private final long announcementMs;
+    private final long retentionMs;
     private final Map<String, Long> cancelledAtMs = new LinkedHashMap<>();
     private Consumer<String> listener = job -> {};
 
     /** @param cancelLimitMs how long after a cancellation the job's tasks may still run */
     public CancellationRegistry(EventLoop eventLoop, long cancelLimitMs) {
         this.eventLoop = eventLoop;
-        this.announcedMs = (long) (ANNOUNCED_LIMITS * cancelLimitMs);
-        this.retainedMs = (long) (RETAINED_LIMITS * cancelLimitMs);
+        this.announcementMs = (long) (ANNOUNCEMENT_CANCEL_LIMITS * cancelLimitMs);
+        this.retentionMs = (long) (RETENTION_CANCEL_LIMITS * cancelLimitMs);
     }
 
     /** Sets the receiver of each job that becomes known as cancelled. */
@@ -68,7 +68,7 @@
 
     private boolean record(String job, long ageMs) {
         expire();
-        if (ageMs >= retainedMs || cancelledAtMs.putIfAbsent(job, eventLoop.nowMs() - ageMs) != null) {
+        if (ageMs >= retentionMs || cancelledAtMs.putIfAbsent(job, eventLoop.nowMs() - ageMs) != null) {
             return false;
         }
         listener.accept(job);
@@ -78,7 +78,7 @@
     // The map is nearly in the order of time: jobs that other controllers have announced are a little older.
     private void expire() {
         Iterator<Long> oldestFirst = cancelledAtMs.values().iterator();
-        while (oldestFirst.hasNext() && eventLoop.nowMs() - oldestFirst.next() > retainedMs) {
+        while (oldestFirst.hasNext() && eventLoop.nowMs() - oldestFirst.next() > retentionMs) {
             oldestFirst.remove();
         }
     }
@@ -89,10 +89,10 @@
         Map<String, Long> ageMsByJob = new LinkedHashMap<>();
         for (Map.Entry<String, Long> entry : cancelledAtMs.entrySet()) {
             long ageMs = eventLoop.nowMs() - entry.getValue();
-            if (ageMs >= announcedMs) {
+            if (ageMs >= announcementMs) {
                 continue;
             }
-            if (ageMsByJob.size() == MAX_ANNOUNCED) {
+            if (ageMsByJob.size() == MAX_ANNOUNCED_JOBS) {
                 return new CancellationAnnouncement(ageMsByJob, false);
             }
             ageMsByJob.put(entry.getKey(), ageMs);
--- a/src/main/java/io/quartzgw/cancellation/CancellationWatermark.java
+++ b/src/main/java/io/quartzgw/cancellation/CancellationWatermark.java
@@ -30,10 +30,10 @@
      * Cancellations of a process that has ended, which may be unknown.
      *
      * @param unknownFromMs when the first of them may have been acknowledged
-     * @param noticedAtMs when the process had surely ended
-     * @param settledAtMs when the cancel limit of the last of them is over
+     * @param detectedAtMs when the process had surely ended
+     * @param expiresAtMs when the cancel limit of the last of them is over
      */
-    private record Gap(long unknownFromMs, long noticedAtMs, long settledAtMs) {}
+    private record Gap(long unknownFromMs, long detectedAtMs, long expiresAtMs) {}
 
     /** What is known of another controller. */
     private static final class Peer {
@@ -42,7 +42,7 @@
         /** The gap before its present process; empty until the peer has answered. */
         private Optional<Gap> gap = Optional.empty();
 
-        boolean answeredAs(long answeringProcess) {
+        boolean hasRespondedAs(long answeringProcess) {
             return gap.isPresent() && process == answeringProcess;
         }
 
@@ -86,19 +86,19 @@
      */
     public void recordPeerAnswer(String name, long process, long uptimeMs, long askedAtMs, boolean complete) {
         Peer peer = peers.get(name);
-        if (!peer.answeredAs(process)) {
-            peer.replaceProcess(process, gapBeforePresentProcess(peer, uptimeMs));
+        if (!peer.hasRespondedAs(process)) {
+            peer.replaceProcess(process, gapBeforeCurrentProcess(peer, uptimeMs));
         }
         if (complete) {
             peer.knownUntilMs = Math.max(peer.knownUntilMs, askedAtMs);
         }
     }
 
-    private Gap gapBeforePresentProcess(Peer peer, long uptimeMs) {
+    private Gap gapBeforeCurrentProcess(Peer peer, long uptimeMs) {
         long nowMs = eventLoop.nowMs();
         // Two restarts may lie between two answers, and a second one must not hide the first one's gap.
         long unknownFromMs = peer.gap
-                .filter(former -> nowMs < former.settledAtMs())
+                .filter(former -> nowMs < former.expiresAtMs())
                 .map(former -> Math.min(peer.knownUntilMs, former.unknownFromMs()))
                 .orElse(peer.knownUntilMs);
         return new Gap(unknownFromMs, nowMs, nowMs - uptimeMs + cancelLimitMs);
@@ -126,6 +126,6 @@
     }
 
     private boolean isOpen(Gap gap) {
-        return gap.noticedAtMs() > storeReadAtMs && eventLoop.nowMs() < gap.settledAtMs();
+        return gap.detectedAtMs() > storeReadAtMs && eventLoop.nowMs() < gap.expiresAtMs();
     }
 }
--- a/src/main/java/io/quartzgw/scheduling/Allocation.java
+++ b/src/main/java/io/quartzgw/scheduling/Allocation.java
@@ -151,12 +151,12 @@
     }
 
     /** Whether the machine is gone before the task can complete there, by its owner's runtime estimate. */
-    boolean machineGoneBeforeEnd(long now) {
+    boolean losesMachineBeforeCompletion(long now) {
         if (stopping || !observed() || job.spec().gang()) {
             return false;
         }
         long remainingMs = (long) (job.spec().estimateS() * 1000) - runtimeMs(now);
-        return job.spec().service() || remainingMs > machine.goneAt() - now;
+        return job.spec().service() || remainingMs > machine.expectedRemovalAt() - now;
     }
 
     /** Whether the task was asked to stop. */
--- a/src/main/java/io/quartzgw/scheduling/BestFit.java
+++ b/src/main/java/io/quartzgw/scheduling/BestFit.java
@@ -12,9 +12,9 @@
     /**
      * Sample size where capacity stays reserved in any case: a small sample spreads tasks, and with them the images.
      */
-    static final int SMALL_SAMPLE = 3;
+    static final int SMALL_SAMPLE_SIZE = 3;
     /** Sample size where idle machines are scaled in: tasks that are spread thinly would keep every machine. */
-    static final int LARGE_SAMPLE = 16;
+    static final int LARGE_SAMPLE_SIZE = 16;
     /** An image fetch costs more than any difference in free capacity, a long one more than a short one. */
     private static final double FETCH_WEIGHT = 10;
 
@@ -33,7 +33,7 @@
     /** @param capacityReserved whether capacity stays rented whatever the demand */
     public BestFit(SplittableRandom random, boolean capacityReserved) {
         this.random = random;
-        this.sampleSize = capacityReserved ? SMALL_SAMPLE : LARGE_SAMPLE;
+        this.sampleSize = capacityReserved ? SMALL_SAMPLE_SIZE : LARGE_SAMPLE_SIZE;
     }
 
     /** How many machines were examined since the last call. */
@@ -54,7 +54,7 @@
      * can't run the next task of the job either, and a whole job examines each machine at most once. The result is
      * nullable, not an Optional, since this is the innermost loop of the scheduler.
      */
-    public Machine choose(Job job, List<Machine> candidates, Predicate<Machine> allowed, long now) {
+    public Machine chooseMachine(Job job, List<Machine> candidates, Predicate<Machine> allowed, long now) {
         Machine best = null;
         double bestCost = Double.MAX_VALUE;
         int found = 0;
@@ -73,8 +73,8 @@
             candidates.set(pick, candidates.get(found));
             candidates.set(found, machine);
             found++;
-            double cost =
-                    cost(job.spec(), machine, now) + ZONE_WEIGHT * zoneUtilization.getOrDefault(machine.zone(), 0.0);
+            double cost = placementCost(job.spec(), machine, now)
+                    + ZONE_WEIGHT * zoneUtilization.getOrDefault(machine.zone(), 0.0);
             if (cost < bestCost || (cost == bestCost && machine.id().compareTo(best.id()) < 0)) {
                 best = machine;
                 bestCost = cost;
@@ -84,14 +84,14 @@
     }
 
     /** Lower is better: little capacity left over, the image cached, and the right kind of machine. */
-    static double cost(JobSpec job, Machine machine, long now) {
+    static double placementCost(JobSpec job, Machine machine, long now) {
         Resources size = machine.type().size();
         Resources left = machine.freeCapacity().minus(job.demand());
         double cost = fraction(left.cpus(), size.cpus())
                 + fraction(left.gpus(), size.gpus())
                 + fraction(left.memoryGb(), size.memoryGb());
         if (!machine.hasImage(job.image())) {
-            cost += FETCH_WEIGHT + FETCH_SECOND_WEIGHT * machine.fetchS(job.image(), job.imageGb(), now);
+            cost += FETCH_WEIGHT + FETCH_SECOND_WEIGHT * machine.imageFetchS(job.image(), job.imageGb(), now);
         }
         if (job.spotAllowed() && !machine.spot()) {
             cost += ON_DEMAND_WEIGHT;
--- a/src/main/java/io/quartzgw/scheduling/CandidateMachines.java
+++ b/src/main/java/io/quartzgw/scheduling/CandidateMachines.java
@@ -48,11 +48,11 @@
     }
 
     private List<Machine> groupOf(Machine machine) {
-        double fetchS = machine.fetchS(job.spec().image(), job.spec().imageGb(), nowMs());
+        double fetchS = machine.imageFetchS(job.spec().image(), job.spec().imageGb(), nowMs());
         if (fetchS == 0) {
             return withImage;
         }
-        return context.objectives().startsInTime(job, fetchS) ? withFastFetch : withSlowFetch;
+        return context.objectives().meetsStartObjective(job, fetchS) ? withFastFetch : withSlowFetch;
     }
 
     /** Allocates and starts the next pending task; returns whether a machine was found for it. */
@@ -65,7 +65,7 @@
     }
 
     private boolean allocateFrom(List<Machine> candidates) {
-        Machine machine = context.bestFit().choose(job, candidates, allowed, nowMs());
+        Machine machine = context.bestFit().chooseMachine(job, candidates, allowed, nowMs());
         if (machine == null) {
             return false;
         }
@@ -93,14 +93,14 @@
     }
 
     private boolean preempt(Preemption preemption) {
-        Preemption.Plan plan = preemption.next();
+        Preemption.Plan plan = preemption.nextPlan();
         if (plan == null) {
             return false;
         }
         // An agent executes commands in order: the stops free the capacity that the start needs.
         plan.victims().forEach(victim -> context.launcher().stop(victim, 0, StopReason.PREEMPTED));
         allocateNextTask(plan.machine());
-        preemption.reconsider(plan.machine());
+        preemption.replan(plan.machine());
         return true;
     }
 
--- a/src/main/java/io/quartzgw/scheduling/GangScheduler.java
+++ b/src/main/java/io/quartzgw/scheduling/GangScheduler.java
@@ -25,7 +25,7 @@
      * @return the number of members that could not be allocated for lack of free capacity alone
      */
     int schedule(Job gang, List<Machine> machines) {
-        if (gang.possiblyRunning() > 0 || !context.constraints().gangWithinQuota(gang)) {
+        if (gang.possiblyRunningCount() > 0 || !context.constraints().gangWithinQuota(gang)) {
             return 0;
         }
         int members = gang.pending().cardinality();
@@ -34,7 +34,7 @@
         // All members run under one attempt number.
         long attempt = context.cluster().nextAttempt();
         while (gang.nextPending() >= 0) {
-            Machine machine = choose(gang, candidates);
+            Machine machine = chooseMachine(gang, candidates);
             if (machine == null) {
                 allocations.forEach(context.cluster()::release);
                 return members;
@@ -45,10 +45,10 @@
         return 0;
     }
 
-    private Machine choose(Job gang, List<Machine> candidates) {
+    private Machine chooseMachine(Job gang, List<Machine> candidates) {
         SchedulingConstraints constraints = context.constraints();
         return context.bestFit()
-                .choose(
+                .chooseMachine(
                         gang,
                         candidates,
                         machine -> constraints.isAllowed(gang, machine),
--- a/src/main/java/io/quartzgw/scheduling/Job.java
+++ b/src/main/java/io/quartzgw/scheduling/Job.java
@@ -185,12 +185,12 @@
     }
 
     /** The number of tasks that run or may run: allocated or unaccounted. */
-    public int possiblyRunning() {
+    public int possiblyRunningCount() {
         return allocations.size() + unaccounted.cardinality();
     }
 
     /** The CPU seconds that the pending tasks will take, by the owner's runtime estimate. */
-    public double pendingWork() {
+    public double pendingCpuSeconds() {
         return pending.cardinality() * spec().demand().cpus() * spec().estimateS();
     }
 
@@ -202,7 +202,7 @@
                 && tasksPerZone.getOrDefault(zone, 0) + unaccounted.cardinality() >= spec().tasksPerZone()) {
             return false;
         }
-        if (!spec().singleZone() || possiblyRunning() == 0) {
+        if (!spec().singleZone() || possiblyRunningCount() == 0) {
             return true;
         }
         // An unaccounted task may be in any zone: until it is found, no other task of the job starts.
--- a/src/main/java/io/quartzgw/scheduling/Machine.java
+++ b/src/main/java/io/quartzgw/scheduling/Machine.java
@@ -185,7 +185,7 @@
     }
 
     /** When it is gone, reclaimed by the cloud or deleted, or {@code Long.MAX_VALUE} if it stays. */
-    public long goneAt() {
+    public long expectedRemovalAt() {
         return Math.min(reclaimAt, fencing.deadline());
     }
 
@@ -230,7 +230,7 @@
     }
 
     /** Whether it runs a task below the priority. */
-    boolean runsBelow(Priority priority) {
+    boolean runsTaskBelow(Priority priority) {
         for (int lower = priority.ordinal() + 1; lower < tasksPerPriority.length; lower++) {
             if (tasksPerPriority[lower] > 0) {
                 return true;
@@ -273,7 +273,7 @@
      * The estimated time until a task has its image here: none if it is cached, the remaining time if it is being
      * fetched already, and longer the more images are fetched at the same time.
      */
-    public double fetchS(String image, double gb, long now) {
+    public double imageFetchS(String image, double gb, long now) {
         if (hasImage(image)) {
             return 0;
         }
--- a/src/main/java/io/quartzgw/scheduling/MachineEvacuation.java
+++ b/src/main/java/io/quartzgw/scheduling/MachineEvacuation.java
@@ -18,7 +18,7 @@
     void evacuate(Machine machine) {
         for (Allocation allocation : machine.allocationsSnapshot()) {
             JobSpec spec = allocation.job().spec();
-            if (allocation.machineGoneBeforeEnd(context.eventLoop().nowMs())
+            if (allocation.losesMachineBeforeCompletion(context.eventLoop().nowMs())
                     && (!spec.service() || isMovable(allocation))) {
                 context.launcher().stop(allocation, spec.checkpointGraceS(), StopReason.MACHINE_RECLAIMED);
                 if (spec.service()) {
--- a/src/main/java/io/quartzgw/scheduling/Preemption.java
+++ b/src/main/java/io/quartzgw/scheduling/Preemption.java
@@ -37,14 +37,14 @@
     }
 
     private void addPlan(Machine machine) {
-        Plan plan = machine.runsBelow(job.spec().priority()) && allowed.test(machine) ? plan(machine) : null;
+        Plan plan = machine.runsTaskBelow(job.spec().priority()) && allowed.test(machine) ? plan(machine) : null;
         if (plan != null) {
             plans.add(plan);
         }
     }
 
     /** The cheapest plan, or null when stopping tasks of lower priority frees enough capacity nowhere. */
-    Plan next() {
+    Plan nextPlan() {
         while (!plans.isEmpty()) {
             Plan cheapest = plans.poll();
             Plan current = allowed.test(cheapest.machine()) ? plan(cheapest.machine()) : null;
@@ -60,7 +60,7 @@
     }
 
     /** Plans for a machine again, after a plan for it was carried out. */
-    void reconsider(Machine machine) {
+    void replan(Machine machine) {
         addPlan(machine);
     }
 
--- a/src/main/java/io/quartzgw/scheduling/Scheduler.java
+++ b/src/main/java/io/quartzgw/scheduling/Scheduler.java
@@ -72,7 +72,7 @@
     public void schedule() {
         stopBrokenGangs();
         evacuateMachines();
-        List<Job> queued = queue.order(eventLoop.nowMs());
+        List<Job> queued = queue.orderedJobs(eventLoop.nowMs());
         eventLoop.increment("placement.passes", 1);
         eventLoop.increment("placement.jobs", queued.size());
         unplaced = queued.isEmpty() ? List.of() : scheduleAll(queued);
@@ -88,7 +88,7 @@
 
     private void evacuateMachines() {
         cluster.machines().stream()
-                .filter(machine -> machine.goneAt() != Long.MAX_VALUE)
+                .filter(machine -> machine.expectedRemovalAt() != Long.MAX_VALUE)
                 .toList()
                 .forEach(evacuation::evacuate);
     }
@@ -100,7 +100,7 @@
         bestFit.zoneUtilization(zoneUtilization(schedulable));
         // Usually no task of low priority runs, and there is nothing to preempt.
         normalPreempts = cloudExhausted.getAsBoolean()
-                && schedulable.stream().anyMatch(machine -> machine.runsBelow(Priority.NORMAL));
+                && schedulable.stream().anyMatch(machine -> machine.runsTaskBelow(Priority.NORMAL));
         List<UnplacedTasks> lackingCapacity = new ArrayList<>();
         for (Job job : queued) {
             int count = job.spec().gang()
@@ -166,7 +166,7 @@
     }
 
     private void scheduleRetry() {
-        long nextRetryAt = queue.nextRetry(eventLoop.nowMs());
+        long nextRetryAt = queue.nextRetryAt(eventLoop.nowMs());
         if (nextRetryAt < retryAt || retryAt <= eventLoop.nowMs()) {
             retryAt = nextRetryAt;
             if (nextRetryAt != Long.MAX_VALUE) {
--- a/src/main/java/io/quartzgw/scheduling/SchedulingConstraints.java
+++ b/src/main/java/io/quartzgw/scheduling/SchedulingConstraints.java
@@ -9,19 +9,19 @@
 /** The hard constraints of scheduling: which machines may get tasks, which of them a job may use, and team quotas. */
 final class SchedulingConstraints {
     /** A machine whose last heartbeat was answered longer ago gets no tasks. */
-    private static final double MAX_SILENCE_HEARTBEATS = 2.5;
+    private static final double MAX_RESPONSE_AGE_HEARTBEATS = 2.5;
 
     private final EventLoop eventLoop;
     private final ClusterState cluster;
     private final Map<String, TeamQuota> teams;
-    private final long maxSilenceMs;
+    private final long maxResponseAgeMs;
 
     SchedulingConstraints(EventLoop eventLoop, ClusterState cluster, SchedulingPolicy policy) {
         this.eventLoop = eventLoop;
         this.cluster = cluster;
         this.teams = policy.teams();
-        this.maxSilenceMs =
-                (long) (MAX_SILENCE_HEARTBEATS * policy.agentTiming().heartbeatMs());
+        this.maxResponseAgeMs =
+                (long) (MAX_RESPONSE_AGE_HEARTBEATS * policy.agentTiming().heartbeatMs());
     }
 
     /** Whether tasks may be allocated to the machine now. */
@@ -30,7 +30,7 @@
                 && !machine.reservationExpired()
                 && machine.liveness().verified()
                 && !machine.liveness().unreachable()
-                && eventLoop.nowMs() - machine.liveness().lastResponseAt() < maxSilenceMs
+                && eventLoop.nowMs() - machine.liveness().lastResponseAt() < maxResponseAgeMs
                 && machine.reclaimAt() == Long.MAX_VALUE
                 && !machine.exclusions().isQuarantined();
     }
--- a/src/main/java/io/quartzgw/scheduling/SchedulingQueue.java
+++ b/src/main/java/io/quartzgw/scheduling/SchedulingQueue.java
@@ -37,10 +37,10 @@
     }
 
     private record RankedJob(
-            Job job, boolean guaranteed, boolean starved, boolean late, double agedWork, double teamCpus) {}
+            Job job, boolean guaranteed, boolean starved, boolean late, double agedCpuSeconds, double teamCpus) {}
 
     /** Jobs with a pending task whose retry delay is over, the most urgent first. */
-    List<Job> order(long now) {
+    List<Job> orderedJobs(long now) {
         List<RankedJob> ranked = new ArrayList<>();
         for (Job job : cluster.pendingJobs()) {
             if (job.retryAt() <= now) {
@@ -52,7 +52,7 @@
                         .thenComparing(ranking -> !ranking.guaranteed)
                         .thenComparing(ranking -> !ranking.starved)
                         .thenComparing(ranking -> ranking.late && !ranking.starved)
-                        .thenComparing(ranking -> ranking.starved ? 0 : ranking.agedWork)
+                        .thenComparing(ranking -> ranking.starved ? 0 : ranking.agedCpuSeconds)
                         .thenComparing(ranking -> ranking.starved ? 0 : ranking.teamCpus)
                         .thenComparing(ranking -> ranking.job.submittedAt())
                         .thenComparing(ranking -> ranking.job.id()));
@@ -65,16 +65,17 @@
         boolean guaranteed =
                 team != null && team.withinGuarantee(usage.plus(job.spec().demand()));
         long ageMs = now - job.submittedAt();
-        boolean late = !objectives.isReachable(job, now) && ageMs < LATENESS_EXPIRES_HEARTBEATS * heartbeatMs;
-        boolean starved =
-                ageMs >= STARVED_AFTER_HEARTBEATS * heartbeatMs && job.doneCount() == 0 && job.possiblyRunning() == 0;
+        boolean late = !objectives.isObjectiveReachable(job, now) && ageMs < LATENESS_EXPIRES_HEARTBEATS * heartbeatMs;
+        boolean starved = ageMs >= STARVED_AFTER_HEARTBEATS * heartbeatMs
+                && job.doneCount() == 0
+                && job.possiblyRunningCount() == 0;
         double ageDivisor = 1 + Math.max(0.0, (double) ageMs) / (AGEING_HEARTBEATS * heartbeatMs);
-        double agedWork = job.pendingWork() / (ageDivisor * ageDivisor);
+        double agedWork = job.pendingCpuSeconds() / (ageDivisor * ageDivisor);
         return new RankedJob(job, guaranteed, starved, late, agedWork, usage.cpus());
     }
 
     /** When the next delayed job may be retried, or {@code Long.MAX_VALUE} if none is delayed. */
-    long nextRetry(long now) {
+    long nextRetryAt(long now) {
         return cluster.pendingJobs().stream()
                 .filter(job -> job.retryAt() > now)
                 .mapToLong(Job::retryAt)
--- a/src/main/java/io/quartzgw/scheduling/ServiceLevelObjectives.java
+++ b/src/main/java/io/quartzgw/scheduling/ServiceLevelObjectives.java
@@ -33,13 +33,13 @@
     }
 
     /** Whether a task that has to wait this long for its image still meets the start objective of its class. */
-    boolean startsInTime(Job job, double fetchS) {
+    boolean meetsStartObjective(Job job, double fetchS) {
         Double targetS = startTargetsS.get(job.spec().jobClass());
         return targetS != null && fetchS <= MAX_FETCH_FRACTION * targetS;
     }
 
     /** Whether the job can still meet one of its objectives if its tasks start now; true if it has none. */
-    boolean isReachable(Job job, long now) {
+    boolean isObjectiveReachable(Job job, long now) {
         JobSpec spec = job.spec();
         double[] targetsS = completionTargetsS.get(spec.jobClass());
         if (targetsS == null && spec.deadlineS() == null) {
--- a/src/test/java/io/quartzgw/cancellation/CancellationRegistryTest.java
+++ b/src/test/java/io/quartzgw/cancellation/CancellationRegistryTest.java
@@ -39,7 +39,7 @@
 
     // Guards a leader that receives nothing for as long as its agents' leases may last.
     @Test
-    void cancellationIsAnnouncedBeyondTheLimitAndReportedToTheListenerOnce() {
+    void announcesCancellationBeyondLimitAndNotifiesListenerOnce() {
         List<String> reported = new ArrayList<>();
         remote.setListener(reported::add);
         advanceTo(1_000);
@@ -54,7 +54,7 @@
 
     // Guards the size of messages: jobs that two controllers announce to each other must not stay for ever.
     @Test
-    void cancellationAnnouncedBackAndForthExpires() {
+    void mutuallyAnnouncedCancellationExpires() {
         advanceTo(0);
         local.record("j-000001");
         for (long nowMs = 500; nowMs < 6 * CANCEL_LIMIT_MS; nowMs += 500) {
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void announcementOfTooManyJobsIsTruncatedAndMarkedIncomplete() {
+    void truncatesLargeAnnouncementAndMarksItIncomplete() {
         advanceTo(0);
         for (int i = 0; i < 5_000; i++) {
             local.record("j-" + (100_000_000 + i));
--- a/src/test/java/io/quartzgw/cancellation/CancellationWatermarkTest.java
+++ b/src/test/java/io/quartzgw/cancellation/CancellationWatermarkTest.java
@@ -22,20 +22,20 @@
         eventLoop.processBatch(List.of(), new ClockReading(nowMs, nowMs));
     }
 
-    private CancellationWatermark startedAt(long nowMs) {
+    private CancellationWatermark newWatermarkAt(long nowMs) {
         advanceTo(nowMs);
         return new CancellationWatermark(eventLoop, CANCEL_LIMIT_MS, PEERS);
     }
 
-    private void allPeersAnswer(CancellationWatermark watermark, long nowMs, long process, long uptimeMs) {
+    private void recordResponsesOfAllPeers(CancellationWatermark watermark, long nowMs, long process, long uptimeMs) {
         advanceTo(nowMs);
         PEERS.forEach(name -> watermark.recordPeerAnswer(name, process, uptimeMs, nowMs - 5, true));
     }
 
     @Test
-    void nothingIsKnownUntilTheStoreIsReadOrTheProcessIsOlderThanTheLimit() {
-        CancellationWatermark watermark = startedAt(1_000);
-        allPeersAnswer(watermark, 2_000, 7, 90_000);
+    void hasNoWatermarkUntilStoreReadOrCancelLimit() {
+        CancellationWatermark watermark = newWatermarkAt(1_000);
+        recordResponsesOfAllPeers(watermark, 2_000, 7, 90_000);
         assertTrue(watermark.knownUntilMs(2_000) < 0, "its former process may have acknowledged some just before");
         watermark.recordStoreRead(1_900);
         assertEquals(1_995, watermark.knownUntilMs(2_000));
@@ -43,30 +43,30 @@
         assertTrue(
                 watermark.knownUntilMs(2_000) < 0,
                 "a new term's cluster state has nothing of what an earlier one read");
-        allPeersAnswer(watermark, 1_000 + CANCEL_LIMIT_MS, 7, 90_000 + CANCEL_LIMIT_MS);
+        recordResponsesOfAllPeers(watermark, 1_000 + CANCEL_LIMIT_MS, 7, 90_000 + CANCEL_LIMIT_MS);
         assertEquals(995 + CANCEL_LIMIT_MS, watermark.knownUntilMs(0));
     }
 
     // What was read after the term was last confirmed must not count: a successor relies on that.
     @Test
-    void storeReadCountsUpToTheLastConfirmation() {
-        CancellationWatermark watermark = startedAt(1_000);
+    void storeReadCountsUpToLastConfirmation() {
+        CancellationWatermark watermark = newWatermarkAt(1_000);
         watermark.recordStoreRead(9_000);
         assertEquals(5_000, watermark.knownUntilMs(5_000));
         assertEquals(9_000, watermark.knownUntilMs(12_000));
     }
 
     @Test
-    void gapOfARestartedPeerStaysOpenUntilTheStoreIsReadOrItIsSettled() {
-        CancellationWatermark watermark = startedAt(0);
-        allPeersAnswer(watermark, 50_000, 7, 50_000);
+    void gapOfRestartedPeerStaysOpenUntilStoreReadOrExpiry() {
+        CancellationWatermark watermark = newWatermarkAt(0);
+        recordResponsesOfAllPeers(watermark, 50_000, 7, 50_000);
         advanceTo(52_000);
         watermark.recordPeerAnswer("rig-1", 8, 100, 51_990, true);
-        allPeersAnswer(watermark, 52_000, 8, 100);
+        recordResponsesOfAllPeers(watermark, 52_000, 8, 100);
         assertEquals(49_995, watermark.knownUntilMs(0));
-        allPeersAnswer(watermark, 53_000, 9, 100);
+        recordResponsesOfAllPeers(watermark, 53_000, 9, 100);
         assertEquals(49_995, watermark.knownUntilMs(0), "a second restart does not hide the first one's gap");
-        allPeersAnswer(watermark, 60_000, 9, 7_100);
+        recordResponsesOfAllPeers(watermark, 60_000, 9, 7_100);
         assertEquals(49_995, watermark.knownUntilMs(0));
         watermark.recordStoreRead(52_999);
         assertEquals(
@@ -74,15 +74,15 @@
         watermark.recordStoreRead(53_000);
         assertEquals(59_995, watermark.knownUntilMs(0));
         watermark.resetStoreRead();
-        allPeersAnswer(watermark, 52_900 + CANCEL_LIMIT_MS, 9, CANCEL_LIMIT_MS);
+        recordResponsesOfAllPeers(watermark, 52_900 + CANCEL_LIMIT_MS, 9, CANCEL_LIMIT_MS);
         assertEquals(
                 52_895 + CANCEL_LIMIT_MS, watermark.knownUntilMs(0), "whatever was acknowledged before is settled");
     }
 
     @Test
-    void incompleteAnswerDoesNotRaiseTheWatermark() {
-        CancellationWatermark watermark = startedAt(0);
-        allPeersAnswer(watermark, 50_000, 7, 50_000);
+    void incompleteResponseDoesNotRaiseWatermark() {
+        CancellationWatermark watermark = newWatermarkAt(0);
+        recordResponsesOfAllPeers(watermark, 50_000, 7, 50_000);
         advanceTo(51_000);
         watermark.recordPeerAnswer("rig-1", 7, 51_000, 50_990, false);
         watermark.recordPeerAnswer("rig-2", 7, 51_000, 50_990, true);
@@ -90,15 +90,15 @@
     }
 
     /** A cancellation that a peer's process has acknowledged to a user. */
-    private record Acknowledged(long atMs, int peer, long process) {}
+    private record AcknowledgedCancellation(long atMs, int peer, long process) {}
 
     /** Random events at two peers, with every cancellation that was acknowledged, and which of them are known here. */
     private final class RandomHistory {
         private final SplittableRandom random;
-        private final CancellationWatermark watermark = startedAt(0);
-        private final List<Acknowledged> acknowledged = new ArrayList<>();
-        private final Set<Acknowledged> announced = new HashSet<>();
-        private final Set<Acknowledged> read = new HashSet<>();
+        private final CancellationWatermark watermark = newWatermarkAt(0);
+        private final List<AcknowledgedCancellation> acknowledged = new ArrayList<>();
+        private final Set<AcknowledgedCancellation> announced = new HashSet<>();
+        private final Set<AcknowledgedCancellation> read = new HashSet<>();
         private final long[] process = {1, 2};
         private final long[] startedAtMs = {-100_000, -100_000};
 
@@ -113,7 +113,7 @@
         void step(long nowMs) {
             int peer = random.nextInt(2);
             switch (random.nextInt(12)) {
-                case 0, 1 -> acknowledged.add(new Acknowledged(nowMs, peer, process[peer]));
+                case 0, 1 -> acknowledged.add(new AcknowledgedCancellation(nowMs, peer, process[peer]));
                 case 2 -> {
                     if (oneIn(4)) {
                         restart(peer, nowMs);
@@ -130,7 +130,7 @@
                     }
                 }
                 case 5 -> {}
-                default -> answer(peer, nowMs);
+                default -> recordResponse(peer, nowMs);
             }
         }
 
@@ -149,7 +149,7 @@
             read.clear();
         }
 
-        private void answer(int peer, long nowMs) {
+        private void recordResponse(int peer, long nowMs) {
             acknowledged.stream()
                     .filter(one -> one.peer() == peer && one.process() == process[peer])
                     .forEach(announced::add);
@@ -157,7 +157,7 @@
         }
 
         /** The cancellations whose limit is not over, and which are not known here. */
-        List<Acknowledged> unknown(long nowMs) {
+        List<AcknowledgedCancellation> unknown(long nowMs) {
             return acknowledged.stream()
                     .filter(one -> !announced.contains(one) && !read.contains(one))
                     .filter(one -> nowMs - one.atMs() < CANCEL_LIMIT_MS)
@@ -166,7 +166,7 @@
     }
 
     @Test
-    void noUnsettledCancellationBeforeTheWatermarkIsUnknown() {
+    void knowsAllUnexpiredCancellationsBeforeWatermark() {
         int checked = 0;
         for (int seed = 0; seed < 300; seed++) {
             RandomHistory history = new RandomHistory(seed);
@@ -174,7 +174,7 @@
                 advanceTo(nowMs);
                 history.step(nowMs);
                 long knownUntilMs = history.watermark.knownUntilMs(nowMs);
-                for (Acknowledged unknown : history.unknown(nowMs)) {
+                for (AcknowledgedCancellation unknown : history.unknown(nowMs)) {
                     String context = "seed " + seed + " at " + nowMs + ": " + unknown + " before " + knownUntilMs;
                     assertTrue(unknown.atMs() >= knownUntilMs, context);
                     checked++;
--- a/src/test/java/io/quartzgw/liveness/AgentLivenessTest.java
+++ b/src/test/java/io/quartzgw/liveness/AgentLivenessTest.java
@@ -14,7 +14,7 @@
 
     // A new leader knows no sequence by which it could tell a delayed duplicate.
     @Test
-    void heartbeatWithoutThisLeadersTokenIsUnverified() {
+    void heartbeatWithoutLeaderTokenIsUnverified() {
         liveness.boundPreviousLeader(30_000);
         assertEquals(Freshness.UNVERIFIED, liveness.classify(new HeartbeatId(1, 70), false, Origin.AGENT));
         liveness.recordResponse(1_000);
@@ -27,7 +27,7 @@
 
     // A stale heartbeat must neither renew a lease nor extend a reservation.
     @Test
-    void heartbeatNotNewerThanTheLastIsStale() {
+    void heartbeatNotNewerThanLatestIsStale() {
         liveness.recordHeartbeat(new HeartbeatId(2, 5), 1_000);
         liveness.recordResponse(1_000);
         assertEquals(Freshness.STALE, liveness.classify(new HeartbeatId(2, 5), true, Origin.AGENT));
@@ -37,7 +37,7 @@
 
     // Duplicates of the former agent's heartbeats may have higher sequences than the new agent's.
     @Test
-    void onlyRepliesToDirectCallsAreCurrentAfterTheAgentIsReplaced() {
+    void onlyDirectCallRepliesAreCurrentAfterAgentReplacement() {
         liveness.recordHeartbeat(new HeartbeatId(1, 80), 1_000);
         liveness.agentReplaced(new HeartbeatId(1, 2));
         assertEquals(Freshness.CURRENT, liveness.classify(new HeartbeatId(1, 2), true, Origin.DIRECT_CALL));
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void heartbeatDoesNotMakeAnUnreachableAgentReachable() {
+    void heartbeatDoesNotMarkAgentReachable() {
         liveness.recordHeartbeat(new HeartbeatId(1, 1), 0);
         liveness.markUnreachable(500);
         liveness.recordHeartbeat(new HeartbeatId(1, 2), 1_000);
--- a/src/test/java/io/quartzgw/scheduling/SchedulerTest.java
+++ b/src/test/java/io/quartzgw/scheduling/SchedulerTest.java
@@ -186,7 +186,7 @@
     // Guards against starvation of large and late jobs: small jobs arrive faster than they can run, and the largest job
     // of each team and shape starts within four minutes all the same.
     @Test
-    void largeJobsStartWithinFourMinutesUnderAStreamOfSmallJobs() {
+    void startsLargeJobsWithinFourMinutesUnderSmallJobLoad() {
         for (int i = 0; i < 4; i++) {
             onDemandMachine(i);
         }
@@ -218,13 +218,13 @@
         }
         for (Job job : largest) {
             assertTrue(
-                    job.doneCount() + job.possiblyRunning() > 0,
+                    job.doneCount() + job.possiblyRunningCount() > 0,
                     job.id() + " of " + job.spec().team() + " has not started");
         }
     }
 
     @Test
-    void productionJobPreemptsTheLowerPriorityTaskWithTheLeastLostWork() {
+    void preemptsTaskWithLeastLostWork() {
         Machine machine = onDemandMachine(0);
         Job low = submit(array(1), 2, 4);
         eventLoop.processBatch(List.of(), new ClockReading(1_000, 1_000));
@@ -240,7 +240,7 @@
 
     // Guards deadlines of normal jobs while tasks of low priority run on the last machine that the cloud offers.
     @Test
-    void normalJobPreemptsLowPriorityOnlyWhenTheCloudIsExhausted() {
+    void normalJobPreemptsLowPriorityOnlyWhenCloudIsExhausted() {
         onDemandMachine(0);
         Job low = submit(array(1).priority(Priority.LOW), 4, 2);
         eventLoop.processBatch(List.of(), new ClockReading(1_000, 1_000));
@@ -262,7 +262,7 @@
     // Guards deadlines and replicas against a machine whose reclaim was announced: its tasks were allocated again only
     // when the cloud's delayed machine list lacked it.
     @Test
-    void tasksThatCannotCompleteOnAReclaimedMachineAreStopped() {
+    void stopsTasksThatCannotCompleteBeforeReclaim() {
         eventLoop.processBatch(List.of(), new ClockReading(1_000, 1_000));
         Machine reclaimed = spotMachine(0);
         Job batch = submit(array(1).spot(true), 2, 2);
@@ -286,11 +286,11 @@
     }
 
     @Test
-    void lateJobIsReachableUntilTheLargestDeadlineMultipleHasPassed() {
+    void objectiveIsReachableUntilLargestDeadlineMultiple() {
         ServiceLevelObjectives objectives = new ServiceLevelObjectives(Map.of(), Map.of("w", 2.0), Map.of());
         Job job = cluster.add(new OpenJob(JobSpecs.named("j-2").deadlineS(20).spec(), 2, 0));
-        assertTrue(objectives.isReachable(job, 30_000));
-        assertTrue(!objectives.isReachable(job, 31_000));
+        assertTrue(objectives.isObjectiveReachable(job, 30_000));
+        assertTrue(!objectives.isObjectiveReachable(job, 31_000));
     }
 
     @Test
@@ -312,7 +312,7 @@
     }
 
     @Test
-    void jobOfEqualPriorityPreemptsNothing() {
+    void doesNotPreemptTasksOfEqualPriority() {
         onDemandMachine(0);
         Job first = submit(productionService(1), 4, 2);
         eventLoop.processBatch(List.of(), new ClockReading(1_000, 1_000));
@@ -325,7 +325,7 @@
     }
 
     @Test
-    void jobThatFailedThreeTimesIsRetriedWithoutScaleOut() {
+    void retriesJobWithThreeFailuresWithoutScaleOut() {
         Machine machine = onDemandMachine(0);
         Job job = submit(array(1), 1, 4);
         job.recordFailure(machine.id(), 0, 1);
@@ -340,7 +340,7 @@
     }
 
     @Test
-    void gangIsAllocatedAsAWholeOrNotAtAll() {
+    void allocatesAllGangMembersOrNone() {
         onDemandMachine(0);
         Job gang = submit(gang(1), 3, 4);
         eventLoop.processBatch(List.of(), new ClockReading(1_000, 1_000));
