--- a/src/main/java/io/quartzgw/cancellation/CancellationAnnouncement.java
+++ b/src/main/java/io/quartzgw/cancellation/CancellationAnnouncement.java
@@ -5,10 +5,10 @@
 import java.util.Map;
 
 /**
- * The cancelled jobs that a message between controllers names.
+ * The cancelled jobs that a controller announces to another one in a message.
  *
- * @param ageMsByJob how long ago each job was cancelled, the oldest first
- * @param complete whether these are all that the sender has to announce
+ * @param ageMsByJob time since the cancellation by job ID, the oldest first
+ * @param complete whether the message contains all jobs that the sender has to announce
  */
 public record CancellationAnnouncement(Map<String, Long> ageMsByJob, boolean complete) {
 
@@ -17,7 +17,7 @@
         ageMsByJob = Collections.unmodifiableMap(new LinkedHashMap<>(ageMsByJob));
     }
 
-    /** How many jobs are named. */
+    /** The number of announced jobs. */
     public int size() {
         return ageMsByJob.size();
     }
--- a/src/main/java/io/quartzgw/cancellation/CancellationAnnouncementCodec.java
+++ b/src/main/java/io/quartzgw/cancellation/CancellationAnnouncementCodec.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Encodes and decodes the fields of a message between controllers that announce cancellations. */
+/** Encodes and decodes the message fields by which controllers announce cancellations to each other. */
 public final class CancellationAnnouncementCodec {
     private static final String JOBS_FIELD = "cancelled";
     private static final String COMPLETE_FIELD = "cancelled_whole";
@@ -19,7 +19,7 @@
         message.put(COMPLETE_FIELD, announcement.complete());
     }
 
-    /** The announcement of a message; an incomplete one without jobs if the message has none. */
+    /** Decodes the announcement of a message. If there is none, the result has no jobs and is incomplete. */
     public static CancellationAnnouncement decode(JsonNode message) {
         Map<String, Long> ageMsByJob = new LinkedHashMap<>();
         message.path(JOBS_FIELD)
--- a/src/main/java/io/quartzgw/cancellation/CancellationRegistry.java
+++ b/src/main/java/io/quartzgw/cancellation/CancellationRegistry.java
@@ -8,18 +8,22 @@
 import java.util.function.Consumer;
 
 /**
- * The jobs that are cancelled, as acknowledged to a user by this or another controller. Every controller records all of
- * them, whoever leads, and announces them to the others until no task of the job can run any more. So a cancellation
- * outlives the controller that acknowledged it, and a new leader knows it before it has read anything.
+ * The cancelled jobs whose cancellation this or another controller has acknowledged to a user. Every controller records
+ * them, not only the leader, and announces them to the others until no task of the job can still run. So a cancellation
+ * survives a crash of the controller that acknowledged it, and a new leader has it before it has read the state store.
  */
 public final class CancellationRegistry {
     /**
-     * How long a job is announced, in cancel limits: longer than its tasks may run, as clocks drift and messages wait.
+     * How long a job is announced, as a multiple of the cancel limit. This is longer than its tasks may run, since
+     * clocks drift and messages are delayed.
      */
     private static final double ANNOUNCEMENT_CANCEL_LIMITS = 1.5;
-    /** How long a job is retained: longer than announced, so that a late announcement does not make it new again. */
+    /**
+     * How long a job is retained, as a multiple of the cancel limit. This is longer than it is announced, so that a
+     * delayed announcement is not recorded as a new cancellation.
+     */
     private static final double RETENTION_CANCEL_LIMITS = 4;
-    /** At 24 bytes each, with the age, a message stays below 64 KiB beside all its other fields. */
+    /** At 24 bytes for each job and its age, a message stays below 64 KiB together with all its other fields. */
     private static final int MAX_ANNOUNCED_JOBS = 1_500;
 
     private final EventLoop eventLoop;
@@ -35,7 +39,7 @@
         this.retentionMs = (long) (RETENTION_CANCEL_LIMITS * cancelLimitMs);
     }
 
-    /** Sets the receiver of each job that becomes known as cancelled. */
+    /** Sets the listener that is notified of each newly recorded job. */
     public void setListener(Consumer<String> listener) {
         this.listener = listener;
     }
@@ -45,7 +49,7 @@
         return cancelledAtMs.containsKey(job);
     }
 
-    /** When a job was cancelled that is recorded as such. */
+    /** When a job was cancelled, or empty if it is not recorded as cancelled. */
     public OptionalLong cancelledAtMs(String job) {
         Long atMs = cancelledAtMs.get(job);
         return atMs == null ? OptionalLong.empty() : OptionalLong.of(atMs);
@@ -57,10 +61,10 @@
     }
 
     /**
-     * Records that a job is cancelled. This must come before any response that lets a user know: the one to the
-     * cancellation, to a poll, or to a repeated submission.
+     * Records that a job is cancelled. This must be called before any response that reports the cancellation to a user:
+     * to the cancellation request, to a poll, or to a repeated submission.
      *
-     * @return whether the job was not recorded before
+     * @return whether the job was newly recorded
      */
     public boolean record(String job) {
         return record(job, 0);
@@ -75,7 +79,8 @@
         return true;
     }
 
-    // The map is nearly in the order of time: jobs that other controllers have announced are a little older.
+    // The map is almost in the order of cancellation: jobs announced by other controllers are slightly older than the
+    // order suggests.
     private void expire() {
         Iterator<Long> oldestFirst = cancelledAtMs.values().iterator();
         while (oldestFirst.hasNext() && eventLoop.nowMs() - oldestFirst.next() > retentionMs) {
@@ -83,7 +88,7 @@
         }
     }
 
-    /** The jobs to announce to the other controllers, each with its age. */
+    /** The jobs to announce to the other controllers. */
     public CancellationAnnouncement announcement() {
         expire();
         Map<String, Long> ageMsByJob = new LinkedHashMap<>();
@@ -100,7 +105,7 @@
         return new CancellationAnnouncement(ageMsByJob, true);
     }
 
-    /** Records the jobs of another controller's announcement, however late it comes: a cancellation stays true. */
+    /** Records the jobs of another controller's announcement. It may be delayed, since cancellations are final. */
     public void recordAll(CancellationAnnouncement announcement) {
         announcement.ageMsByJob().forEach((job, ageMs) -> record(job, Math.max(0, ageMs)));
     }
--- a/src/main/java/io/quartzgw/cancellation/CancellationWatermark.java
+++ b/src/main/java/io/quartzgw/cancellation/CancellationWatermark.java
@@ -7,14 +7,15 @@
 import java.util.Optional;
 
 /**
- * The moment before which this controller knows every cancellation that any controller has acknowledged to a user.
+ * Tracks the time before which this controller has recorded every cancellation that any controller has acknowledged to
+ * a user.
  *
- * <p>There are two sources. A leader that has read the state store knows all that was committed before it asked. And an
- * answer of another controller announces all cancellations that its process knows, so they are known up to the moment
- * when the question was sent. What a process acknowledged between its last answer and its end may be known to nobody:
- * that is a gap. A gap is closed when the state store was read after the next process had been noticed, or when that
- * process is older than the cancel limit: no task of a job that was cancelled before can still run then. This
- * controller's own former process leaves a gap, too.
+ * <p>There are two sources. A leader that reads the state store gets all cancellations committed before its request.
+ * And a response of a peer announces all cancellations that its process has recorded, so they are known up to the time
+ * when the request was sent. Cancellations that a process acknowledged between its last response and its end may have
+ * reached no other controller: this is a gap. A gap is closed by a read of the state store after the peer's next
+ * process was detected. It also closes once that process is older than the cancel limit, since then no task of a job
+ * that was cancelled before can still run. The previous process of this controller leaves a gap, too.
  */
 public final class CancellationWatermark {
     private static final long NEVER = Long.MIN_VALUE / 2;
@@ -27,23 +28,24 @@
     private long storeReadAtMs = NEVER;
 
     /**
-     * Cancellations of a process that has ended, which may be unknown.
+     * A period in which a process that has ended may have acknowledged cancellations that this controller has not
+     * recorded.
      *
-     * @param unknownFromMs when the first of them may have been acknowledged
-     * @param detectedAtMs when the process had surely ended
-     * @param expiresAtMs when the cancel limit of the last of them is over
+     * @param unknownFromMs the earliest time at which such a cancellation may have been acknowledged
+     * @param detectedAtMs when the process was detected to have ended
+     * @param expiresAtMs when the cancel limit of the last such cancellation has passed
      */
     private record Gap(long unknownFromMs, long detectedAtMs, long expiresAtMs) {}
 
-    /** What is known of another controller. */
+    /** The state of another controller, from its responses. */
     private static final class Peer {
         private long process;
         private long knownUntilMs = NEVER;
-        /** The gap before its present process; empty until the peer has answered. */
+        /** The gap before its current process; empty until the peer has responded. */
         private Optional<Gap> gap = Optional.empty();
 
-        boolean hasRespondedAs(long answeringProcess) {
-            return gap.isPresent() && process == answeringProcess;
+        boolean hasRespondedAs(long respondingProcess) {
+            return gap.isPresent() && process == respondingProcess;
         }
 
         void replaceProcess(long newProcess, Gap gapBefore) {
@@ -62,53 +64,54 @@
         peerNames.forEach(name -> peers.put(name, new Peer()));
     }
 
-    /** How long this process has run. */
+    /** How long this process has been running. */
     public long uptimeMs() {
         return eventLoop.nowMs() - startedAtMs;
     }
 
-    /** Forgets what an earlier term has read: it is not in the cluster state of the new one. */
+    /** Discards store reads of an earlier term, since the new term's cluster state does not contain them. */
     public void resetStoreRead() {
         storeReadAtMs = NEVER;
     }
 
-    /** Records that the leader's cluster state has everything that was in the state store at a moment. */
+    /** Records that the leader's cluster state contains everything that was in the state store at the given time. */
     public void recordStoreRead(long readAtMs) {
         storeReadAtMs = Math.max(storeReadAtMs, readAtMs);
     }
 
     /**
-     * Records that a peer has answered.
+     * Records a response of a peer.
      *
-     * @param uptimeMs how long its process has run, by its own account
-     * @param askedAtMs when it was asked
-     * @param complete whether it announced all cancellations that it had to
+     * @param process identifies the peer's process
+     * @param uptimeMs how long the process has been running, as it reports
+     * @param requestedAtMs when the request was sent to the peer
+     * @param complete whether the response announced all cancellations that the peer had to announce
      */
-    public void recordPeerAnswer(String name, long process, long uptimeMs, long askedAtMs, boolean complete) {
+    public void recordPeerAnswer(String name, long process, long uptimeMs, long requestedAtMs, boolean complete) {
         Peer peer = peers.get(name);
         if (!peer.hasRespondedAs(process)) {
             peer.replaceProcess(process, gapBeforeCurrentProcess(peer, uptimeMs));
         }
         if (complete) {
-            peer.knownUntilMs = Math.max(peer.knownUntilMs, askedAtMs);
+            peer.knownUntilMs = Math.max(peer.knownUntilMs, requestedAtMs);
         }
     }
 
     private Gap gapBeforeCurrentProcess(Peer peer, long uptimeMs) {
         long nowMs = eventLoop.nowMs();
-        // Two restarts may lie between two answers, and a second one must not hide the first one's gap.
+        // The peer may restart again while its last gap is open. The new gap then includes the previous one.
         long unknownFromMs = peer.gap
-                .filter(former -> nowMs < former.expiresAtMs())
-                .map(former -> Math.min(peer.knownUntilMs, former.unknownFromMs()))
+                .filter(previous -> nowMs < previous.expiresAtMs())
+                .map(previous -> Math.min(peer.knownUntilMs, previous.unknownFromMs()))
                 .orElse(peer.knownUntilMs);
         return new Gap(unknownFromMs, nowMs, nowMs - uptimeMs + cancelLimitMs);
     }
 
     /**
-     * The watermark. What was read after the last confirmation of the term does not count, since a successor relies on
-     * that.
+     * Returns the watermark. Store reads count only up to the last time at which the term was confirmed, since the next
+     * leader relies on this bound.
      *
-     * @param confirmedAtMs the last moment at which this controller surely led
+     * @param confirmedAtMs the last time at which this controller was confirmed as leader
      */
     public long knownUntilMs(long confirmedAtMs) {
         long knownByAllMs = isOpen(ownGap) ? ownGap.unknownFromMs() : eventLoop.nowMs();
--- a/src/main/java/io/quartzgw/liveness/AgentLiveness.java
+++ b/src/main/java/io/quartzgw/liveness/AgentLiveness.java
@@ -1,12 +1,12 @@
 package io.quartzgw.liveness;
 
 /**
- * What this leader knows of the liveness of a machine's agent, and how fresh a heartbeat of it is.
+ * The liveness of a machine's agent as observed by this leader. Also classifies the agent's heartbeats by freshness.
  *
  * <p>Duplicates of heartbeats may be delayed by far more than a lease, and may reach a leader that has received no
- * newer heartbeat. So a heartbeat is current only if it shows this leader's token, which means that it was made after
- * this leader had reached the agent, and is newer than all heartbeats that were current before. Any other heartbeat
- * only suggests that there is an agent: it gets a response, since it may be genuine, but does not change the cluster
+ * newer heartbeat. So a heartbeat is current only if it meets two conditions: it contains this leader's token, which
+ * shows that it was made after this leader had reached the agent, and it is newer than all previous current heartbeats.
+ * Any other heartbeat that is not stale gets a response, since it may be genuine, but does not change the cluster
  * state.
  */
 public final class AgentLiveness {
@@ -15,24 +15,24 @@
     public enum Freshness {
         /** It is the newest heartbeat of an agent that this leader has reached. */
         CURRENT,
-        /** It may be genuine, or a duplicate from before this leader's term. */
+        /** It may be genuine, or a duplicate from before this leader's term or from a replaced agent. */
         UNVERIFIED,
-        /** A newer heartbeat is known: this one is a duplicate or was delayed. */
+        /** A newer heartbeat was received before: this one is a duplicate or was delayed. */
         STALE
     }
 
-    /** How a heartbeat has reached the leader. */
+    /** How the leader received a heartbeat. */
     public enum Origin {
-        /** The agent sent it; it may be a duplicate that was delayed. */
+        /** The agent sent it as a request, which may be a delayed duplicate. */
         AGENT,
         /** It is the reply to a direct call, so it is not a duplicate. */
         DIRECT_CALL
     }
 
-    /** The epoch with which agents begin; most of them never lose their lease, and stay in it. */
+    /** The epoch in which an agent starts. Most agents never lose their lease, and stay in this epoch. */
     private static final long FIRST_EPOCH = 1;
 
-    /** Older than every heartbeat. */
+    /** Sorts before every heartbeat. */
     private static final HeartbeatId NO_HEARTBEAT = new HeartbeatId(0, -1);
 
     private HeartbeatId latestHeartbeat = NO_HEARTBEAT;
@@ -45,37 +45,37 @@
     private long lastResponseAt = Long.MIN_VALUE;
     private long previousLeaderActiveUntil;
 
-    /** @param now the current time in milliseconds of the steady clock, as all times of this class */
+    /** @param now the current time in milliseconds of the steady clock, like all times in this class */
     public AgentLiveness(long now) {
         this.previousLeaderActiveUntil = now;
     }
 
     // ---- heartbeats
 
-    /** Returns the agent's epoch, as its current heartbeats have shown it. */
+    /** Returns the epoch of the agent's latest current heartbeat. */
     public long epoch() {
         return latestHeartbeat.epoch();
     }
 
-    /** Returns the newest epoch that a current heartbeat or a reply to a direct call has shown. */
+    /** Returns the latest epoch that a current heartbeat or a reply to a direct call has reported. */
     public long latestObservedEpoch() {
         return Math.max(epoch(), latestObservedEpoch);
     }
 
-    /** Returns the newest current heartbeat, or one that is older than all others if there was none. */
+    /** Returns the latest current heartbeat, or an ID that sorts before all others if there was none. */
     public HeartbeatId latestHeartbeat() {
         return latestHeartbeat;
     }
 
     /**
-     * Returns whether the agent has sent a current heartbeat to this leader. Then its task list is reliable, and the
-     * agent rejects the commands of former leaders.
+     * Returns whether this leader has received a current heartbeat of the agent. If so, its task list is reliable, and
+     * the agent rejects the commands of previous leaders.
      */
     public boolean verified() {
         return verified;
     }
 
-    /** Returns whether a current heartbeat was received within the last so many milliseconds. */
+    /** Returns whether a current heartbeat was received within the given duration before now. */
     public boolean heartbeatWithin(long durationMs, long now) {
         return verified && now - lastHeartbeatAt < durationMs;
     }
@@ -83,13 +83,13 @@
     /**
      * Classifies a heartbeat.
      *
-     * @param showsToken whether the heartbeat shows the token of this leader
+     * @param showsToken whether the heartbeat contains this leader's token
      */
     public Freshness classify(HeartbeatId heartbeat, boolean showsToken, Origin origin) {
         if (!heartbeat.isNewerThan(latestHeartbeat)) {
             return Freshness.STALE;
         }
-        // Duplicates from the former agent of a restarted machine may have higher sequences than the new agent.
+        // After a reboot, duplicates from the machine's previous agent may have higher sequences than the new agent.
         boolean mayBeDuplicate = agentReplaced && origin == Origin.AGENT;
         return showsToken && !mayBeDuplicate ? Freshness.CURRENT : Freshness.UNVERIFIED;
     }
@@ -99,25 +99,25 @@
         latestHeartbeat = heartbeat;
         lastHeartbeatAt = now;
         if (!verified) {
-            // A former leader may have responded to the agent until now, but the agent rejects its token from now on.
+            // A previous leader may have responded to the agent until now. From now on the agent rejects its token.
             verified = true;
             recordResponse(now);
         }
     }
 
-    /** Records that a reply to a direct call has shown an epoch. */
+    /** Records the epoch that a reply to a direct call has reported. */
     public void observeEpoch(long observedEpoch) {
         latestObservedEpoch = observedEpoch;
     }
 
     /**
-     * Records that a reply to a direct call has shown a new agent on the same machine: it is older than the heartbeats
-     * that were known when the call was sent. The tasks of the former agent are gone.
+     * Records that a reply to a direct call came from a new agent on the same machine: the reply is older than
+     * heartbeats that had been received when the call was sent. The tasks of the previous agent have ended.
      */
     public void agentReplaced(HeartbeatId reply) {
         agentReplaced = true;
         latestObservedEpoch = reply.epoch();
-        // Just older than the reply, which is then classified as current.
+        // One sequence before the reply, so that the reply is classified as current.
         latestHeartbeat = new HeartbeatId(reply.epoch(), reply.sequence() - 1);
     }
 
@@ -125,37 +125,39 @@
 
     /**
      * Records that a heartbeat gets a response with this leader's token, which renews the agent's lease. Stale
-     * heartbeats must not get one: a lease would be renewed that this leader does not count on. Unverified ones must,
-     * or their agents would never show the token; if such a heartbeat is a duplicate, capacity is reserved for somewhat
-     * longer than necessary.
+     * heartbeats must not get a response, because it would renew a lease that this leader does not take into account.
+     * Unverified heartbeats must get one, because their agents would otherwise never receive the token. If such a
+     * heartbeat is a duplicate, capacity is reserved somewhat longer than necessary.
      */
     public void recordResponse(long now) {
         lastResponseAt = Math.max(lastResponseAt, now);
     }
 
-    /** Returns the latest time at which this leader or a former one can have renewed the agent's lease. */
+    /** Returns the latest time at which this or a previous leader may have renewed the agent's lease. */
     public long lastResponseAt() {
         return verified ? lastResponseAt : Math.max(lastResponseAt, previousLeaderActiveUntil);
     }
 
-    /** Sets the latest time at which a former leader can have responded, which counts until the agent is verified. */
+    /** Sets the latest time at which a previous leader may have responded. It applies until the agent is verified. */
     public void boundPreviousLeader(long until) {
         previousLeaderActiveUntil = until;
     }
 
     // ---- reachability
 
-    /** Returns whether a direct call had no reply, or the epoch has changed, and no call had a reply since. */
+    /**
+     * Returns whether a direct call was unanswered, or the epoch changed, and the agent has replied to no call since.
+     */
     public boolean unreachable() {
         return unreachable;
     }
 
-    /** Returns when the agent became unreachable; meaningful only while it is. */
+    /** Returns when the agent became unreachable; meaningful only while it is unreachable. */
     public long unreachableSince() {
         return unreachableSince;
     }
 
-    /** Records that the agent may not receive what is sent to it. */
+    /** Records that direct calls may not reach the agent. */
     public void markUnreachable(long now) {
         if (!unreachable) {
             unreachable = true;
--- a/src/main/java/io/quartzgw/liveness/AgentTiming.java
+++ b/src/main/java/io/quartzgw/liveness/AgentTiming.java
@@ -4,14 +4,14 @@
  * The timing of agents, from the settings.
  *
  * @param heartbeatMs the interval between two heartbeats of an agent
- * @param leaseMs how long an agent keeps its tasks after it sent the last heartbeat that had a response
- * @param cancelMs how long a task may run after a user was told that its job is cancelled
+ * @param leaseMs how long an agent keeps its tasks after sending the last heartbeat that got a response
+ * @param cancelMs how long a task may run after the cancellation of its job was acknowledged to a user
  */
 public record AgentTiming(long heartbeatMs, long leaseMs, long cancelMs) {
-    /** The steady clocks of two machines drift apart by up to 0.05% in either direction. */
+    /** Steady clocks drift by up to 0.05% in either direction, so those of two machines drift apart by up to 0.1%. */
     private static final double MAX_CLOCK_DRIFT = 0.001;
 
-    /** Returns the longest duration that an agent's lease can have by the clock of another machine. */
+    /** Returns the longest duration of an agent's lease as measured by the clock of another machine. */
     public long longestLeaseMs() {
         return (long) Math.ceil(leaseMs * (1 + MAX_CLOCK_DRIFT)) + 1;
     }
--- a/src/main/java/io/quartzgw/scheduling/Allocation.java
+++ b/src/main/java/io/quartzgw/scheduling/Allocation.java
@@ -3,20 +3,20 @@
 import io.quartzgw.model.Resources;
 
 /**
- * The assignment of one task attempt to a machine, whose resources it reserves until it is released: the task runs
- * there, or may run there.
+ * The assignment of one task attempt to a machine where it runs or may run. It reserves resources of the machine until
+ * it is released.
  */
 public final class Allocation {
 
-    /** The phase of the attempt, as far as its agent has reported it. */
+    /** The last phase of the attempt that its agent has reported. */
     public enum Phase {
-        /** Allocated, and not yet seen in a heartbeat. */
+        /** The task is allocated, but no heartbeat has reported the attempt yet. */
         ASSIGNED,
-        /** The agent fetches the image. */
+        /** The agent is fetching the image. */
         FETCHING,
-        /** The task runs. */
+        /** The task is running. */
         RUNNING,
-        /** The task saves a checkpoint before it stops. */
+        /** The task is saving a checkpoint before it stops. */
         CHECKPOINTING
     }
 
@@ -73,12 +73,12 @@
         return job.task(index);
     }
 
-    /** The last known phase. */
+    /** The last phase that the agent has reported. */
     public Phase phase() {
         return phase;
     }
 
-    /** Whether a heartbeat has shown the attempt. */
+    /** Whether a heartbeat has reported the attempt. */
     public boolean observed() {
         return phase != Phase.ASSIGNED;
     }
@@ -94,43 +94,43 @@
         startWithheld = false;
     }
 
-    /** Records that the attempt no longer runs, with its agent or by itself, though it may be started again there. */
+    /** Records that the attempt, or its whole agent, has ended. It may be started again on the machine. */
     public void markLost(long now) {
         phase = Phase.ASSIGNED;
         lostAt = now;
     }
 
-    /** Whether the attempt no longer runs, as far as is known, and has not been seen again since. */
+    /** Whether the attempt is recorded as lost and no heartbeat has reported it since. */
     public boolean isLost() {
         return lostAt != NOT_LOST;
     }
 
-    /** Returns whether the attempt was lost at least so many milliseconds ago. */
+    /** Returns whether the attempt has been lost for at least the given duration. */
     public boolean isLostFor(long durationMs, long now) {
         return isLost() && now - lostAt >= durationMs;
     }
 
-    /** Returns how many milliseconds ago the attempt was lost, or 0 if it is not. */
+    /** Returns how long the attempt has been lost, or 0 if it is not lost. */
     public long lostForMs(long now) {
         return isLost() ? now - lostAt : 0;
     }
 
-    /** Whether its job has ended though the task is not done. */
+    /** Whether the job has ended before this task completed. */
     boolean isOfCancelledTask() {
         return job.isTerminal() && !job.isDone(index);
     }
 
-    /** When the task was allocated, on the steady clock. */
+    /** The time of the allocation, in milliseconds of the steady clock. */
     public long allocatedAt() {
         return allocatedAt;
     }
 
-    /** How long the task has run on this machine, as far as this leader has observed. */
+    /** How long this leader has observed the task running on the machine. */
     public long runtimeMs(long now) {
         return phase == Phase.RUNNING || phase == Phase.CHECKPOINTING ? now - runningSince : 0;
     }
 
-    /** Whether a start command was sent to the agent at all. */
+    /** Whether any start command was sent to the agent. */
     public boolean startSent() {
         return startSent;
     }
@@ -140,17 +140,21 @@
         startSent = true;
     }
 
-    /** Whether the start must not be sent yet. */
+    /** Whether the start command must not be sent yet. */
     public boolean startWithheld() {
         return startWithheld;
     }
 
-    /** Sets whether the start must not be sent yet; the task counts as possibly running all the same. */
+    /** Sets whether the start command must not be sent yet. Meanwhile the task still counts as possibly running. */
     public void withholdStart(boolean withheld) {
         startWithheld = withheld;
     }
 
-    /** Whether the machine is gone before the task can complete there, by its owner's runtime estimate. */
+    /**
+     * Whether the machine will be removed before the task can complete, by the job owner's runtime estimate. False for
+     * gang members, for attempts that no heartbeat has reported, and for tasks that are being stopped. Otherwise true
+     * for a service, whose replicas never complete.
+     */
     boolean losesMachineBeforeCompletion(long now) {
         if (stopping || !observed() || job.spec().gang()) {
             return false;
@@ -159,7 +163,7 @@
         return job.spec().service() || remainingMs > machine.expectedRemovalAt() - now;
     }
 
-    /** Whether the task was asked to stop. */
+    /** Whether a stop of the task was requested. */
     public boolean stopping() {
         return stopping;
     }
--- a/src/main/java/io/quartzgw/scheduling/BestFit.java
+++ b/src/main/java/io/quartzgw/scheduling/BestFit.java
@@ -7,22 +7,24 @@
 import java.util.SplittableRandom;
 import java.util.function.Predicate;
 
-/** Best fit over a random sample of the machines with free capacity; scans all of them when the sample has none. */
+/**
+ * Chooses machines by best fit over a random sample. Candidates are sampled until enough suitable ones are found or all
+ * were examined.
+ */
 public final class BestFit {
-    /**
-     * Sample size where capacity stays reserved in any case: a small sample spreads tasks, and with them the images.
-     */
+    /** Sample size if capacity stays rented anyway: a small sample spreads the tasks, and so caches images widely. */
     static final int SMALL_SAMPLE_SIZE = 3;
-    /** Sample size where idle machines are scaled in: tasks that are spread thinly would keep every machine. */
+    /** Sample size if idle machines are scaled in: widely spread tasks would keep every machine in use. */
     static final int LARGE_SAMPLE_SIZE = 16;
-    /** An image fetch costs more than any difference in free capacity, a long one more than a short one. */
+    /** An image fetch costs more than any difference in free capacity. */
     private static final double FETCH_WEIGHT = 10;
 
+    /** Cost per second of an image fetch, so that a long fetch costs more than a short one. */
     private static final double FETCH_SECOND_WEIGHT = 1;
-    /** Tasks that may run on spot machines leave on-demand machines to those that may not. */
+    /** Keeps on-demand machines free for tasks that may not run on spot machines. */
     private static final double ON_DEMAND_WEIGHT = 2;
 
-    /** Tasks that may run in any zone leave the fuller zone to jobs that have to spread. */
+    /** Keeps capacity of the fuller zone free for jobs that have to spread over zones. */
     private static final double ZONE_WEIGHT = 4;
 
     private final SplittableRandom random;
@@ -30,13 +32,13 @@
     private Map<String, Double> zoneUtilization = Map.of();
     private long machinesExamined;
 
-    /** @param capacityReserved whether capacity stays rented whatever the demand */
+    /** @param capacityReserved whether capacity stays rented regardless of demand */
     public BestFit(SplittableRandom random, boolean capacityReserved) {
         this.random = random;
         this.sampleSize = capacityReserved ? SMALL_SAMPLE_SIZE : LARGE_SAMPLE_SIZE;
     }
 
-    /** How many machines were examined since the last call. */
+    /** Returns the number of machines examined since the last call, and resets it. */
     long takeMachinesExamined() {
         long taken = machinesExamined;
         machinesExamined = 0;
@@ -49,16 +51,16 @@
     }
 
     /**
-     * Chooses the machine for one more task of the job, or null when no candidate has enough free capacity. A sampled
-     * machine that can't run the task is removed from the candidates: within one pass free capacity only shrinks, so it
-     * can't run the next task of the job either, and a whole job examines each machine at most once. The result is
-     * nullable, not an Optional, since this is the innermost loop of the scheduler.
+     * Returns the machine for one more task of the job, or null if no candidate can run it. A sampled machine that
+     * can't run the task is removed from the candidates: free capacity only shrinks within a pass, so the machine can't
+     * run the job's next task either. A machine is thus rejected at most once for a job. The result is nullable instead
+     * of an Optional, since this is the innermost loop of the scheduler.
      */
     public Machine chooseMachine(Job job, List<Machine> candidates, Predicate<Machine> allowed, long now) {
         Machine best = null;
         double bestCost = Double.MAX_VALUE;
         int found = 0;
-        // Sampling goes on until enough suitable machines were found: without any, this becomes a scan of all.
+        // Sampling continues until enough suitable machines are found. If there are none, all candidates are scanned.
         while (found < candidates.size() && found < sampleSize) {
             int pick = found + random.nextInt(candidates.size() - found);
             Machine machine = candidates.get(pick);
@@ -83,7 +85,9 @@
         return best;
     }
 
-    /** Lower is better: little capacity left over, the image cached, and the right kind of machine. */
+    /**
+     * The lower the cost, the better: little capacity is left over, the image is cached, and spot tasks run on spot.
+     */
     static double placementCost(JobSpec job, Machine machine, long now) {
         Resources size = machine.type().size();
         Resources left = machine.freeCapacity().minus(job.demand());
--- a/src/main/java/io/quartzgw/scheduling/CancelledTasks.java
+++ b/src/main/java/io/quartzgw/scheduling/CancelledTasks.java
@@ -5,17 +5,18 @@
 import java.util.stream.LongStream;
 import java.util.stream.Stream;
 
-/** Tells whether a direct call that arrives late may start a task of a cancelled job on a machine. */
+/** Determines whether a delayed direct call may start a task of a cancelled job on a machine. */
 public final class CancelledTasks {
     private CancelledTasks() {}
 
-    /** When the first of the jobs was cancelled whose tasks a late start may run on a machine, if there is any. */
+    /** Returns the earliest cancellation time of the jobs whose tasks a late start command may run on a machine. */
     public static OptionalLong firstCancellationMs(Machine machine) {
         return firstCancellationMs(machine, Allocation::isLost);
     }
 
     /**
-     * As {@link #firstCancellationMs}, where a call without an answer may have carried each start that was not seen.
+     * As {@link #firstCancellationMs}. If the agent is unreachable, includes all starts that were sent and that no
+     * heartbeat has reported, since each of them may be in an unanswered call.
      */
     public static OptionalLong firstPossibleCancellationMs(Machine machine) {
         return machine.liveness().unreachable()
--- a/src/main/java/io/quartzgw/scheduling/CandidateMachines.java
+++ b/src/main/java/io/quartzgw/scheduling/CandidateMachines.java
@@ -5,8 +5,8 @@
 import java.util.function.Predicate;
 
 /**
- * The machines that can run the tasks of one job in this pass, grouped by how soon they have its image. The tasks of a
- * job are alike: a machine that can't run one of them can't run another.
+ * The machines that can run tasks of one job in a scheduling pass, grouped by how soon they can have its image. All
+ * tasks of a job have the same demand, so a machine that can't run one of them can't run any other.
  */
 final class CandidateMachines {
     private final SchedulingContext context;
@@ -15,18 +15,21 @@
     private final boolean mayPreempt;
     private final Predicate<Machine> allowed;
     private final List<Machine> withImage = new ArrayList<>();
-    /** Without the image, but it is fetched in time for the start objective. */
+    /** Machines without the image that can fetch it in time for the start objective. */
     private final List<Machine> withFastFetch = new ArrayList<>();
 
+    /** Machines that can't fetch the image in time for the start objective. */
     private final List<Machine> withSlowFetch = new ArrayList<>();
+
     /** Created on first use, since most jobs need no preemption. */
     private Preemption preemptionWithImage;
 
+    /** Created on first use, since most jobs need no preemption. */
     private Preemption preemptionAnywhere;
 
     /**
      * @param schedulable all machines to which tasks may be allocated
-     * @param withCapacity those of them that may have enough free capacity
+     * @param withCapacity the schedulable machines that may have enough free capacity
      * @param mayPreempt whether the job may stop tasks of lower priority
      */
     CandidateMachines(
@@ -97,7 +100,7 @@
         if (plan == null) {
             return false;
         }
-        // An agent executes commands in order: the stops free the capacity that the start needs.
+        // Agents execute commands in order, so the stops free the capacity that the start needs.
         plan.victims().forEach(victim -> context.launcher().stop(victim, 0, StopReason.PREEMPTED));
         allocateNextTask(plan.machine());
         preemption.replan(plan.machine());
--- a/src/main/java/io/quartzgw/scheduling/ClusterState.java
+++ b/src/main/java/io/quartzgw/scheduling/ClusterState.java
@@ -15,12 +15,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The leader's in-memory state: open jobs, machines and allocations. Only this class allocates and releases, so that
- * free capacity, team usage and zone counts stay consistent.
+ * The leader's in-memory state: open jobs, machines and allocations. Only this class creates and releases allocations,
+ * so that free capacity, team usage and zone counts stay consistent.
  *
- * <p>After a failover two things are unknown. An <em>unaccounted</em> task may run on a silent machine: it has no
- * allocation, is not done and may have been started by a former leader. An <em>unexplained</em> machine may run tasks
- * of jobs that are no longer open, and so belong to no job that this leader knows.
+ * <p>After a failover two things are unknown. An <em>unaccounted</em> task may run on an unresponsive machine: a
+ * previous leader may have started it, it has not completed, and it has no allocation. And a machine may run
+ * <em>orphans</em>, which are tasks of jobs that are no longer open: this leader does not track them.
  */
 public final class ClusterState {
     private static final Logger LOG = LoggerFactory.getLogger(ClusterState.class);
@@ -28,21 +28,21 @@
     private final EventLoop eventLoop;
     private final TreeMap<String, Job> jobs = new TreeMap<>();
     private final Map<String, Machine> machines = new TreeMap<>();
-    private final Set<String> wasRemoved = new HashSet<>();
+    private final Set<String> removedMachineIds = new HashSet<>();
     private final Map<String, Resources> usageByTeam = new HashMap<>();
-    /** Index of the jobs with a pending task: few among many that run. */
+    /** Jobs with a pending task, by job ID. Usually only few of the open jobs have one. */
     private final Map<String, Job> pendingJobs = new TreeMap<>();
 
-    /** Index of the jobs with an unaccounted task. */
+    /** Jobs with an unaccounted task, by job ID. */
     private final Map<String, Job> jobsWithUnaccountedTasks = new TreeMap<>();
 
-    private final Set<Machine> unexplainedMachines = new HashSet<>();
-    private Resources unexplainedCapacity = Resources.NONE;
+    private final Set<Machine> possibleOrphanMachines = new HashSet<>();
+    private Resources possibleOrphanCapacity = Resources.NONE;
     private final long term;
     private long attempts;
     private boolean changed = true;
 
-    /** @param term of this leader, part of all attempt numbers */
+    /** @param term this leader's term, which is part of all attempt numbers */
     public ClusterState(EventLoop eventLoop, long term) {
         this.eventLoop = eventLoop;
         this.term = term;
@@ -50,22 +50,22 @@
 
     // ---- jobs
 
-    /** All jobs by id, including terminal ones that still have allocations. */
+    /** All jobs, ordered by job ID, including terminal ones that still have allocations. */
     public Collection<Job> jobs() {
         return jobs.values();
     }
 
-    /** The jobs whose ids sort after the given one, in order. */
+    /** The jobs whose IDs sort after the given ID, in that order. */
     public Collection<Job> jobsAfter(String id) {
         return jobs.tailMap(id, false).values();
     }
 
-    /** The job with this id, if it is open or still has allocations. */
+    /** The job with this ID, if it is open or still has allocations. */
     public Optional<Job> findJob(String id) {
         return Optional.ofNullable(jobs.get(id));
     }
 
-    /** Adds an open job, or returns the one that was added before. */
+    /** Adds an open job, or returns the existing job with the same ID. */
     public Job add(OpenJob open) {
         changed = true;
         long ageMs = Math.max(0, eventLoop.wallClockMs() - open.acceptedAt());
@@ -91,17 +91,17 @@
         return jobsWithUnaccountedTasks.values();
     }
 
-    /** Marks those pending tasks of a job as unaccounted that a former leader may have started on a silent machine. */
+    /** Marks the pending tasks as unaccounted that a previous leader may have started on an unresponsive machine. */
     public void markUnaccounted(Job job) {
         update(job, Job::markStartedUnaccounted);
     }
 
-    /** Makes the unaccounted tasks of a job pending again, once no silent machine can run one of them. */
+    /** Makes the unaccounted tasks of a job pending again, once no unresponsive machine can run any of them. */
     public void resolveUnaccounted(Job job) {
         update(job, Job::resolveUnaccounted);
     }
 
-    // Every change of a job's tasks goes through here, so that team usage and the indexes stay consistent.
+    // All changes to a job's tasks are made through this method, so that team usage and the indexes stay consistent.
     private void update(Job job, Consumer<Job> change) {
         int before = job.unaccounted().cardinality();
         change.accept(job);
@@ -122,12 +122,12 @@
         }
     }
 
-    /** Makes a job terminal: no task of it is started any more; it is removed with its last allocation. */
+    /** Makes a job terminal: none of its tasks is started any more. It is removed together with its last allocation. */
     public void terminate(Job job) {
         terminate(job, eventLoop.nowMs());
     }
 
-    /** As {@link #terminate(Job)}, for a job that was cancelled or done at a moment before. */
+    /** As {@link #terminate(Job)}, for a job that was cancelled or completed at an earlier time. */
     public void terminate(Job job, long endedAtMs) {
         LOG.atDebug().addKeyValue("job", job.id()).log("job terminal");
         update(job, terminated -> terminated.terminate(endedAtMs));
@@ -142,17 +142,19 @@
 
     // ---- machines
 
-    /** All machines by id. */
+    /** All machines, ordered by machine ID. */
     public Collection<Machine> machines() {
         return machines.values();
     }
 
-    /** The machine with this id, if it is known. */
+    /** The machine with this ID, if it is part of the cluster. */
     public Optional<Machine> findMachine(String id) {
         return Optional.ofNullable(machines.get(id));
     }
 
-    /** Whether this very machine is part of the cluster: another one may have taken its id. */
+    /**
+     * Whether this machine object is part of the cluster: it may have been replaced by another one with the same ID.
+     */
     public boolean contains(Machine machine) {
         return machines.get(machine.id()) == machine;
     }
@@ -163,37 +165,37 @@
         machines.put(machine.id(), machine);
     }
 
-    /** Removes a machine that certainly no longer exists, and releases its allocations: the machine is fenced. */
+    /** Removes a machine that is known to be deleted, and so is fenced, and releases its allocations. */
     public void remove(Machine machine) {
         machine.allocationsSnapshot().forEach(this::release);
         machine.fencing().unfenced().forEach(this::release);
         machines.remove(machine.id(), machine);
-        wasRemoved.add(machine.id());
+        removedMachineIds.add(machine.id());
         setUnexplained(machine, false);
         changed = true;
     }
 
-    /** Whether a machine was removed: a delayed heartbeat of it must not add it again. */
+    /** Whether a machine was removed. A delayed heartbeat must not add it again. */
     public boolean wasRemoved(String machineId) {
-        return wasRemoved.contains(machineId);
+        return removedMachineIds.contains(machineId);
     }
 
     // ---- allocations
 
-    /** A new attempt number, unique across leaders: the higher half is the term. */
+    /** Returns a new attempt number, unique across leaders: its upper 32 bits are the term. */
     public long nextAttempt() {
         return (term << 32) + ++attempts;
     }
 
-    /** Whether an attempt was begun by a former leader. */
+    /** Whether a previous leader created the attempt. */
     public boolean isOfFormerLeader(long attempt) {
         return attempt >>> 32 < term;
     }
 
-    /** Assigns a task to a machine and reserves the resources there. */
+    /** Allocates a task to a machine and reserves resources there. */
     public Allocation allocate(Job job, int index, Machine machine, long attempt) {
         if (job.allocation(index) != null) {
-            throw new IllegalStateException(job.task(index) + " is allocated already");
+            throw new IllegalStateException(job.task(index) + " already has an allocation");
         }
         Allocation allocation = new Allocation(job, index, attempt, machine, eventLoop.nowMs());
         eventLoop.increment("placement.booked", 1);
@@ -204,7 +206,7 @@
         return allocation;
     }
 
-    /** Releases an allocation; the task is pending again unless it is done or its job is terminal. */
+    /** Releases an allocation. The task becomes pending again unless it has completed or its job is terminal. */
     public void release(Allocation allocation) {
         Machine machine = allocation.machine();
         if (machine.allocation(allocation.task()) == allocation) {
@@ -219,8 +221,8 @@
     }
 
     /**
-     * Keeps the allocation of an attempt that has ended but is unfenced. It takes no capacity of the machine any more;
-     * its task is not pending, and counts as possibly running for quota, zones and gang.
+     * Keeps the allocation of an attempt that has ended but is unfenced. The allocation no longer reserves capacity of
+     * the machine. Its task does not become pending, and counts as possibly running for quota, zone and gang checks.
      */
     public void retainUnfenced(Allocation allocation) {
         Machine machine = allocation.machine();
@@ -231,7 +233,7 @@
         logAllocation(allocation, "allocation retained");
     }
 
-    /** Restores the allocation of an unfenced attempt that has been started after all. */
+    /** Restores the allocation of an unfenced attempt that an agent has started again after all. */
     public void restoreUnfenced(Allocation allocation) {
         Machine machine = allocation.machine();
         machine.fencing().remove(allocation);
@@ -250,7 +252,7 @@
                 .log(message);
     }
 
-    /** Marks a task as done; it will not be started again. */
+    /** Marks a task as completed, so that it is not started again. */
     public void markDone(Job job, int index) {
         update(job, updated -> updated.markDone(index));
         Allocation allocation = job.allocation(index);
@@ -265,31 +267,30 @@
     }
 
     /**
-     * Upper bound of a team's usage: the whole size of each unexplained machine counts in addition. Its tasks may
-     * belong to terminal jobs of any team, which the open jobs don't name, and count against the quota until they are
-     * gone.
+     * Upper bound of a team's usage, which includes the full size of each machine that may run orphans. These may
+     * belong to any team, and count against its quota until they have ended.
      */
     public Resources maxPossibleUsage(String team) {
-        return usageByTeam(team).plus(unexplainedCapacity);
+        return usageByTeam(team).plus(possibleOrphanCapacity);
     }
 
-    /** Sets whether a machine is unexplained: whether it may run tasks that belong to no open job. */
+    /** Sets whether a machine may run orphans, which are tasks of jobs that are no longer open. */
     public void setUnexplained(Machine machine, boolean isUnexplained) {
-        if (isUnexplained ? unexplainedMachines.add(machine) : unexplainedMachines.remove(machine)) {
+        if (isUnexplained ? possibleOrphanMachines.add(machine) : possibleOrphanMachines.remove(machine)) {
             Resources size = machine.type().size();
-            // Not summed again unless empty: after a failover hundreds of machines are explained one by one.
-            unexplainedCapacity = unexplainedMachines.isEmpty()
+            // Updated incrementally: hundreds of machines may change one by one after a failover. Reset when empty.
+            possibleOrphanCapacity = possibleOrphanMachines.isEmpty()
                     ? Resources.NONE
-                    : isUnexplained ? unexplainedCapacity.plus(size) : unexplainedCapacity.minus(size);
+                    : isUnexplained ? possibleOrphanCapacity.plus(size) : possibleOrphanCapacity.minus(size);
             changed = true;
         }
     }
 
-    /** Whether anything has changed since the last call. */
+    /** Returns whether the state has changed since the last call, and resets that flag. */
     public boolean takeChanged() {
-        boolean was = changed;
+        boolean wasChanged = changed;
         changed = false;
-        return was;
+        return wasChanged;
     }
 
     /** Requests another scheduling pass. */
--- a/src/main/java/io/quartzgw/scheduling/Consolidation.java
+++ b/src/main/java/io/quartzgw/scheduling/Consolidation.java
@@ -10,13 +10,14 @@
 import java.util.function.Predicate;
 
 /**
- * Drains underutilized machines whose service replicas all fit on machines that have the image, so that the fleet can
- * scale in. Batch tasks end by themselves; a single replica would keep its machine for as long as the service runs.
+ * Drains underutilized machines whose service replicas all fit on other machines that have their images, so that the
+ * fleet can scale in. Batch tasks need no consolidation, since they complete. A single service replica would keep its
+ * machine rented for as long as the service runs.
  */
 public final class Consolidation {
-    /** Only a machine with at most this utilization is drained. */
+    /** Machines with a higher CPU utilization are not drained. */
     private static final double MAX_UTILIZATION = 0.6;
-    /** A replica that has run for less is not moved: a start counts only if the replica stays up. */
+    /** A replica that has run for a shorter time is not moved: a start counts only if the replica stays up. */
     private static final double MIN_RUNTIME_LEASES = 2;
 
     private final ClusterState cluster;
@@ -33,10 +34,10 @@
     }
 
     /**
-     * Drains one machine whose replicas all fit elsewhere.
+     * Drains one machine whose replicas all fit on other machines, unless a task is pending.
      *
      * @param removable whether a machine may be scaled in at all
-     * @return the machine that is being drained, if there is one
+     * @return the machine that is drained, or empty if there is none
      */
     public Optional<Machine> drainOne(Predicate<Machine> removable, long now) {
         if (!cluster.pendingJobs().isEmpty()) {
@@ -75,8 +76,8 @@
         return 1 - machine.freeCapacity().cpus() / size.cpus();
     }
 
-    // In the same zone, so that no zone constraint is affected, and on machines of at least the same utilization, so
-    // that no replica is moved back and forth.
+    // Targets are in the same zone, so that no zone constraint is affected. Their utilization is at least as high, so
+    // that replicas are not moved back and forth.
     private static boolean allFitElsewhere(Machine from, List<Machine> machines) {
         Map<Machine, Resources> freeCapacities = new HashMap<>();
         List<Machine> targets = new ArrayList<>();
--- a/src/main/java/io/quartzgw/scheduling/FailureHistory.java
+++ b/src/main/java/io/quartzgw/scheduling/FailureHistory.java
@@ -3,7 +3,7 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** The failed attempts of a job: how long it backs off, and the machines on which it is not scheduled again. */
+/** The failed attempts of a job: the backoff before its next attempt, and the machines where it has failed. */
 final class FailureHistory {
     private static final int MAX_BACKOFF_DOUBLINGS = 6;
 
@@ -11,7 +11,7 @@
     private int failures;
     private long retryAt;
 
-    /** Records a failed attempt; the backoff doubles with each one. */
+    /** Records a failed attempt. The backoff doubles with each one, up to a limit. */
     void recordFailure(String machineId, long now, long initialBackoffMs) {
         excludedMachines.add(machineId);
         failures++;
--- a/src/main/java/io/quartzgw/scheduling/GangScheduler.java
+++ b/src/main/java/io/quartzgw/scheduling/GangScheduler.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Schedules gangs: all members at once or none, since members that wait for others would only occupy capacity. */
+/** Schedules all members of a gang or none, since members that wait for others would only occupy capacity. */
 final class GangScheduler {
     private final SchedulingContext context;
 
@@ -20,9 +20,9 @@
     }
 
     /**
-     * Allocates and starts all members of a gang, unless free capacity or quota is missing for one of them.
+     * Allocates and starts all members of a gang, unless free capacity or quota is insufficient for one of them.
      *
-     * @return the number of members that could not be allocated for lack of free capacity alone
+     * @return the number of members that were not allocated only because free capacity was lacking
      */
     int schedule(Job gang, List<Machine> machines) {
         if (gang.possiblyRunningCount() > 0 || !context.constraints().gangWithinQuota(gang)) {
@@ -31,7 +31,7 @@
         int members = gang.pending().cardinality();
         List<Allocation> allocations = new ArrayList<>();
         List<Machine> candidates = new ArrayList<>(machines);
-        // All members run under one attempt number.
+        // All members share one attempt number.
         long attempt = context.cluster().nextAttempt();
         while (gang.nextPending() >= 0) {
             Machine machine = chooseMachine(gang, candidates);
--- a/src/main/java/io/quartzgw/scheduling/ImageCache.java
+++ b/src/main/java/io/quartzgw/scheduling/ImageCache.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The images in a machine's local cache, as far as the leader knows; the least recently used ones are evicted. */
+/** The leader's model of a machine's image cache, which evicts the least recently used images. */
 final class ImageCache {
     private final double capacityGb;
     private final LinkedHashMap<String, Double> sizesGb = new LinkedHashMap<>(8, 0.75f, true);
@@ -16,7 +16,7 @@
         return sizesGb.containsKey(image);
     }
 
-    /** Records that an image was fetched or used, and evicts others when the cache is full. */
+    /** Records that an image was fetched or used, and evicts others if the cache is over its capacity. */
     void put(String image, double sizeGb) {
         sizesGb.put(image, sizeGb);
         double cachedGb =
--- a/src/main/java/io/quartzgw/scheduling/Job.java
+++ b/src/main/java/io/quartzgw/scheduling/Job.java
@@ -10,9 +10,9 @@
 import java.util.Map;
 
 /**
- * An open job as the leader sees it. Each task is in exactly one state: done, allocated to a machine, unaccounted (it
- * may run on a machine that has been silent since the failover), or pending. All times are of this controller's steady
- * clock.
+ * The leader's state of a job. While the job is open, each task is in exactly one state: completed (done), allocated to
+ * a machine, unaccounted (it may run on a machine that has been unresponsive since the failover), or pending. All times
+ * are in milliseconds of this controller's steady clock.
  */
 public final class Job {
     private final OpenJob open;
@@ -40,12 +40,12 @@
         return open.spec();
     }
 
-    /** The record in the state service. */
+    /** The job's record in the state service. */
     public OpenJob open() {
         return open;
     }
 
-    /** The job id. */
+    /** The job ID. */
     public String id() {
         return open.spec().id();
     }
@@ -60,7 +60,7 @@
         return submittedAt;
     }
 
-    /** When the job should be done, or {@code Long.MAX_VALUE} if it has no deadline. */
+    /** When the job should be completed, or {@code Long.MAX_VALUE} if it has no deadline. */
     public long dueAt() {
         Double deadline = spec().deadlineS();
         return deadline == null ? Long.MAX_VALUE : submittedAt + (long) (deadline * 1000);
@@ -68,22 +68,22 @@
 
     // ---- tasks
 
-    /** Whether the task is done. */
+    /** Whether the task has completed. */
     public boolean isDone(int index) {
         return done.get(index);
     }
 
-    /** The indexes of done tasks; not to be modified. */
+    /** The indexes of completed tasks; not to be modified. */
     public BitSet done() {
         return done;
     }
 
-    /** The number of done tasks. */
+    /** The number of completed tasks. */
     public int doneCount() {
         return done.cardinality();
     }
 
-    /** Whether all tasks are done; a service never is. */
+    /** Whether all tasks have completed; always false for a service. */
     public boolean complete() {
         return !spec().service() && done.cardinality() == spec().tasks();
     }
@@ -103,7 +103,7 @@
         return new ArrayList<>(allocations.values());
     }
 
-    /** The number of tasks that agents report as running. */
+    /** The number of tasks whose last reported phase is running. */
     public int runningCount() {
         return (int) allocations.values().stream()
                 .filter(allocation -> allocation.phase() == Allocation.Phase.RUNNING)
@@ -140,12 +140,12 @@
         }
     }
 
-    /** Whether the task is recorded as done in the state service. */
+    /** Whether the state service records the task as completed. */
     public boolean recordedDone(int index) {
         return recordedDone.get(index);
     }
 
-    /** The indexes of tasks that are recorded as done in the state service. */
+    /** The indexes of tasks that the state service records as completed; not to be modified. */
     public BitSet recordedDone() {
         return recordedDone;
     }
@@ -156,12 +156,12 @@
         unaccounted.clear(index);
     }
 
-    /** Tasks with this index or a higher one were never started by any leader, according to the state service. */
+    /** The index from which on no leader has started a task, according to the state service. */
     public int recordedStartLimit() {
         return recordedStartLimit;
     }
 
-    /** Raises the recorded start limit; it never decreases. */
+    /** Raises the recorded start limit; a lower value is ignored. */
     public void recordedStartLimit(int startLimit) {
         recordedStartLimit = Math.max(recordedStartLimit, startLimit);
     }
@@ -179,7 +179,7 @@
         unaccounted.clear();
     }
 
-    /** Whether a gang has lost a member while others are still allocated: it restarts as a whole. */
+    /** Whether a gang has lost a member while others are still allocated. Such a gang restarts as a whole. */
     public boolean isBrokenGang() {
         return spec().gang() && !pending.isEmpty() && !allocations.isEmpty();
     }
@@ -189,14 +189,16 @@
         return allocations.size() + unaccounted.cardinality();
     }
 
-    /** The CPU seconds that the pending tasks will take, by the owner's runtime estimate. */
+    /** The CPU seconds that the pending tasks will use, by the job owner's runtime estimate. */
     public double pendingCpuSeconds() {
         return pending.cardinality() * spec().demand().cpus() * spec().estimateS();
     }
 
     // ---- zones
 
-    /** Whether the zone constraints allow one more task in the zone, given where the others run or may run. */
+    /**
+     * Whether the zone constraints allow one more task in the zone, given the zones where the others run or may run.
+     */
     public boolean zoneAllowed(String zone) {
         if (spec().spread()
                 && tasksPerZone.getOrDefault(zone, 0) + unaccounted.cardinality() >= spec().tasksPerZone()) {
@@ -205,11 +207,11 @@
         if (!spec().singleZone() || possiblyRunningCount() == 0) {
             return true;
         }
-        // An unaccounted task may be in any zone: until it is found, no other task of the job starts.
+        // An unaccounted task may be in any zone: no other task of the job starts until its state is known.
         return unaccounted.isEmpty() && tasksPerZone.getOrDefault(zone, 0) == allocations.size();
     }
 
-    /** Whether the allocated tasks satisfy the zone constraints, one of them being in the zone. */
+    /** Whether the allocated tasks satisfy the zone constraints. At least one of them must be in the zone. */
     public boolean zonesAllowed(String zone) {
         int tasks = tasksInZone(zone);
         return (!spec().spread() || tasks <= spec().tasksPerZone())
@@ -221,14 +223,14 @@
         return tasksPerZone.getOrDefault(zone, 0);
     }
 
-    // ---- end and failures
+    // ---- termination and failures
 
-    /** Whether the job is cancelled or done. */
+    /** Whether the job is cancelled or completed. */
     public boolean isTerminal() {
         return isTerminal;
     }
 
-    /** When the job was cancelled or done, as far as this leader knows; meaningful only once it is terminal. */
+    /** When the job was cancelled or completed, as recorded by this leader; meaningful only once it is terminal. */
     long terminatedAt() {
         return terminatedAt;
     }
@@ -247,7 +249,7 @@
         failureHistory.recordFailure(machine, now, initialBackoffMs);
     }
 
-    /** Delays the next attempt at least until the given time. */
+    /** Delays the next attempt until the given time or later. */
     public void delayRetry(long until) {
         failureHistory.delayRetry(until);
     }
@@ -257,17 +259,17 @@
         return failureHistory.failures();
     }
 
-    /** The time before which no task of the job is started. */
+    /** The earliest time at which a task of the job may be started again. */
     public long retryAt() {
         return failureHistory.retryAt();
     }
 
-    /** Whether the job is not scheduled on the machine, since it failed there. */
+    /** Whether the job is not scheduled on the machine because it failed there. */
     public boolean excludes(String machine) {
         return failureHistory.excludes(machine);
     }
 
-    /** Allows all machines again, when none is left on which the job has not failed. */
+    /** Allows all machines again, for a job that has failed on every schedulable machine. */
     public void clearExcludedMachines() {
         failureHistory.clearExcludedMachines();
     }
--- a/src/main/java/io/quartzgw/scheduling/Machine.java
+++ b/src/main/java/io/quartzgw/scheduling/Machine.java
@@ -11,16 +11,16 @@
 import java.util.List;
 import java.util.Map;
 
-/** A rented machine as the leader sees it. */
+/** The leader's state of a rented machine. */
 public final class Machine {
 
     /** The lifecycle of a machine. */
     public enum Status {
-        /** Rented; its agent has not sent a heartbeat yet. */
+        /** Rented, but no current heartbeat of its agent has been received yet. */
         BOOTING,
-        /** Its agent sends heartbeats. */
+        /** A current heartbeat of its agent has been received. */
         UP,
-        /** No task is allocated to it any more; it will be deleted. */
+        /** It gets no new allocations and will be deleted. */
         DRAINING
     }
 
@@ -60,7 +60,7 @@
         this.emptySince = now;
     }
 
-    /** The cloud's id of the machine. */
+    /** The cloud's ID of the machine. */
     public String id() {
         return id;
     }
@@ -102,58 +102,58 @@
         return status;
     }
 
-    /** Excludes it from new allocations, so that it can be deleted. */
+    /** Excludes the machine from new allocations, so that it can be deleted. */
     public void drain() {
         status = Status.DRAINING;
     }
 
-    /** Drains it and begins to fence it: it is deleted at the deadline, or as soon as nothing runs there any more. */
+    /** Drains the machine and begins to fence it: it is deleted at the deadline, or earlier once it is not in use. */
     public void fence(long deadline) {
         drain();
         fencing.begin(deadline);
     }
 
-    /** The attempts that may still be started on it though they have ended, and whether it is deleted for them. */
+    /** The machine's unfenced attempts, which late start commands may run again, and whether it is being fenced. */
     public MachineFencing fencing() {
         return fencing;
     }
 
-    /** What it is passed over for. */
+    /** Why the machine is not used for some or all jobs. */
     public MachineExclusions exclusions() {
         return exclusions;
     }
 
-    /** Whether it runs, may run, or has just been given a task that is not lost with its agent. */
+    /** Whether tasks run or may run on the machine: it is unverified, or has an allocation that is not lost. */
     public boolean isInUse() {
         return isUnverified() || allocations.values().stream().anyMatch(allocation -> !allocation.isLost());
     }
 
-    /** Whether it may run tasks of former leaders that no current heartbeat has shown. */
+    /** Whether the machine may run tasks of previous leaders that no current heartbeat has reported. */
     public boolean isUnverified() {
         return hasRunTasks && !liveness.verified() && !reservationExpired;
     }
 
-    /** Whether it is being fenced and can be deleted now. */
+    /** Whether the machine is being fenced and can be deleted now. */
     public boolean isFencingDue(long now) {
         return fencing.isBegun() && (now >= fencing.deadline() || !isInUse());
     }
 
-    /** Whether its record says that tasks may have been started on it. */
+    /** Whether its stored record says that tasks may have been started on it. */
     public boolean hasRunTasks() {
         return hasRunTasks;
     }
 
-    /** Records that tasks may have been started on it. */
+    /** Records that tasks may have been started on the machine. */
     public void markHasRunTasks() {
         hasRunTasks = true;
     }
 
-    /** The heartbeats of its agent. */
+    /** The liveness of its agent. */
     public AgentLiveness liveness() {
         return liveness;
     }
 
-    /** Records that a current heartbeat has shown which tasks it runs. */
+    /** Records that a current heartbeat has reported the tasks that run on the machine. */
     public void markUp() {
         reservationExpired = false;
         if (status == Status.BOOTING) {
@@ -162,19 +162,19 @@
     }
 
     /**
-     * Whether it was silent for its whole reservation: its tasks have ended with their leases, and none is allocated to
-     * it until a current heartbeat arrives.
+     * Whether the machine was unresponsive for its whole reservation. Its tasks have ended with the agent's lease, and
+     * no task is allocated to it until a current heartbeat arrives.
      */
     public boolean reservationExpired() {
         return reservationExpired;
     }
 
-    /** Ends the reservation of its capacity for tasks that may run on it. */
+    /** Ends the reservation of the machine's capacity for tasks that may run on it. */
     public void expireReservation() {
         reservationExpired = true;
     }
 
-    /** When the cloud reclaims the machine, or {@code Long.MAX_VALUE} if it has announced nothing. */
+    /** When the cloud reclaims the machine, or {@code Long.MAX_VALUE} if no reclaim was announced. */
     public long reclaimAt() {
         return reclaimAt;
     }
@@ -184,37 +184,38 @@
         this.reclaimAt = reclaimAt;
     }
 
-    /** When it is gone, reclaimed by the cloud or deleted, or {@code Long.MAX_VALUE} if it stays. */
+    /** When the cloud reclaims the machine or it is deleted at the latest, or {@code Long.MAX_VALUE} if neither. */
     public long expectedRemovalAt() {
         return Math.min(reclaimAt, fencing.deadline());
     }
 
-    /** Since when no task is allocated to it, if none is. */
+    /** Since when the machine has had no allocation; meaningful only while it has none. */
     public long emptySince() {
         return emptySince;
     }
 
     // ---- allocations
 
-    /** The capacity that is not allocated. */
+    /** The capacity that is not allocated; negative if the machine is overcommitted. */
     public Resources freeCapacity() {
         return freeCapacity;
     }
 
     /**
-     * Whether more is allocated than it has: a lost attempt has got its allocation back after others were placed there.
-     * The agent would refuse its start until some of them have ended.
+     * Whether the allocations exceed the machine's size. This happens when the allocation of a lost attempt is restored
+     * after other tasks have been allocated. The agent would refuse to start that attempt until some of them have
+     * ended.
      */
     public boolean isOverbooked() {
         return !Resources.NONE.fitsIn(freeCapacity);
     }
 
-    /** Whether no task is allocated to it. */
+    /** Whether no task is allocated to the machine. */
     public boolean empty() {
         return allocations.isEmpty();
     }
 
-    /** The allocation of a task, or null if it is not allocated here. */
+    /** The allocation of a task, or null if the task is not allocated to this machine. */
     public Allocation allocation(String task) {
         return allocations.get(task);
     }
@@ -229,7 +230,7 @@
         return new ArrayList<>(allocations.values());
     }
 
-    /** Whether it runs a task below the priority. */
+    /** Whether a task of a lower priority than the given one is allocated to the machine. */
     boolean runsTaskBelow(Priority priority) {
         for (int lower = priority.ordinal() + 1; lower < tasksPerPriority.length; lower++) {
             if (tasksPerPriority[lower] > 0) {
@@ -249,7 +250,7 @@
     void removeAllocation(Allocation allocation, long now) {
         allocations.remove(allocation.task());
         tasksPerPriority[allocation.job().spec().priority().ordinal()]--;
-        // Reset when empty, so that rounding errors of decimals don't add up over a day.
+        // Reset when empty, so that floating-point rounding errors don't accumulate over a day.
         allocated = allocations.isEmpty() ? Resources.NONE : allocated.minus(allocation.demand());
         freeCapacity = type.size().minus(allocated);
         if (allocations.isEmpty()) {
@@ -264,14 +265,14 @@
         return images.contains(image);
     }
 
-    /** Records that an image was fetched or used here. */
+    /** Records that an image was fetched or used on the machine. */
     public void cacheImage(String image, double gb) {
         images.put(image, gb);
     }
 
     /**
-     * The estimated time until a task has its image here: none if it is cached, the remaining time if it is being
-     * fetched already, and longer the more images are fetched at the same time.
+     * The estimated time in seconds until the machine has an image: zero if it is cached, the remaining time if it is
+     * already being fetched, and otherwise the fetch time multiplied by the number of images fetched at the same time.
      */
     public double imageFetchS(String image, double gb, long now) {
         if (hasImage(image)) {
--- a/src/main/java/io/quartzgw/scheduling/MachineEvacuation.java
+++ b/src/main/java/io/quartzgw/scheduling/MachineEvacuation.java
@@ -3,9 +3,9 @@
 import io.quartzgw.model.JobSpec;
 
 /**
- * Stops the tasks that cannot complete on a machine before it is gone, because the cloud reclaims it or because it is
- * being fenced, so that they start elsewhere now. That a reclaimed machine is gone would otherwise only be known once
- * the cloud's delayed machine list lacks it.
+ * Stops tasks that cannot complete before their machine is removed, because the cloud reclaims it or because it is
+ * being fenced, so that they start elsewhere without delay. Otherwise the leader would detect the removal of a
+ * reclaimed machine only when it is missing from the cloud's delayed machine list.
  */
 final class MachineEvacuation {
     private final SchedulingContext context;
@@ -14,7 +14,7 @@
         this.context = context;
     }
 
-    /** Stops what cannot complete on the machine; of service replicas, at most one that fits on another machine. */
+    /** Stops the tasks that cannot complete on the machine, but at most one service replica, if it fits elsewhere. */
     void evacuate(Machine machine) {
         for (Allocation allocation : machine.allocationsSnapshot()) {
             JobSpec spec = allocation.job().spec();
@@ -22,14 +22,14 @@
                     && (!spec.service() || isMovable(allocation))) {
                 context.launcher().stop(allocation, spec.checkpointGraceS(), StopReason.MACHINE_RECLAIMED);
                 if (spec.service()) {
-                    // The next replica is checked again in a later pass, once this one has taken its new capacity.
+                    // The next replica is checked in a later pass, when the new allocation of this one is visible.
                     return;
                 }
             }
         }
     }
 
-    // A replica whose start is outstanding could not be started elsewhere while the machine exists.
+    // A replica with an outstanding start can't be started elsewhere while the machine exists.
     private boolean isMovable(Allocation replica) {
         return context.launcher().isRelocatable(replica) && fitsElsewhere(replica.job());
     }
--- a/src/main/java/io/quartzgw/scheduling/MachineExclusions.java
+++ b/src/main/java/io/quartzgw/scheduling/MachineExclusions.java
@@ -3,20 +3,20 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** What a machine is passed over for: jobs whose tasks its agent would refuse, and failures that may be its own. */
+/** Jobs whose tasks the machine's agent would refuse, and job failures that the machine may have caused. */
 public final class MachineExclusions {
-    /** A machine on which this many different jobs failed in a row is quarantined. */
+    /** A machine is quarantined when this many different jobs have failed on it in a row. */
     private static final int QUARANTINE_FAILED_JOBS = 2;
 
     private final Set<String> failedJobs = new HashSet<>();
     private Set<String> refusedJobs = Set.of();
 
-    /** Jobs of which the agent would refuse a task at present, since it still has a former attempt of the task. */
+    /** Jobs of which the agent would currently refuse a task, since it still has an earlier attempt of the task. */
     public Set<String> refusedJobs() {
         return refusedJobs;
     }
 
-    /** Sets the jobs of which the agent would refuse a task. */
+    /** Sets the jobs of which the agent would currently refuse a task. */
     public void refuseJobs(Set<String> jobs) {
         refusedJobs = jobs;
     }
@@ -26,12 +26,12 @@
         failedJobs.add(job);
     }
 
-    /** Records that a task completed on the machine, which ends a row of failures. */
+    /** Records that a task completed on the machine, which resets the failures in a row. */
     public void jobSucceeded() {
         failedJobs.clear();
     }
 
-    /** Whether different jobs failed in a row, so that the machine gets no task of any job. */
+    /** Whether so many different jobs failed in a row that the machine gets no tasks. */
     boolean isQuarantined() {
         return failedJobs.size() >= QUARANTINE_FAILED_JOBS;
     }
--- a/src/main/java/io/quartzgw/scheduling/MachineFencing.java
+++ b/src/main/java/io/quartzgw/scheduling/MachineFencing.java
@@ -10,19 +10,22 @@
 import java.util.OptionalLong;
 
 /**
- * The unfenced attempts of one machine, and whether it is being fenced, which means that it will be deleted.
+ * The unfenced attempts of one machine, and whether the machine is being fenced, which means that it will be deleted.
  *
- * <p>An attempt is unfenced if it has ended while a direct call that may still start it has no answer. The agent that
- * has seen it end ignores such a start; an agent that replaces it, on the same machine, does not. So the task is
- * started nowhere else before the call is answered or the machine no longer exists.
+ * <p>An attempt is unfenced if it has ended while a direct call that may still start it is unanswered. The agent that
+ * ran the attempt ignores a late start of it, but an agent that replaces it on the same machine does not. So the task
+ * is not started elsewhere until the call is answered or the machine no longer exists.
  */
 public final class MachineFencing {
     private static final long NOT_FENCED = Long.MAX_VALUE;
 
-    /** By task, in the order in which the attempts ended. */
+    /** Allocations of unfenced attempts by task name, in the order in which the attempts ended. */
     private final Map<String, Allocation> unfenced = new LinkedHashMap<>();
 
-    /** By start of a cancelled job that a direct call may carry, and that has no allocation: when it was cancelled. */
+    /**
+     * Cancellation time of the job by start command. These are starts of cancelled jobs that a direct call may still
+     * carry and that have no allocation.
+     */
     private final Map<Attempt, Long> cancelledStarts = new HashMap<>();
 
     private long deadline = NOT_FENCED;
@@ -36,12 +39,12 @@
         return unfenced.remove(allocation.task(), allocation);
     }
 
-    /** The allocations of unfenced attempts, a copy; they take no capacity of the machine. */
+    /** A copy of the allocations of unfenced attempts. They reserve no capacity of the machine. */
     public Collection<Allocation> unfenced() {
         return List.copyOf(unfenced.values());
     }
 
-    /** The allocation of a task's unfenced attempt, if that attempt is unfenced. */
+    /** The allocation of the given attempt of a task, if that attempt is unfenced. */
     public Optional<Allocation> find(String task, long attempt) {
         return Optional.ofNullable(unfenced.get(task)).filter(allocation -> allocation.attempt() == attempt);
     }
@@ -57,7 +60,7 @@
     }
 
     /**
-     * Adds the start of a cancelled job that a direct call may still carry to the machine, and that has no allocation.
+     * Adds a start of a cancelled job that a direct call may still carry to the machine and that has no allocation.
      *
      * @param cancelledAtMs when the job was cancelled
      */
@@ -65,27 +68,29 @@
         cancelledStarts.put(start, cancelledAtMs);
     }
 
-    /** Whether a start was added as one of a cancelled job. */
+    /** Whether a start was added with {@link #addCancelledStart}. */
     public boolean isCancelledStart(Attempt start) {
         return cancelledStarts.containsKey(start);
     }
 
-    /** How many starts of cancelled jobs, of which no attempt is unfenced, direct calls may carry. */
+    /** The number of starts that were added with {@link #addCancelledStart}. */
     public int cancelledStarts() {
         return cancelledStarts.size();
     }
 
-    /** When the first of the jobs was cancelled whose starts without an allocation direct calls may carry. */
+    /** The earliest cancellation time of a job whose start was added with {@link #addCancelledStart}. */
     OptionalLong firstCancellationMs() {
         return cancelledStarts.values().stream().mapToLong(Long::longValue).min();
     }
 
-    /** Records that calls of former leaders may carry starts to the machine which this leader can't know. */
+    /**
+     * Records that direct calls of previous leaders may carry starts to the machine that this leader does not track.
+     */
     public void expectUnknownStarts() {
         unknownStarts = true;
     }
 
-    /** Whether calls of former leaders may carry any start to the machine. */
+    /** Whether direct calls of previous leaders may carry starts to the machine that this leader does not track. */
     public boolean hasUnknownStarts() {
         return unknownStarts;
     }
@@ -93,7 +98,7 @@
     /**
      * Begins to fence the machine.
      *
-     * @param deadline when the machine is deleted, whatever runs there
+     * @param deadline when the machine is deleted, even if tasks still run there
      */
     void begin(long deadline) {
         this.deadline = Math.min(this.deadline, deadline);
@@ -104,7 +109,9 @@
         return deadline != NOT_FENCED;
     }
 
-    /** When the machine is deleted, whatever runs there, or {@code Long.MAX_VALUE} if it is not being fenced. */
+    /**
+     * When the machine is deleted even if tasks still run there, or {@code Long.MAX_VALUE} if it is not being fenced.
+     */
     public long deadline() {
         return deadline;
     }
--- a/src/main/java/io/quartzgw/scheduling/Preemption.java
+++ b/src/main/java/io/quartzgw/scheduling/Preemption.java
@@ -8,12 +8,14 @@
 import java.util.function.Predicate;
 
 /**
- * Finds the machines where stopping tasks of lower priority frees capacity for a job at the least loss of work. The
- * plans of all machines are made once for the job, however many of its tasks are pending.
+ * Finds the machines where stopping tasks of lower priority frees capacity for a job at the least loss of work. Each
+ * machine is planned once for the job, not once for each of its pending tasks.
  */
 final class Preemption {
 
-    /** The tasks to stop on a machine so that one more task fits there, and the CPU time that this loses. */
+    /**
+     * The tasks to stop on a machine so that one more task fits there, and the CPU time that is lost by stopping them.
+     */
     record Plan(Machine machine, List<Allocation> victims, double lostCpuMs) {}
 
     private final Job job;
@@ -43,7 +45,7 @@
         }
     }
 
-    /** The cheapest plan, or null when stopping tasks of lower priority frees enough capacity nowhere. */
+    /** Returns the plan that loses the least CPU time, or null if preemption frees enough capacity on no machine. */
     Plan nextPlan() {
         while (!plans.isEmpty()) {
             Plan cheapest = plans.poll();
@@ -51,7 +53,7 @@
             if (current != null && current.victims().equals(cheapest.victims())) {
                 return current;
             }
-            // The machine has changed since the plan was made.
+            // The machine has changed since the plan was made: the new plan may no longer be the cheapest.
             if (current != null) {
                 plans.add(current);
             }
@@ -59,7 +61,7 @@
         return null;
     }
 
-    /** Plans for a machine again, after a plan for it was carried out. */
+    /** Makes a new plan for a machine after the previous one was executed. */
     void replan(Machine machine) {
         addPlan(machine);
     }
@@ -89,7 +91,7 @@
                 : null;
     }
 
-    /** The CPU time that is lost when the task is stopped at once: since its last checkpoint. */
+    /** The CPU time since the task's last checkpoint, which is lost if the task is stopped immediately. */
     private double lostWork(Allocation allocation) {
         double runtimeMs = allocation.runtimeMs(now);
         double intervalMs = allocation.job().spec().checkpointIntervalS() * 1000;
--- a/src/main/java/io/quartzgw/scheduling/Scheduler.java
+++ b/src/main/java/io/quartzgw/scheduling/Scheduler.java
@@ -10,10 +10,11 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Runs scheduling passes over the pending tasks; tasks that only lack free capacity are left for the fleet's scale-out.
+ * Runs scheduling passes over the pending tasks. Tasks that only lack free capacity are reported for the fleet's
+ * scale-out.
  */
 public final class Scheduler {
-    /** A job with this many failures causes no scale-out, and may run again on machines where it failed. */
+    /** From this many failures on, a job causes no scale-out and may run again on machines where it has failed. */
     private static final int MAX_FAILURES_FOR_SCALE_OUT = 3;
 
     private final EventLoop eventLoop;
@@ -26,12 +27,12 @@
     private final MachineEvacuation evacuation;
     private final BooleanSupplier cloudExhausted;
     private List<UnplacedTasks> unplaced = List.of();
-    /** Whether jobs of normal priority may preempt those of low priority in this pass. */
+    /** Whether jobs of normal priority may preempt jobs of low priority in this pass. */
     private boolean normalPreempts;
-    /** When the timer fires that retries delayed jobs, or {@code Long.MAX_VALUE} if none is set. */
+    /** When the timer for retrying delayed jobs fires, or {@code Long.MAX_VALUE} if no timer is set. */
     private long retryAt = Long.MAX_VALUE;
 
-    /** @param cloudExhausted whether the cloud offers no more machines at present */
+    /** @param cloudExhausted whether the cloud currently has no more machines to rent */
     public Scheduler(
             EventLoop eventLoop,
             ClusterState cluster,
@@ -63,12 +64,12 @@
         return constraints.isSchedulable(machine);
     }
 
-    /** Whether the quota of the job's team allows all that runs or may run. */
+    /** Whether the team's current usage, including tasks that may be running, is within its quota. */
     public boolean isWithinQuota(Job job) {
         return constraints.isWithinQuota(job);
     }
 
-    /** Runs one pass: allocates and starts all pending tasks that can run now. */
+    /** Runs one scheduling pass, which allocates and starts all pending tasks that can run now. */
     public void schedule() {
         stopBrokenGangs();
         evacuateMachines();
@@ -98,7 +99,7 @@
                 cluster.machines().stream().filter(constraints::isSchedulable).toList();
         List<Machine> withCapacity = withFreeCapacity(queued, schedulable);
         bestFit.zoneUtilization(zoneUtilization(schedulable));
-        // Usually no task of low priority runs, and there is nothing to preempt.
+        // Usually no task of low priority is running, and preemption plans are not needed.
         normalPreempts = cloudExhausted.getAsBoolean()
                 && schedulable.stream().anyMatch(machine -> machine.runsTaskBelow(Priority.NORMAL));
         List<UnplacedTasks> lackingCapacity = new ArrayList<>();
@@ -113,8 +114,8 @@
         return lackingCapacity;
     }
 
-    // Most machines of a busy cluster have too little free capacity for any pending task: they are examined once in a
-    // pass, not once for each job.
+    // In a busy cluster most machines have too little free capacity for any pending task. They are filtered out once
+    // in a pass instead of once for each job.
     private static List<Machine> withFreeCapacity(List<Job> queued, List<Machine> machines) {
         Resources least = queued.get(0).spec().demand();
         for (Job job : queued) {
@@ -140,7 +141,7 @@
         return utilization;
     }
 
-    /** Returns the number of tasks that could not be allocated for lack of free capacity alone. */
+    /** Returns the number of tasks that were not allocated only because free capacity was lacking. */
     private int scheduleTasks(Job job, List<Machine> schedulable, List<Machine> withCapacity) {
         if (job.failures() >= MAX_FAILURES_FOR_SCALE_OUT
                 && schedulable.stream().allMatch(machine -> job.excludes(machine.id()))) {
@@ -159,8 +160,8 @@
         return 0;
     }
 
-    // Normal priority preempts low priority only where no machine can be rented instead: otherwise the work of the low
-    // task would be lost for a wait that a boot ends.
+    // Normal priority preempts low priority only when no machine can be rented instead. Otherwise preemption would lose
+    // the work of the low-priority task only to save the boot time of a new machine.
     private boolean mayPreempt(Priority priority) {
         return priority.above(Priority.NORMAL) || (priority == Priority.NORMAL && normalPreempts);
     }
--- a/src/main/java/io/quartzgw/scheduling/SchedulingConstraints.java
+++ b/src/main/java/io/quartzgw/scheduling/SchedulingConstraints.java
@@ -6,9 +6,9 @@
 import io.quartzgw.model.TeamQuota;
 import java.util.Map;
 
-/** The hard constraints of scheduling: which machines may get tasks, which of them a job may use, and team quotas. */
+/** The hard constraints of scheduling: which machines get tasks, which machines a job may use, and team quotas. */
 final class SchedulingConstraints {
-    /** A machine whose last heartbeat was answered longer ago gets no tasks. */
+    /** A machine gets no tasks if its last heartbeat response is older than this many heartbeat intervals. */
     private static final double MAX_RESPONSE_AGE_HEARTBEATS = 2.5;
 
     private final EventLoop eventLoop;
@@ -35,7 +35,7 @@
                 && !machine.exclusions().isQuarantined();
     }
 
-    /** Whether the job may use the machine, whatever its free capacity. */
+    /** Whether the job may use the machine, regardless of its free capacity. */
     boolean isAllowed(Job job, Machine machine) {
         JobSpec spec = job.spec();
         return spec.allows(machine.type().name(), machine.zone(), machine.spot())
@@ -44,7 +44,7 @@
                 && !machine.exclusions().refusedJobs().contains(job.id());
     }
 
-    /** Whether the team's quota allows all that runs or may run. */
+    /** Whether the team's current usage, including tasks that may be running, is within its quota. */
     boolean isWithinQuota(Job job) {
         TeamQuota team = teams.get(job.spec().team());
         return team != null && team.withinLimit(cluster.maxPossibleUsage(team.name()));
@@ -65,7 +65,7 @@
         return team.withinLimit(cluster.maxPossibleUsage(team.name()).plus(demand));
     }
 
-    /** How many of the job's pending tasks the team's quota allows. */
+    /** The number of the job's pending tasks that the team's quota allows. */
     int pendingTasksWithinQuota(Job job) {
         TeamQuota team = teams.get(job.spec().team());
         Resources usage = cluster.maxPossibleUsage(job.spec().team());
--- a/src/main/java/io/quartzgw/scheduling/SchedulingContext.java
+++ b/src/main/java/io/quartzgw/scheduling/SchedulingContext.java
@@ -2,7 +2,7 @@
 
 import io.quartzgw.eventloop.EventLoop;
 
-/** The collaborators that all parts of one scheduler share. */
+/** The collaborators shared by the classes of one scheduler. */
 record SchedulingContext(
         EventLoop eventLoop,
         ClusterState cluster,
--- a/src/main/java/io/quartzgw/scheduling/SchedulingPolicy.java
+++ b/src/main/java/io/quartzgw/scheduling/SchedulingPolicy.java
@@ -5,11 +5,11 @@
 import java.util.Map;
 
 /**
- * The settings that a scheduler follows.
+ * The settings of a scheduler.
  *
  * @param teams quotas by team name
  * @param objectives service-level objectives of the job classes
- * @param capacityReserved whether capacity stays rented whatever the demand
+ * @param capacityReserved whether capacity stays rented regardless of demand
  * @param agentTiming heartbeat and lease times of the agents
  */
 public record SchedulingPolicy(
--- a/src/main/java/io/quartzgw/scheduling/SchedulingQueue.java
+++ b/src/main/java/io/quartzgw/scheduling/SchedulingQueue.java
@@ -8,19 +8,20 @@
 import java.util.Map;
 
 /**
- * The order in which pending jobs are scheduled: priority, the team's guaranteed quota, whether an objective can still
- * be met, then least remaining work first, the team's usage, age. When not all jobs can meet their objectives, least
- * work first completes the most of them, and a job that is late in any case delays none that is not.
+ * Orders pending jobs for scheduling: by priority, the team's guaranteed quota, whether an objective can still be met,
+ * least remaining work, the team's usage, and age. When not all jobs can meet their objectives, the order by least work
+ * completes the most jobs, and jobs that are late in any case don't delay the others.
  *
- * <p>Under a steady stream of small jobs that alone would starve large and late jobs. So a job that has not started for
- * a while goes first, work is discounted the longer it waits, and lateness counts for a limited time only.
+ * <p>Under a steady stream of small jobs, this order alone would starve large and late jobs. So starved jobs rank first
+ * within their priority and quota group, the remaining work is discounted with the job's age, and lateness lowers the
+ * rank only for a limited time.
  */
 final class SchedulingQueue {
-    /** A job of this age without a running or done task goes first. */
+    /** From this age on, a job without a running or completed task is starved. */
     private static final int STARVED_AFTER_HEARTBEATS = 24;
-    /** At this age, pending work counts for a quarter, at twice the age for a ninth. */
+    /** At this age, the pending work is divided by four, at twice this age by nine. */
     private static final int AGEING_HEARTBEATS = 12;
-    /** From this age on, a job that can no longer meet its objectives is not ranked behind others for it. */
+    /** From this age on, a job that can no longer meet its objectives is not ranked behind the others. */
     private static final int LATENESS_EXPIRES_HEARTBEATS = 72;
 
     private final ClusterState cluster;
@@ -39,7 +40,7 @@
     private record RankedJob(
             Job job, boolean guaranteed, boolean starved, boolean late, double agedCpuSeconds, double teamCpus) {}
 
-    /** Jobs with a pending task whose retry delay is over, the most urgent first. */
+    /** Returns the jobs with a pending task and no retry delay, in scheduling order. */
     List<Job> orderedJobs(long now) {
         List<RankedJob> ranked = new ArrayList<>();
         for (Job job : cluster.pendingJobs()) {
@@ -74,7 +75,7 @@
         return new RankedJob(job, guaranteed, starved, late, agedWork, usage.cpus());
     }
 
-    /** When the next delayed job may be retried, or {@code Long.MAX_VALUE} if none is delayed. */
+    /** Returns when the next delayed job may be retried, or {@code Long.MAX_VALUE} if none is delayed. */
     long nextRetryAt(long now) {
         return cluster.pendingJobs().stream()
                 .filter(job -> job.retryAt() > now)
--- a/src/main/java/io/quartzgw/scheduling/ServiceLevelObjectives.java
+++ b/src/main/java/io/quartzgw/scheduling/ServiceLevelObjectives.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** Service-level objectives of each job class: completion time, deadline multiple and start time. */
+/** The service-level objectives by job class: completion times, deadline multiple and start time. */
 public final class ServiceLevelObjectives {
     /** The fraction of the start objective that an image fetch may take. */
     private static final double MAX_FETCH_FRACTION = 0.75;
@@ -16,8 +16,8 @@
     private final Map<String, Double> startTargetsS;
 
     /**
-     * @param completionTargetsS by class, the times from submission within which its jobs should be done
-     * @param deadlineMultiples by class, the largest multiple of a job's deadline within which it should be done
+     * @param completionTargetsS by class, the times from submission within which its jobs should be completed
+     * @param deadlineMultiples by class, the largest multiple of a job's deadline within which it should be completed
      * @param startTargetsS by class, the time from submission within which its tasks should be started
      */
     public ServiceLevelObjectives(
@@ -32,7 +32,7 @@
                         .toArray()));
     }
 
-    /** Whether a task that has to wait this long for its image still meets the start objective of its class. */
+    /** Whether a task whose image fetch takes this long can meet the start objective of its class. */
     boolean meetsStartObjective(Job job, double fetchS) {
         Double targetS = startTargetsS.get(job.spec().jobClass());
         return targetS != null && fetchS <= MAX_FETCH_FRACTION * targetS;
--- a/src/main/java/io/quartzgw/scheduling/UnplacedTasks.java
+++ b/src/main/java/io/quartzgw/scheduling/UnplacedTasks.java
@@ -1,4 +1,4 @@
 package io.quartzgw.scheduling;
 
-/** The number of tasks of a job that could not be allocated for lack of free capacity alone. */
+/** The number of a job's tasks that were not allocated only because free capacity was lacking. */
 public record UnplacedTasks(Job job, int count) {}
--- a/src/test/java/io/quartzgw/cancellation/CancellationRegistryTest.java
+++ b/src/test/java/io/quartzgw/cancellation/CancellationRegistryTest.java
@@ -13,6 +13,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Tests how cancellations are recorded, announced to other controllers, and expired. */
 class CancellationRegistryTest {
     private static final long CANCEL_LIMIT_MS = 36_000;
 
@@ -30,38 +31,41 @@
         return message;
     }
 
-    /** Records the jobs of a message, and says whether it announces all that its sender has to. */
+    /**
+     * Records the jobs of a message; returns whether the message announces all jobs that its sender has to announce.
+     */
     private static boolean receive(CancellationRegistry receiver, JsonNode message) {
         CancellationAnnouncement announcement = CancellationAnnouncementCodec.decode(message);
         receiver.recordAll(announcement);
         return announcement.complete();
     }
 
-    // Guards a leader that receives nothing for as long as its agents' leases may last.
+    // Guards against lost cancellations at a leader whose inbound traffic is blocked for as long as agents' leases may
+    // last.
     @Test
     void announcesCancellationBeyondLimitAndNotifiesListenerOnce() {
-        List<String> reported = new ArrayList<>();
-        remote.setListener(reported::add);
+        List<String> notified = new ArrayList<>();
+        remote.setListener(notified::add);
         advanceTo(1_000);
         assertTrue(local.record("j-000001"));
-        assertFalse(local.record("j-000001"), "recorded already");
+        assertFalse(local.record("j-000001"), "is recorded already");
         advanceTo(1_000 + CANCEL_LIMIT_MS);
         assertTrue(receive(remote, messageOf(local)));
         receive(remote, messageOf(local));
-        assertEquals(List.of("j-000001"), reported);
+        assertEquals(List.of("j-000001"), notified);
         assertTrue(remote.contains("j-000001"));
     }
 
-    // Guards the size of messages: jobs that two controllers announce to each other must not stay for ever.
+    // Guards against messages that grow without limit: jobs that two controllers announce to each other must expire.
     @Test
     void mutuallyAnnouncedCancellationExpires() {
         advanceTo(0);
         local.record("j-000001");
         for (long nowMs = 500; nowMs < 6 * CANCEL_LIMIT_MS; nowMs += 500) {
             advanceTo(nowMs);
-            ObjectNode lateMessage = messageOf(local);
+            ObjectNode delayedMessage = messageOf(local);
             advanceTo(nowMs + 400);
-            receive(remote, lateMessage);
+            receive(remote, delayedMessage);
             receive(local, messageOf(remote));
         }
         assertEquals(0, local.announcement().size());
--- a/src/test/java/io/quartzgw/cancellation/CancellationWatermarkTest.java
+++ b/src/test/java/io/quartzgw/cancellation/CancellationWatermarkTest.java
@@ -12,9 +12,13 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Tests that the watermark covers no cancellation that this controller has not recorded. Such cancellations are those
+ * that a peer, or this controller's previous process, acknowledged shortly before it restarted.
+ */
 class CancellationWatermarkTest {
     private static final long CANCEL_LIMIT_MS = 36_000;
-    private static final List<String> PEERS = List.of("rig-1", "rig-2");
+    private static final List<String> PEERS = List.of("controller-1", "controller-2");
 
     private final EventLoop eventLoop = new EventLoop(1);
 
@@ -36,18 +40,20 @@
     void hasNoWatermarkUntilStoreReadOrCancelLimit() {
         CancellationWatermark watermark = newWatermarkAt(1_000);
         recordResponsesOfAllPeers(watermark, 2_000, 7, 90_000);
-        assertTrue(watermark.knownUntilMs(2_000) < 0, "its former process may have acknowledged some just before");
+        assertTrue(
+                watermark.knownUntilMs(2_000) < 0,
+                "the previous process may have acknowledged cancellations just before the restart");
         watermark.recordStoreRead(1_900);
         assertEquals(1_995, watermark.knownUntilMs(2_000));
         watermark.resetStoreRead();
         assertTrue(
                 watermark.knownUntilMs(2_000) < 0,
-                "a new term's cluster state has nothing of what an earlier one read");
+                "a new term's cluster state does not contain what an earlier term read");
         recordResponsesOfAllPeers(watermark, 1_000 + CANCEL_LIMIT_MS, 7, 90_000 + CANCEL_LIMIT_MS);
         assertEquals(995 + CANCEL_LIMIT_MS, watermark.knownUntilMs(0));
     }
 
-    // What was read after the term was last confirmed must not count: a successor relies on that.
+    // Store reads after the last confirmation of the term must not count, since the next leader relies on this bound.
     @Test
     void storeReadCountsUpToLastConfirmation() {
         CancellationWatermark watermark = newWatermarkAt(1_000);
@@ -61,22 +67,26 @@
         CancellationWatermark watermark = newWatermarkAt(0);
         recordResponsesOfAllPeers(watermark, 50_000, 7, 50_000);
         advanceTo(52_000);
-        watermark.recordPeerAnswer("rig-1", 8, 100, 51_990, true);
+        watermark.recordPeerAnswer("controller-1", 8, 100, 51_990, true);
         recordResponsesOfAllPeers(watermark, 52_000, 8, 100);
         assertEquals(49_995, watermark.knownUntilMs(0));
         recordResponsesOfAllPeers(watermark, 53_000, 9, 100);
-        assertEquals(49_995, watermark.knownUntilMs(0), "a second restart does not hide the first one's gap");
+        assertEquals(49_995, watermark.knownUntilMs(0), "the gap of the first restart remains after a second one");
         recordResponsesOfAllPeers(watermark, 60_000, 9, 7_100);
         assertEquals(49_995, watermark.knownUntilMs(0));
         watermark.recordStoreRead(52_999);
         assertEquals(
-                49_995, watermark.knownUntilMs(0), "read before the last restart was noticed, and not confirmed since");
+                49_995,
+                watermark.knownUntilMs(0),
+                "the store was read before the last restart was detected, and the term is not confirmed");
         watermark.recordStoreRead(53_000);
         assertEquals(59_995, watermark.knownUntilMs(0));
         watermark.resetStoreRead();
         recordResponsesOfAllPeers(watermark, 52_900 + CANCEL_LIMIT_MS, 9, CANCEL_LIMIT_MS);
         assertEquals(
-                52_895 + CANCEL_LIMIT_MS, watermark.knownUntilMs(0), "whatever was acknowledged before is settled");
+                52_895 + CANCEL_LIMIT_MS,
+                watermark.knownUntilMs(0),
+                "the cancel limits of all earlier cancellations have passed");
     }
 
     @Test
@@ -84,15 +94,18 @@
         CancellationWatermark watermark = newWatermarkAt(0);
         recordResponsesOfAllPeers(watermark, 50_000, 7, 50_000);
         advanceTo(51_000);
-        watermark.recordPeerAnswer("rig-1", 7, 51_000, 50_990, false);
-        watermark.recordPeerAnswer("rig-2", 7, 51_000, 50_990, true);
+        watermark.recordPeerAnswer("controller-1", 7, 51_000, 50_990, false);
+        watermark.recordPeerAnswer("controller-2", 7, 51_000, 50_990, true);
         assertEquals(49_995, watermark.knownUntilMs(0));
     }
 
     /** A cancellation that a peer's process has acknowledged to a user. */
     private record AcknowledgedCancellation(long atMs, int peer, long process) {}
 
-    /** Random events at two peers, with every cancellation that was acknowledged, and which of them are known here. */
+    /**
+     * A random sequence of events at two peers. Tracks all acknowledged cancellations, and which of them this
+     * controller has received.
+     */
     private final class RandomHistory {
         private final SplittableRandom random;
         private final CancellationWatermark watermark = newWatermarkAt(0);
@@ -151,16 +164,16 @@
 
         private void recordResponse(int peer, long nowMs) {
             acknowledged.stream()
-                    .filter(one -> one.peer() == peer && one.process() == process[peer])
+                    .filter(cancellation -> cancellation.peer() == peer && cancellation.process() == process[peer])
                     .forEach(announced::add);
             watermark.recordPeerAnswer(PEERS.get(peer), process[peer], nowMs - startedAtMs[peer], nowMs, true);
         }
 
-        /** The cancellations whose limit is not over, and which are not known here. */
+        /** The cancellations that this controller has not received and whose cancel limit has not passed. */
         List<AcknowledgedCancellation> unknown(long nowMs) {
             return acknowledged.stream()
-                    .filter(one -> !announced.contains(one) && !read.contains(one))
-                    .filter(one -> nowMs - one.atMs() < CANCEL_LIMIT_MS)
+                    .filter(cancellation -> !announced.contains(cancellation) && !read.contains(cancellation))
+                    .filter(cancellation -> nowMs - cancellation.atMs() < CANCEL_LIMIT_MS)
                     .toList();
         }
     }
@@ -181,6 +194,6 @@
                 }
             }
         }
-        assertTrue(checked > 10_000, "the histories had something to check");
+        assertTrue(checked > 10_000, "the histories contain enough unknown cancellations");
     }
 }
--- a/src/test/java/io/quartzgw/cancellation/package-info.java
+++ b/src/test/java/io/quartzgw/cancellation/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of how cancellations are announced, and of the cancellation watermark. */
+/** Tests of cancellation announcements and of the cancellation watermark. */
 package io.quartzgw.cancellation;
--- a/src/test/java/io/quartzgw/liveness/AgentLivenessTest.java
+++ b/src/test/java/io/quartzgw/liveness/AgentLivenessTest.java
@@ -8,21 +8,21 @@
 import io.quartzgw.liveness.AgentLiveness.Origin;
 import org.junit.jupiter.api.Test;
 
-/** Tests the freshness of heartbeats and the reachability of agents. */
+/** Tests how heartbeats are classified by freshness, and the reachability of agents. */
 class AgentLivenessTest {
     private final AgentLiveness liveness = new AgentLiveness(0);
 
-    // A new leader knows no sequence by which it could tell a delayed duplicate.
+    // A new leader has no earlier heartbeat sequence by which it could detect a delayed duplicate.
     @Test
     void heartbeatWithoutLeaderTokenIsUnverified() {
         liveness.boundPreviousLeader(30_000);
         assertEquals(Freshness.UNVERIFIED, liveness.classify(new HeartbeatId(1, 70), false, Origin.AGENT));
         liveness.recordResponse(1_000);
         assertFalse(liveness.verified());
-        assertEquals(30_000, liveness.lastResponseAt(), "a former leader may respond until its grace ends");
+        assertEquals(30_000, liveness.lastResponseAt(), "a previous leader may respond until its activity bound");
         assertEquals(Freshness.CURRENT, liveness.classify(new HeartbeatId(1, 71), true, Origin.AGENT));
         liveness.recordHeartbeat(new HeartbeatId(1, 71), 2_000);
-        assertEquals(2_000, liveness.lastResponseAt(), "the agent rejects former leaders");
+        assertEquals(2_000, liveness.lastResponseAt(), "the agent rejects previous leaders");
     }
 
     // A stale heartbeat must neither renew a lease nor extend a reservation.
@@ -35,7 +35,7 @@
         assertEquals(Freshness.CURRENT, liveness.classify(new HeartbeatId(3, 1), true, Origin.AGENT));
     }
 
-    // Duplicates of the former agent's heartbeats may have higher sequences than the new agent's.
+    // Duplicates of the previous agent's heartbeats may have higher sequences than the new agent's heartbeats.
     @Test
     void onlyDirectCallRepliesAreCurrentAfterAgentReplacement() {
         liveness.recordHeartbeat(new HeartbeatId(1, 80), 1_000);
@@ -43,8 +43,11 @@
         assertEquals(Freshness.CURRENT, liveness.classify(new HeartbeatId(1, 2), true, Origin.DIRECT_CALL));
         liveness.recordHeartbeat(new HeartbeatId(1, 2), 1_500);
         assertEquals(
-                Freshness.UNVERIFIED, liveness.classify(new HeartbeatId(1, 81), true, Origin.AGENT), "a duplicate");
-        assertEquals(Freshness.UNVERIFIED, liveness.classify(new HeartbeatId(1, 3), true, Origin.AGENT), "or genuine");
+                Freshness.UNVERIFIED,
+                liveness.classify(new HeartbeatId(1, 81), true, Origin.AGENT),
+                "may be a duplicate");
+        assertEquals(
+                Freshness.UNVERIFIED, liveness.classify(new HeartbeatId(1, 3), true, Origin.AGENT), "may be genuine");
         assertEquals(Freshness.CURRENT, liveness.classify(new HeartbeatId(1, 4), true, Origin.DIRECT_CALL));
     }
 
--- a/src/test/java/io/quartzgw/scheduling/SchedulerTest.java
+++ b/src/test/java/io/quartzgw/scheduling/SchedulerTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The scheduler's decisions, also against a reference model that recounts everything from the allocations. */
+/** Tests scheduling decisions, partly against a reference model that computes all totals from the allocations. */
 class SchedulerTest {
     private static final Map<String, TeamQuota> TEAMS =
             Map.of("limited", new TeamQuota("limited", 0, 24, 0, 0), "free", new TeamQuota("free", 0, 0, 0, 0));
@@ -64,7 +64,7 @@
         return machine(number, true);
     }
 
-    /** Adds a machine that is up: even numbers in zone a, odd ones in zone b. */
+    /** Adds a machine with a responsive agent: even numbers in zone a, odd numbers in zone b. */
     private Machine machine(int number, boolean spot) {
         Machine machine = new Machine("i-" + number, TYPE, number % 2 == 0 ? "a" : "b", spot, 0, 0);
         machine.liveness().recordHeartbeat(new HeartbeatId(1, 1), eventLoop.nowMs());
@@ -106,7 +106,7 @@
         return submit(specs, tasks, cpusPerTask);
     }
 
-    // ---- the reference model: linear scans over the allocations, nothing cached
+    // ---- reference model: linear scans over the allocations, without cached totals
 
     private List<Allocation> allocations() {
         return cluster.jobs().stream()
@@ -165,7 +165,7 @@
             for (Machine machine : machines) {
                 assertTrue(allocatedCpus(machine) <= 8, "no machine is overcommitted");
             }
-            assertTrue(allocatedCpus("limited") <= 24, "the quota holds");
+            assertTrue(allocatedCpus("limited") <= 24, "the quota is not exceeded");
             for (Job job : cluster.jobs()) {
                 if (job.spec().spread()) {
                     assertTrue(tasksInZone(job, "a") <= job.spec().tasksPerZone()
@@ -174,7 +174,7 @@
                 if (job.nextPending() >= 0) {
                     assertTrue(
                             machines.stream().noneMatch(machine -> modelAllows(job, machine)),
-                            job.id() + " is pending though a machine could run it");
+                            job.id() + " is pending although a machine can run it");
                 }
                 assertEquals(
                         job.spec().tasks(),
@@ -183,8 +183,8 @@
         }
     }
 
-    // Guards against starvation of large and late jobs: small jobs arrive faster than they can run, and the largest job
-    // of each team and shape starts within four minutes all the same.
+    // Guards against starvation of large and late jobs. Small jobs arrive faster than they can run, but the largest
+    // job of each team and shape must still start within four minutes.
     @Test
     void startsLargeJobsWithinFourMinutesUnderSmallJobLoad() {
         for (int i = 0; i < 4; i++) {
@@ -208,7 +208,7 @@
                 submit(array(number++).team(i == 0 ? "limited" : "free"), 2, 4);
             }
             scheduler.schedule();
-            assertTrue(allocatedCpus("limited") <= 24, "the quota holds");
+            assertTrue(allocatedCpus("limited") <= 24, "the quota is not exceeded");
             for (Allocation allocation : allocations()) {
                 if (!allocation.job().spec().service() && now - allocation.allocatedAt() >= 5_000) {
                     cluster.markDone(allocation.job(), allocation.index());
@@ -234,11 +234,11 @@
         low.allocation(1).recordPhase(Allocation.Phase.RUNNING, 900);
         Job service = submit(productionService(2), 1, 2);
         scheduler.schedule();
-        assertEquals(List.of(low.allocation(1)), stopped, "the one that has run for less time");
+        assertEquals(List.of(low.allocation(1)), stopped, "stops the task that has run for the shorter time");
         assertEquals(machine, service.allocation(0).machine());
     }
 
-    // Guards deadlines of normal jobs while tasks of low priority run on the last machine that the cloud offers.
+    // Guards against missed deadlines of normal jobs while low-priority tasks occupy the last machine the cloud offers.
     @Test
     void normalJobPreemptsLowPriorityOnlyWhenCloudIsExhausted() {
         onDemandMachine(0);
@@ -256,11 +256,11 @@
         assertEquals(1, normal.allocations().size());
         submit(array(3).priority(Priority.LOW), 1, 4);
         scheduler.schedule();
-        assertEquals(2, stopped.size(), "a low-priority job preempts nothing");
+        assertEquals(2, stopped.size(), "a low-priority job preempts no task");
     }
 
-    // Guards deadlines and replicas against a machine whose reclaim was announced: its tasks were allocated again only
-    // when the cloud's delayed machine list lacked it.
+    // Guards against missed deadlines and missing replicas after a reclaim is announced: the tasks were allocated again
+    // only when the machine was missing from the cloud's delayed machine list.
     @Test
     void stopsTasksThatCannotCompleteBeforeReclaim() {
         eventLoop.processBatch(List.of(), new ClockReading(1_000, 1_000));
@@ -279,7 +279,7 @@
         assertEquals(
                 List.of(batch.allocation(1)),
                 stopped,
-                "neither the task that completes in time nor the replica that fits nowhere else");
+                "stops neither the task that completes in time nor the replica that fits on no other machine");
         onDemandMachine(1).liveness().recordResponse(8_000);
         scheduler.schedule();
         assertEquals(List.of(batch.allocation(1), service.allocation(0)), stopped);
@@ -331,12 +331,12 @@
         job.recordFailure(machine.id(), 0, 1);
         eventLoop.processBatch(List.of(), new ClockReading(1_000, 1_000));
         scheduler.schedule();
-        assertEquals(1, scheduler.unplaced().size(), "it may run on another machine");
+        assertEquals(1, scheduler.unplaced().size(), "may run on another machine");
         job.recordFailure(machine.id(), 0, 1);
         job.recordFailure(machine.id(), 0, 1);
         scheduler.schedule();
-        assertEquals(List.of(), scheduler.unplaced(), "no scale-out for it");
-        assertEquals(machine, job.allocation(0).machine(), "it may try again where it failed");
+        assertEquals(List.of(), scheduler.unplaced(), "causes no scale-out");
+        assertEquals(machine, job.allocation(0).machine(), "is retried on the machine where it failed");
     }
 
     @Test
@@ -352,6 +352,6 @@
         assertEquals(
                 1,
                 gang.allocations().stream().map(Allocation::attempt).distinct().count(),
-                "under one attempt");
+                "all members share one attempt number");
     }
 }
--- a/src/test/java/io/quartzgw/scheduling/package-info.java
+++ b/src/test/java/io/quartzgw/scheduling/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of placement, and of what reports prove. */
+/** Tests of task scheduling. */
 package io.quartzgw.scheduling;
