--- a/src/main/java/io/quartzgw/liveness/AgentLiveness.java
+++ b/src/main/java/io/quartzgw/liveness/AgentLiveness.java
@@ -39,7 +39,7 @@
     private long lastHeartbeatAt;
     private boolean verified;
     private long latestObservedEpoch = FIRST_EPOCH;
-    private boolean agentReplaced;
+    private boolean hasReplacedAgent;
     private boolean unreachable;
     private long unreachableSince;
     private long lastResponseAt = Long.MIN_VALUE;
@@ -90,7 +90,7 @@
             return Freshness.STALE;
         }
         // After a reboot, duplicates from the machine's previous agent may have higher sequences than the new agent.
-        boolean mayBeDuplicate = agentReplaced && origin == Origin.AGENT;
+        boolean mayBeDuplicate = hasReplacedAgent && origin == Origin.AGENT;
         return showsToken && !mayBeDuplicate ? Freshness.CURRENT : Freshness.UNVERIFIED;
     }
 
@@ -115,7 +115,7 @@
      * heartbeats that had been received when the call was sent. The tasks of the previous agent have ended.
      */
     public void agentReplaced(HeartbeatId reply) {
-        agentReplaced = true;
+        hasReplacedAgent = true;
         latestObservedEpoch = reply.epoch();
         // One sequence before the reply, so that the reply is classified as current.
         latestHeartbeat = new HeartbeatId(reply.epoch(), reply.sequence() - 1);
