--- a/src/main/java/io/quartzgw/scheduling/SchedulingConstraints.java
+++ b/src/main/java/io/quartzgw/scheduling/SchedulingConstraints.java
@@ -6,22 +6,22 @@
 import io.quartzgw.model.TeamQuota;
 import java.util.Map;
 
-/** The hard constraints of scheduling: which machines may get tasks, which of them a job may use, and team quotas. */
+/** The hard constraints of scheduling: which machines get tasks, which machines a job may use, and team quotas. */
 final class SchedulingConstraints {
-    /** A machine whose last heartbeat was answered longer ago gets no tasks. */
-    private static final double MAX_SILENCE_HEARTBEATS = 2.5;
+    /** A machine gets no tasks if its last heartbeat response is older than this many heartbeat intervals. */
+    private static final double MAX_RESPONSE_AGE_HEARTBEATS = 2.5;
 
     private final EventLoop eventLoop;
     private final ClusterState cluster;
     private final Map<String, TeamQuota> teams;
-    private final long maxSilenceMs;
+    private final long maxResponseAgeMs;
 
     SchedulingConstraints(EventLoop eventLoop, ClusterState cluster, SchedulingPolicy policy) {
         this.eventLoop = eventLoop;
         this.cluster = cluster;
         this.teams = policy.teams();
-        this.maxSilenceMs =
-                (long) (MAX_SILENCE_HEARTBEATS * policy.agentTiming().heartbeatMs());
+        this.maxResponseAgeMs =
+                (long) (MAX_RESPONSE_AGE_HEARTBEATS * policy.agentTiming().heartbeatMs());
     }
 
     /** Whether tasks may be allocated to the machine now. */
@@ -30,12 +30,12 @@
                 && !machine.reservationExpired()
                 && machine.liveness().verified()
                 && !machine.liveness().unreachable()
-                && eventLoop.nowMs() - machine.liveness().lastResponseAt() < maxSilenceMs
+                && eventLoop.nowMs() - machine.liveness().lastResponseAt() < maxResponseAgeMs
                 && machine.reclaimAt() == Long.MAX_VALUE
                 && !machine.exclusions().isQuarantined();
     }
 
-    /** Whether the job may use the machine, whatever its free capacity. */
+    /** Whether the job may use the machine, regardless of its free capacity. */
     boolean isAllowed(Job job, Machine machine) {
         JobSpec spec = job.spec();
         return spec.allows(machine.type().name(), machine.zone(), machine.spot())
@@ -44,7 +44,7 @@
                 && !machine.exclusions().refusedJobs().contains(job.id());
     }
 
-    /** Whether the team's quota allows all that runs or may run. */
+    /** Whether the team's current usage, including tasks that may be running, is within its quota. */
     boolean isWithinQuota(Job job) {
         TeamQuota team = teams.get(job.spec().team());
         return team != null && team.withinLimit(cluster.maxPossibleUsage(team.name()));
@@ -65,7 +65,7 @@
         return team.withinLimit(cluster.maxPossibleUsage(team.name()).plus(demand));
     }
 
-    /** How many of the job's pending tasks the team's quota allows. */
+    /** The number of the job's pending tasks that the team's quota allows. */
     int pendingTasksWithinQuota(Job job) {
         TeamQuota team = teams.get(job.spec().team());
         Resources usage = cluster.maxPossibleUsage(job.spec().team());
