--- a/src/main/java/io/quartzgw/leadership/Candidacy.java
+++ b/src/main/java/io/quartzgw/leadership/Candidacy.java
@@ -18,7 +18,7 @@
 
     private static final long NO_HOLD_BACK = Long.MIN_VALUE;
 
-    private static final int RETRY_MS = 250;
+    private static final int RETRY_DELAY_MS = 250;
     /** Spreads the candidates, so that mostly one transaction wins without a conflict. */
     private static final int MAX_JITTER_MS = 60;
 
@@ -29,7 +29,7 @@
         /** The highest term that this controller knows besides the stored one. */
         long highestTerm();
 
-        void electionWon(Victory victory);
+        void electionWon(WonElection wonElection);
     }
 
     /**
@@ -39,10 +39,10 @@
      * @param requestedAtMs when the lease was requested: it can't have begun earlier
      * @param holdBackUntilMs until when a deposed leader may count itself confirmed
      */
-    record Victory(long term, long termRevision, long leaseId, long requestedAtMs, long holdBackUntilMs) {}
+    record WonElection(long term, long termRevision, long leaseId, long requestedAtMs, long holdBackUntilMs) {}
 
     /** Whether this controller is a candidate, and the member that the leader record names, if any. */
-    private record Standing(CandidacyReason reason, String leader) {}
+    private record Status(CandidacyReason reason, String leader) {}
 
     /** One attempt: the term it is for, and the state of the keys that it requires. */
     private record Attempt(
@@ -59,8 +59,8 @@
     private final ControllerIdentity identity;
     private final ElectionState state;
     private final Owner owner;
-    private final Set<Long> deadProcesses = new HashSet<>();
-    private Optional<Standing> loggedStanding = Optional.empty();
+    private final Set<Long> terminatedProcesses = new HashSet<>();
+    private Optional<Status> loggedStatus = Optional.empty();
     private Optional<Attempt> lastAttempt = Optional.empty();
     private boolean attemptInProgress;
     private long backOffUntilMs = Long.MIN_VALUE;
@@ -86,51 +86,51 @@
     }
 
     /** Records that a process has ended: a leader record that names it is void. */
-    void markDead(long process) {
-        deadProcesses.add(process);
+    void markTerminated(long process) {
+        terminatedProcesses.add(process);
     }
 
     /** Whether nobody leads, or only a process that is surely dead. */
-    boolean leadershipVacant() {
-        return state.leader().map(this::isDead).orElse(true);
+    boolean isLeadershipVacant() {
+        return state.leader().map(this::isTerminated).orElse(true);
     }
 
-    private boolean isDead(LeaderRecord leader) {
+    private boolean isTerminated(LeaderRecord leader) {
         // A record of this member's other process: that one has ended, since this one runs.
-        boolean formerProcess = leader.member().equals(identity.member()) && leader.process() != identity.process();
-        return formerProcess || deadProcesses.contains(leader.process());
+        boolean previousProcess = leader.member().equals(identity.member()) && leader.process() != identity.process();
+        return previousProcess || terminatedProcesses.contains(leader.process());
     }
 
     /** Logs whether this controller is a candidate, and why not, if that has changed. */
-    void logStanding() {
-        Standing standing = standing();
-        if (loggedStanding.filter(standing::equals).isEmpty()) {
-            loggedStanding = Optional.of(standing);
+    void logStatusChange() {
+        Status status = currentStatus();
+        if (loggedStatus.filter(status::equals).isEmpty()) {
+            loggedStatus = Optional.of(status);
             LOG.atInfo()
-                    .addKeyValue("reason", standing.reason().logValue())
-                    .addKeyValue("leader", standing.leader())
+                    .addKeyValue("reason", status.reason().logValue())
+                    .addKeyValue("leader", status.leader())
                     .addKeyValue("term", state.term())
                     .log("candidacy changed");
         }
     }
 
-    private Standing standing() {
+    private Status currentStatus() {
         CandidacyReason reason;
         if (owner.leading()) {
             reason = CandidacyReason.LEADING;
-        } else if (!leadershipVacant()) {
+        } else if (!isLeadershipVacant()) {
             reason = CandidacyReason.LED;
-        } else if (backingOff()) {
+        } else if (isBackingOff()) {
             reason = CandidacyReason.BACKING_OFF;
         } else {
             reason = CandidacyReason.VACANT;
         }
-        return new Standing(reason, state.leader().map(LeaderRecord::member).orElse(""));
+        return new Status(reason, state.leader().map(LeaderRecord::member).orElse(""));
     }
 
     /** Schedules an election attempt, unless one is in progress or this controller backs off. */
-    void schedule() {
-        if (attemptInProgress || backingOff()) {
+    void scheduleAttempt() {
+        if (attemptInProgress || isBackingOff()) {
             return;
         }
         attemptInProgress = true;
@@ -138,10 +138,10 @@
                 .addKeyValue("term", nextTerm())
                 .addKeyValue("former_leader", state.leader().orElse(null))
                 .log("election scheduled");
-        eventLoop.after(eventLoop.random().nextInt(MAX_JITTER_MS), this::begin);
+        eventLoop.after(eventLoop.random().nextInt(MAX_JITTER_MS), this::beginAttempt);
     }
 
-    private boolean backingOff() {
+    private boolean isBackingOff() {
         return eventLoop.nowMs() < backOffUntilMs;
     }
 
@@ -149,9 +149,9 @@
         return FencingTokens.termAfter(Math.max(state.term(), owner.highestTerm()));
     }
 
-    private void begin() {
+    private void beginAttempt() {
         // Another candidate may have won since this attempt was scheduled.
-        if (owner.leading() || !leadershipVacant() || backingOff()) {
+        if (owner.leading() || !isLeadershipVacant() || isBackingOff()) {
             attemptInProgress = false;
             return;
         }
@@ -167,8 +167,8 @@
     }
 
     private long holdBackUntilMs() {
-        boolean formerLeaderDeposed = state.deposedTerm() > 0 && state.deposedTerm() == state.term();
-        return formerLeaderDeposed ? eventLoop.nowMs() + timing.leaseMs() : NO_HOLD_BACK;
+        boolean previousLeaderDeposed = state.deposedTerm() > 0 && state.deposedTerm() == state.term();
+        return previousLeaderDeposed ? eventLoop.nowMs() + timing.leaseMs() : NO_HOLD_BACK;
     }
 
     /** Until when a leader of a term that this candidacy has won, unnoticed, has to hold back. */
@@ -187,7 +187,7 @@
                     outcome -> onOutcome(attempt, granted.leaseId(), outcome));
         } else {
             logFailure(attempt, grant);
-            retryLater();
+            scheduleRetry();
         }
     }
 
@@ -204,7 +204,7 @@
     private void onOutcome(Attempt attempt, long leaseId, TransactionOutcome outcome) {
         if (outcome instanceof TransactionOutcome.Committed committed) {
             attemptInProgress = false;
-            owner.electionWon(new Victory(
+            owner.electionWon(new WonElection(
                     attempt.term(), committed.revision(), leaseId, attempt.requestedAtMs(), attempt.holdBackUntilMs()));
             return;
         }
@@ -213,7 +213,7 @@
         if (!(outcome instanceof TransactionOutcome.Unknown)) {
             store.revokeLease(leaseId);
         }
-        retryLater();
+        scheduleRetry();
     }
 
     private static void logFailure(Attempt attempt, Object result) {
@@ -223,8 +223,8 @@
                 .log("election attempt failed");
     }
 
-    private void retryLater() {
-        eventLoop.after(RETRY_MS, () -> {
+    private void scheduleRetry() {
+        eventLoop.after(RETRY_DELAY_MS, () -> {
             attemptInProgress = false;
             if (!owner.leading()) {
                 state.reload();
--- a/src/main/java/io/quartzgw/leadership/ElectionState.java
+++ b/src/main/java/io/quartzgw/leadership/ElectionState.java
@@ -11,7 +11,7 @@
 
 /** This controller's view of the election keys in the state store, kept up to date by a watch. */
 final class ElectionState {
-    private static final int RETRY_MS = 250;
+    private static final int RETRY_DELAY_MS = 250;
 
     private final EventLoop eventLoop;
     private final StoreClient store;
@@ -86,7 +86,7 @@
                     listed.listing().readAt(),
                     new ElectionWatcher(generation));
         } else {
-            eventLoop.after(RETRY_MS, () -> reloadUnlessSuperseded(generation));
+            eventLoop.after(RETRY_DELAY_MS, () -> reloadUnlessSuperseded(generation));
         }
     }
 
@@ -110,7 +110,7 @@
     }
 
     /** Applies a won election without waiting for the watch to deliver it. */
-    void applyElection(long wonTerm, long revision) {
+    void applyWonElection(long wonTerm, long revision) {
         term = Math.max(term, wonTerm);
         termRevision = Math.max(termRevision, revision);
     }
--- a/src/main/java/io/quartzgw/leadership/LeaderDeposition.java
+++ b/src/main/java/io/quartzgw/leadership/LeaderDeposition.java
@@ -19,15 +19,15 @@
 final class LeaderDeposition {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderDeposition.class);
     /** For so many leases after a deposition the next leader is not deposed, whatever is heard of it. */
-    private static final int REST_LEASES = 5;
+    private static final int COOLDOWN_LEASES = 5;
     /** The state store may answer for a moment only. */
-    private static final int RETRY_MS = 250;
+    private static final int RETRY_DELAY_MS = 250;
 
     private final EventLoop eventLoop;
     private final StoreClient store;
     private final ElectionState state;
-    private final long restMs;
-    private final long heartbeatMs;
+    private final long cooldownMs;
+    private final long retryPeriodMs;
     private long deposedTerm;
     private long deposedAtMs;
     private boolean inProgress;
@@ -36,12 +36,12 @@
         this.eventLoop = eventLoop;
         this.store = store;
         this.state = state;
-        this.restMs = REST_LEASES * timing.leaseMs();
-        this.heartbeatMs = timing.heartbeatMs();
+        this.cooldownMs = COOLDOWN_LEASES * timing.leaseMs();
+        this.retryPeriodMs = timing.heartbeatMs();
     }
 
     /** Notices depositions by any controller; to be called when the election keys have changed. */
-    void stateChanged() {
+    void recordDepositions() {
         if (state.deposedTerm() != deposedTerm) {
             deposedTerm = state.deposedTerm();
             deposedAtMs = eventLoop.nowMs();
@@ -53,22 +53,23 @@
      * after which the leader may have been heard again.
      */
     void depose(LeaderRecord leader) {
-        boolean resting = deposedTerm > 0 && deposedTerm != leader.term() && eventLoop.nowMs() - deposedAtMs < restMs;
-        if (!inProgress && !resting) {
-            attempt(leader, eventLoop.nowMs() + heartbeatMs);
+        boolean inCooldown =
+                deposedTerm > 0 && deposedTerm != leader.term() && eventLoop.nowMs() - deposedAtMs < cooldownMs;
+        if (!inProgress && !inCooldown) {
+            attempt(leader, eventLoop.nowMs() + retryPeriodMs);
         }
     }
 
-    private void attempt(LeaderRecord leader, long endMs) {
+    private void attempt(LeaderRecord leader, long deadlineMs) {
         inProgress = true;
         Transaction record = new Transaction()
                 .require(Leadership.LEADER_KEY, state.leaderRevision())
                 .require(Leadership.TERM_KEY, state.termRevision())
                 .put(Leadership.DEPOSED_KEY, LeaderRecordCodec.encodeTerm(leader.term()));
-        store.commit(record, RequestUrgency.ELECTION, outcome -> onOutcome(leader, endMs, outcome));
+        store.commit(record, RequestUrgency.ELECTION, outcome -> onOutcome(leader, deadlineMs, outcome));
     }
 
-    private void onOutcome(LeaderRecord leader, long endMs, TransactionOutcome outcome) {
+    private void onOutcome(LeaderRecord leader, long deadlineMs, TransactionOutcome outcome) {
         inProgress = false;
         if (outcome instanceof TransactionOutcome.Committed) {
             eventLoop.increment("leadership.depositions", 1);
@@ -77,14 +78,14 @@
                     .addKeyValue("term", leader.term())
                     .log("silent leader deposed");
             store.revokeLease(leader.leaseId());
-        } else if (eventLoop.nowMs() + RETRY_MS < endMs) {
-            eventLoop.after(RETRY_MS, () -> retry(leader, endMs));
+        } else if (eventLoop.nowMs() + RETRY_DELAY_MS < deadlineMs) {
+            eventLoop.after(RETRY_DELAY_MS, () -> retry(leader, deadlineMs));
         }
     }
 
-    private void retry(LeaderRecord leader, long endMs) {
+    private void retry(LeaderRecord leader, long deadlineMs) {
         if (!inProgress && state.leader().filter(leader::equals).isPresent()) {
-            attempt(leader, endMs);
+            attempt(leader, deadlineMs);
         }
     }
 }
--- a/src/main/java/io/quartzgw/leadership/Leadership.java
+++ b/src/main/java/io/quartzgw/leadership/Leadership.java
@@ -165,8 +165,8 @@
      * Records that a peer has answered as a process. If the leader record, as it was known when the peer was asked,
      * names another process of the peer, that one is dead; a record that came meanwhile may name a newer one.
      */
-    void observePeerProcess(ControllerIdentity peer, Optional<LeaderRecord> recordWhenAsked) {
-        if (leading() || state.leader().isEmpty() || !state.leader().equals(recordWhenAsked)) {
+    void recordPeerProcess(ControllerIdentity peer, Optional<LeaderRecord> recordAtRequest) {
+        if (leading() || state.leader().isEmpty() || !state.leader().equals(recordAtRequest)) {
             return;
         }
         LeaderRecord leader = state.leader().get();
@@ -177,38 +177,38 @@
                     .addKeyValue("former_process", leader.process())
                     .addKeyValue("process", peer.process())
                     .log("leader restart detected");
-            candidacy.markDead(leader.process());
-            candidacy.schedule();
+            candidacy.markTerminated(leader.process());
+            candidacy.scheduleAttempt();
         }
     }
 
     /** Ends the term of the recorded leader, which a majority of the controllers has not heard for long. */
-    void deposeSilentLeader() {
+    void deposeUnresponsiveLeader() {
         if (!leading()) {
             state.leader().ifPresent(deposition::depose);
         }
     }
 
     private void evaluateRole() {
-        deposition.stateChanged();
-        candidacy.logStanding();
+        deposition.recordDepositions();
+        candidacy.logStatusChange();
         if (leading()) {
             if (state.term() > term) {
                 stepDown(StepDownReason.HIGHER_TERM_STORED);
             }
-        } else if (candidacy.leadershipVacant()) {
-            candidacy.schedule();
+        } else if (candidacy.isLeadershipVacant()) {
+            candidacy.scheduleAttempt();
         } else {
-            state.leader().filter(this::isUnnoticedVictory).ifPresent(this::adoptVictory);
+            state.leader().filter(this::isUnobservedElectionWin).ifPresent(this::adoptElectionWin);
         }
     }
 
     /** Whether an election whose outcome was lost, or whose transaction was applied late, was won after all. */
-    private boolean isUnnoticedVictory(LeaderRecord leader) {
+    private boolean isUnobservedElectionWin(LeaderRecord leader) {
         return leader.process() == identity.process() && leader.term() == state.term() && leader.term() > term;
     }
 
-    private void adoptVictory(LeaderRecord leader) {
+    private void adoptElectionWin(LeaderRecord leader) {
         // When the lease began is not known: it counts as unconfirmed until it is renewed.
         long unconfirmedAtMs = eventLoop.nowMs() - timing.leaseMs();
         becomeLeader(leader.term(), leader.leaseId(), unconfirmedAtMs, candidacy.holdBackUntilMs(leader.term()));
@@ -227,11 +227,15 @@
         }
 
         @Override
-        public void electionWon(Candidacy.Victory victory) {
+        public void electionWon(Candidacy.WonElection wonElection) {
             // The watch may have reported the victory first: then its lease is in use already.
-            if (!leading() && victory.term() > term) {
-                state.applyElection(victory.term(), victory.termRevision());
-                becomeLeader(victory.term(), victory.leaseId(), victory.requestedAtMs(), victory.holdBackUntilMs());
+            if (!leading() && wonElection.term() > term) {
+                state.applyWonElection(wonElection.term(), wonElection.termRevision());
+                becomeLeader(
+                        wonElection.term(),
+                        wonElection.leaseId(),
+                        wonElection.requestedAtMs(),
+                        wonElection.holdBackUntilMs());
             }
         }
     }
--- a/src/main/java/io/quartzgw/leadership/PeerExchange.java
+++ b/src/main/java/io/quartzgw/leadership/PeerExchange.java
@@ -29,7 +29,7 @@
     public static final String PATH = "/peer";
 
     private static final int STALE_AFTER_HEARTBEATS = 4;
-    private static final int ANSWER_TIMEOUT_HEARTBEATS = 2;
+    private static final int RESPONSE_TIMEOUT_HEARTBEATS = 2;
     /** How many jobs a message may name: at 48 bytes each for the longest names, it stays below 64 KiB. */
     private static final int MAX_JOBS_PER_MESSAGE = 1_200;
 
@@ -42,9 +42,9 @@
     private final WriteBudgetExchange writeBudget;
     private final PeerRegistry peers;
     private final RedirectedAgents redirectedAgents;
-    private final LeaderSilence leaderSilence;
+    private final UnresponsiveLeaderDetector unresponsiveLeaderDetector;
     private final PeerMessageFactory messages;
-    private final Set<String> awaitingAnswer = new HashSet<>();
+    private final Set<String> peersWithRequestInFlight = new HashSet<>();
     private PeerPayloads payloads = PeerPayloads.NONE;
 
     /** The parts of this controller whose state is announced to peers, and that learn from their messages. */
@@ -72,8 +72,9 @@
         long staleAfterMs = STALE_AFTER_HEARTBEATS * timing.heartbeatMs();
         this.peers = new PeerRegistry(eventLoop, staleAfterMs);
         this.redirectedAgents = new RedirectedAgents(eventLoop, timing.heartbeatMs());
-        this.leaderSilence = new LeaderSilence(eventLoop, leadership, peers, timing);
-        this.messages = new PeerMessageFactory(identity, participants, redirectedAgents, leaderSilence, staleAfterMs);
+        this.unresponsiveLeaderDetector = new UnresponsiveLeaderDetector(eventLoop, leadership, peers, timing);
+        this.messages = new PeerMessageFactory(
+                identity, participants, redirectedAgents, unresponsiveLeaderDetector, staleAfterMs);
     }
 
     /** Begins to send messages. */
@@ -82,28 +83,28 @@
         broadcast();
         eventLoop.every(timing.heartbeatMs(), () -> {
             redirectedAgents.probe();
-            leaderSilence.check();
-            if (isLeaderDeposedByMajority()) {
-                leadership.deposeSilentLeader();
+            unresponsiveLeaderDetector.check();
+            if (shouldDeposeLeader()) {
+                leadership.deposeUnresponsiveLeader();
             }
             broadcast();
         });
     }
 
     // A leader that its agents reach serves them whomever else it reaches, so agents have to come here as well.
-    private boolean isLeaderDeposedByMajority() {
-        if (!leaderSilence.isSilent()) {
+    private boolean shouldDeposeLeader() {
+        if (!unresponsiveLeaderDetector.isLeaderUnresponsive()) {
             return false;
         }
-        int agreeing = 1 + peers.countLeaderSilentIn(leadership.highestTerm());
-        int agents = redirectedAgents.count();
+        int agreeingControllers = 1 + peers.countReportingLeaderUnresponsive(leadership.highestTerm());
+        int redirectedAgentCount = redirectedAgents.count();
         LOG.atDebug()
                 .addKeyValue("term", leadership.highestTerm())
-                .addKeyValue("agreeing_controllers", agreeing)
-                .addKeyValue("redirected_agents", agents)
+                .addKeyValue("agreeing_controllers", agreeingControllers)
+                .addKeyValue("redirected_agents", redirectedAgentCount)
                 .log("leader silent");
         int controllers = endpoints.size() + 1;
-        return agreeing > controllers / 2 && agents > 0;
+        return agreeingControllers > controllers / 2 && redirectedAgentCount > 0;
     }
 
     // ---- sending
@@ -141,20 +142,20 @@
 
     private void send(String member, PeerMessage message) {
         // One message at a time to each peer: calls must not pile up while it can't be reached.
-        if (!awaitingAnswer.add(member)) {
+        if (!peersWithRequestInFlight.add(member)) {
             return;
         }
         long sentAtMs = eventLoop.nowMs();
-        Optional<LeaderRecord> recordWhenAsked = leadership.leaderRecord();
+        Optional<LeaderRecord> recordAtRequest = leadership.leaderRecord();
         Call call = Call.postCbor(
                 endpoints.get(member),
                 PATH,
                 PeerMessageCodec.encode(message),
-                ANSWER_TIMEOUT_HEARTBEATS * timing.heartbeatMs());
+                RESPONSE_TIMEOUT_HEARTBEATS * timing.heartbeatMs());
         eventLoop.call(call, reply -> {
-            awaitingAnswer.remove(member);
+            peersWithRequestInFlight.remove(member);
             if (reply.ok()) {
-                onAnswer(member, PeerMessageCodec.decode(reply.cbor()), sentAtMs, recordWhenAsked);
+                onResponse(member, PeerMessageCodec.decode(reply.cbor()), sentAtMs, recordAtRequest);
             }
         });
     }
@@ -166,8 +167,8 @@
         Optional<PeerMessage> message = PeerMessageCodec.decode(request.body())
                 .filter(received -> endpoints.containsKey(received.sender().member()));
         if (message.isPresent()) {
-            PeerMessage answer = receive(message.get());
-            eventLoop.answer(request.exchange(), Response.cbor(PeerMessageCodec.encode(answer)));
+            PeerMessage response = receive(message.get());
+            eventLoop.answer(request.exchange(), Response.cbor(PeerMessageCodec.encode(response)));
         } else {
             eventLoop.answer(request.exchange(), Response.error(400, "not a peer's message"));
         }
@@ -176,21 +177,21 @@
     private PeerMessage receive(PeerMessage message) {
         // A message may be a late copy, of a process that has ended: it does not prove which process runs now. The
         // peer's answer to this controller's next message does.
-        peers.present(message.sender())
+        peers.findCurrentProcess(message.sender())
                 .ifPresentOrElse(
-                        peer -> applyPresentState(peer, message),
+                        peer -> applyCurrentState(peer, message),
                         () -> send(message.sender().member(), messages.create()));
         applyDurableFacts(message);
         message.attachments().notice().ifPresent(payloads.noticeListener());
-        PeerMessage answer = messages.create();
+        PeerMessage response = messages.create();
         return writeBudget
                 .grantTo(message.sender().member(), message.writeDemandPerS())
                 .map(Attachments::ofWriteGrant)
-                .map(answer::with)
-                .orElse(answer);
+                .map(response::with)
+                .orElse(response);
     }
 
-    private void applyPresentState(PeerState peer, PeerMessage message) {
+    private void applyCurrentState(PeerState peer, PeerMessage message) {
         peer.applyStatus(message, eventLoop.nowMs());
         message.attachments()
                 .jobCounts()
@@ -199,18 +200,20 @@
     }
 
     // An answer was made after the message that it answers was sent, so it proves which process runs.
-    private void onAnswer(String member, PeerMessage answer, long sentAtMs, Optional<LeaderRecord> recordWhenAsked) {
-        ControllerIdentity peer = new ControllerIdentity(member, answer.sender().process());
-        peers.observeProcess(peer).applyStatus(answer, eventLoop.nowMs());
-        answer.attachments().writeGrantPerS().ifPresent(writesPerS -> writeBudget.applyGrant(writesPerS, sentAtMs));
-        applyDurableFacts(answer);
+    private void onResponse(
+            String member, PeerMessage response, long sentAtMs, Optional<LeaderRecord> recordAtRequest) {
+        ControllerIdentity peer =
+                new ControllerIdentity(member, response.sender().process());
+        peers.observeProcess(peer).applyStatus(response, eventLoop.nowMs());
+        response.attachments().writeGrantPerS().ifPresent(writesPerS -> writeBudget.applyGrant(writesPerS, sentAtMs));
+        applyDurableFacts(response);
         watermark.recordPeerAnswer(
                 member,
                 peer.process(),
-                answer.status().uptimeMs(),
+                response.status().uptimeMs(),
                 sentAtMs,
-                answer.cancellations().complete());
-        leadership.observePeerProcess(peer, recordWhenAsked);
+                response.cancellations().complete());
+        leadership.recordPeerProcess(peer, recordAtRequest);
     }
 
     /** Applies what stays true, however late it comes: cancellations, and that a term was reached. */
--- a/src/main/java/io/quartzgw/leadership/PeerMessageCodec.java
+++ b/src/main/java/io/quartzgw/leadership/PeerMessageCodec.java
@@ -19,7 +19,7 @@
     private static final String HIGHEST_TERM = "term";
     private static final String STORE_REACHABLE = "store";
     /** Only in messages of which it is true. */
-    private static final String LEADER_SILENT = "leader_silent";
+    private static final String LEADER_UNRESPONSIVE = "leader_silent";
 
     private static final String JOB_COUNTS = "counts";
     private static final String NOTICE = "notice";
@@ -40,8 +40,8 @@
                 .put(LED_TERM, status.ledTerm())
                 .put(HIGHEST_TERM, status.highestTerm())
                 .put(STORE_REACHABLE, status.storeReachable());
-        if (status.leaderSilent()) {
-            node.put(LEADER_SILENT, true);
+        if (status.leaderUnresponsive()) {
+            node.put(LEADER_UNRESPONSIVE, true);
         }
         PeerMessage.Attachments attachments = message.attachments();
         attachments.jobCounts().ifPresent(counts -> node.set(JOB_COUNTS, counts));
@@ -65,7 +65,7 @@
                 node.path(LED_TERM).asLong(),
                 node.path(HIGHEST_TERM).asLong(),
                 node.path(STORE_REACHABLE).asBoolean(),
-                node.path(LEADER_SILENT).asBoolean());
+                node.path(LEADER_UNRESPONSIVE).asBoolean());
         PeerMessage.Attachments attachments = new PeerMessage.Attachments(
                 Optional.ofNullable(node.get(JOB_COUNTS)),
                 Optional.ofNullable(node.get(NOTICE)),
--- a/src/main/java/io/quartzgw/leadership/PeerMessageFactory.java
+++ b/src/main/java/io/quartzgw/leadership/PeerMessageFactory.java
@@ -7,7 +7,7 @@
     private final ControllerIdentity identity;
     private final PeerExchange.Participants participants;
     private final RedirectedAgents redirectedAgents;
-    private final LeaderSilence leaderSilence;
+    private final UnresponsiveLeaderDetector unresponsiveLeaderDetector;
     private final long staleAfterMs;
     private long lastSequence;
 
@@ -16,12 +16,12 @@
             ControllerIdentity identity,
             PeerExchange.Participants participants,
             RedirectedAgents redirectedAgents,
-            LeaderSilence leaderSilence,
+            UnresponsiveLeaderDetector unresponsiveLeaderDetector,
             long staleAfterMs) {
         this.identity = identity;
         this.participants = participants;
         this.redirectedAgents = redirectedAgents;
-        this.leaderSilence = leaderSilence;
+        this.unresponsiveLeaderDetector = unresponsiveLeaderDetector;
         this.staleAfterMs = staleAfterMs;
     }
 
@@ -44,7 +44,7 @@
                 leadership.leading() ? leadership.term() : 0,
                 leadership.highestTerm(),
                 storeReachable(),
-                leaderSilence.isSilent());
+                unresponsiveLeaderDetector.isLeaderUnresponsive());
     }
 
     private boolean storeReachable() {
--- a/src/main/java/io/quartzgw/leadership/PeerRegistry.java
+++ b/src/main/java/io/quartzgw/leadership/PeerRegistry.java
@@ -21,7 +21,7 @@
     }
 
     /** The state of a peer, if the sender is the process that has answered last. */
-    Optional<PeerState> present(ControllerIdentity sender) {
+    Optional<PeerState> findCurrentProcess(ControllerIdentity sender) {
         return Optional.ofNullable(peers.get(sender.member())).filter(peer -> peer.isProcess(sender.process()));
     }
 
@@ -49,16 +49,20 @@
     }
 
     /** How many peers have lately said that they have not heard the leader of a term for long. */
-    int countLeaderSilentIn(long term) {
-        return (int) recentPeers().filter(peer -> peer.leaderSilentIn(term)).count();
+    int countReportingLeaderUnresponsive(long term) {
+        return (int) recentPeers()
+                .filter(peer -> peer.reportsLeaderUnresponsive(term))
+                .count();
     }
 
     /** When a process of a peer was last heard; empty if it is not known to be the present one. */
-    OptionalLong heardAtMs(ControllerIdentity peer) {
-        return present(peer).map(state -> OptionalLong.of(state.receivedAtMs())).orElse(OptionalLong.empty());
+    OptionalLong lastReceivedAtMs(ControllerIdentity peer) {
+        return findCurrentProcess(peer)
+                .map(state -> OptionalLong.of(state.lastReceivedAtMs()))
+                .orElse(OptionalLong.empty());
     }
 
     private Stream<PeerState> recentPeers() {
-        return peers.values().stream().filter(peer -> eventLoop.nowMs() - peer.receivedAtMs() <= staleAfterMs);
+        return peers.values().stream().filter(peer -> eventLoop.nowMs() - peer.lastReceivedAtMs() <= staleAfterMs);
     }
 }
--- a/src/main/java/io/quartzgw/leadership/PeerState.java
+++ b/src/main/java/io/quartzgw/leadership/PeerState.java
@@ -3,14 +3,14 @@
 /** The newest status of one peer that is known to be of its present process. */
 final class PeerState {
     private long process;
-    private long receivedAtMs;
+    private long lastReceivedAtMs;
     /** The number of the process's newest message. */
-    private long statusSequence;
+    private long lastStatusSequence;
     /** The number of its newest message that had job counts. */
-    private long countsSequence;
+    private long lastCountsSequence;
 
     private boolean storeReachable;
-    private boolean leaderSilent;
+    private boolean leaderUnresponsive;
     private int redirectedAgents;
     private long acknowledgedTerm;
 
@@ -20,8 +20,8 @@
     void observeProcess(long answeringProcess) {
         if (process != answeringProcess) {
             process = answeringProcess;
-            statusSequence = 0;
-            countsSequence = 0;
+            lastStatusSequence = 0;
+            lastCountsSequence = 0;
         }
     }
 
@@ -31,15 +31,15 @@
 
     /** Applies a message's status, unless a newer message was applied before. */
     void applyStatus(PeerMessage message, long nowMs) {
-        if (message.sequence() <= statusSequence) {
+        if (message.sequence() <= lastStatusSequence) {
             return;
         }
         PeerStatus status = message.status();
-        statusSequence = message.sequence();
-        receivedAtMs = nowMs;
+        lastStatusSequence = message.sequence();
+        lastReceivedAtMs = nowMs;
         redirectedAgents = status.redirectedAgents();
         storeReachable = status.storeReachable();
-        leaderSilent = status.leaderSilent();
+        leaderUnresponsive = status.leaderUnresponsive();
         acknowledgedTerm = Math.max(acknowledgedTerm, status.highestTerm());
     }
 
@@ -49,15 +49,15 @@
      * heartbeats coincide would never receive any.
      */
     boolean acceptCounts(PeerMessage message) {
-        if (message.sequence() <= countsSequence) {
+        if (message.sequence() <= lastCountsSequence) {
             return false;
         }
-        countsSequence = message.sequence();
+        lastCountsSequence = message.sequence();
         return true;
     }
 
-    long receivedAtMs() {
-        return receivedAtMs;
+    long lastReceivedAtMs() {
+        return lastReceivedAtMs;
     }
 
     boolean storeReachable() {
@@ -65,8 +65,8 @@
     }
 
     /** Whether the peer has not heard the leader for long, and knows of no other term than this one. */
-    boolean leaderSilentIn(long term) {
-        return leaderSilent && acknowledgedTerm == term;
+    boolean reportsLeaderUnresponsive(long term) {
+        return leaderUnresponsive && acknowledgedTerm == term;
     }
 
     int redirectedAgents() {
--- a/src/main/java/io/quartzgw/leadership/PeerStatus.java
+++ b/src/main/java/io/quartzgw/leadership/PeerStatus.java
@@ -8,7 +8,7 @@
  * @param ledTerm the term that it leads with; 0 when it does not lead
  * @param highestTerm the highest term that it has observed; it answers agents with none below
  * @param storeReachable whether the state store answers it
- * @param leaderSilent whether it has not heard the recorded leader for so long that it should be replaced
+ * @param leaderUnresponsive whether it has not heard the recorded leader for so long that it should be replaced
  */
 record PeerStatus(
         int redirectedAgents,
@@ -16,4 +16,4 @@
         long ledTerm,
         long highestTerm,
         boolean storeReachable,
-        boolean leaderSilent) {}
+        boolean leaderUnresponsive) {}
--- a/src/main/java/io/quartzgw/leadership/RedirectedAgents.java
+++ b/src/main/java/io/quartzgw/leadership/RedirectedAgents.java
@@ -28,22 +28,22 @@
     private final EventLoop eventLoop;
     private final long heartbeatMs;
     private final Map<String, Redirection> redirections = new HashMap<>();
-    private long lastReachedAtMs = NEVER;
-    private long probedAtMs;
-    private long ignoreUntilMs = NEVER;
+    private long lastProbeResponseAtMs = NEVER;
+    private long lastProbeAtMs;
+    private long ignoreHeartbeatsUntilMs = NEVER;
 
     /** An agent's last heartbeat to this controller. */
-    private record Redirection(Endpoint address, long atMs) {}
+    private record Redirection(Endpoint address, long receivedAtMs) {}
 
     RedirectedAgents(EventLoop eventLoop, long heartbeatMs) {
         this.eventLoop = eventLoop;
         this.heartbeatMs = heartbeatMs;
-        this.probedAtMs = eventLoop.nowMs();
+        this.lastProbeAtMs = eventLoop.nowMs();
     }
 
     /** Records that an agent has sent a heartbeat to this controller. */
     void add(String machine, Endpoint address) {
-        if (eventLoop.nowMs() > ignoreUntilMs) {
+        if (eventLoop.nowMs() > ignoreHeartbeatsUntilMs) {
             redirections.put(machine, new Redirection(address, eventLoop.nowMs()));
         }
     }
@@ -51,8 +51,8 @@
     /** Probes one of the agents; to be called once a heartbeat. */
     void probe() {
         discardAfterPause();
-        probedAtMs = eventLoop.nowMs();
-        redirections.values().removeIf(redirection -> !isRecent(redirection.atMs()));
+        lastProbeAtMs = eventLoop.nowMs();
+        redirections.values().removeIf(redirection -> !isRecent(redirection.receivedAtMs()));
         if (redirections.isEmpty()) {
             return;
         }
@@ -60,7 +60,7 @@
         Endpoint address = recent.get(eventLoop.random().nextInt(recent.size())).address();
         eventLoop.call(Call.get(address, PROBE_PATH, heartbeatMs), reply -> {
             if (reply.ok()) {
-                lastReachedAtMs = eventLoop.nowMs();
+                lastProbeResponseAtMs = eventLoop.nowMs();
             }
         });
     }
@@ -68,19 +68,19 @@
     // Guards the leader that was elected meanwhile: to a controller that was paused, heartbeats that were queued look
     // like agents that are turned away now, and with a wave of lost machines they would depose a healthy leader.
     private void discardAfterPause() {
-        if (eventLoop.nowMs() - probedAtMs > PAUSE_HEARTBEATS * heartbeatMs) {
+        if (eventLoop.nowMs() - lastProbeAtMs > PAUSE_HEARTBEATS * heartbeatMs) {
             redirections.clear();
-            ignoreUntilMs = eventLoop.nowMs() + IGNORE_AFTER_PAUSE_HEARTBEATS * heartbeatMs;
+            ignoreHeartbeatsUntilMs = eventLoop.nowMs() + IGNORE_AFTER_PAUSE_HEARTBEATS * heartbeatMs;
         }
     }
 
     /** How many agents this controller has lately turned away; 0 while it reaches none of them. */
     int count() {
-        if (!isRecent(lastReachedAtMs)) {
+        if (!isRecent(lastProbeResponseAtMs)) {
             return 0;
         }
         return (int) redirections.values().stream()
-                .filter(redirection -> isRecent(redirection.atMs()))
+                .filter(redirection -> isRecent(redirection.receivedAtMs()))
                 .count();
     }
 
--- a/src/main/java/io/quartzgw/leadership/WriteBudgetExchange.java
+++ b/src/main/java/io/quartzgw/leadership/WriteBudgetExchange.java
@@ -22,10 +22,10 @@
     private final StoreClient store;
     private final StoreLimits limits;
     private final String member;
-    private final int members;
-    private final long grantMs;
+    private final int controllerCount;
+    private final long grantDurationMs;
     /** A demand is not measured over less than this. */
-    private final long minMeasurementMs;
+    private final long minMeasurementIntervalMs;
 
     /** The allocator of the term that this controller last led with. */
     private Optional<TermAllocator> termAllocator = Optional.empty();
@@ -38,7 +38,7 @@
 
     /**
      * @param limits the state store's limits for all controllers together
-     * @param members how many controllers there are
+     * @param controllerCount how many controllers there are
      */
     public WriteBudgetExchange(
             EventLoop eventLoop,
@@ -47,22 +47,22 @@
             StoreLimits limits,
             LeadershipTiming timing,
             String member,
-            int members) {
+            int controllerCount) {
         this.eventLoop = eventLoop;
         this.leadership = leadership;
         this.store = store;
         this.limits = limits;
         this.member = member;
-        this.members = members;
-        this.grantMs = (long) (GRANT_HEARTBEATS * timing.heartbeatMs());
-        this.minMeasurementMs = timing.heartbeatMs() / 2;
+        this.controllerCount = controllerCount;
+        this.grantDurationMs = (long) (GRANT_HEARTBEATS * timing.heartbeatMs());
+        this.minMeasurementIntervalMs = timing.heartbeatMs() / 2;
         this.measuredAtMs = eventLoop.nowMs();
     }
 
     /** Measures this controller's demand, and grants it its own part if it leads; once a heartbeat. */
     void measureDemand() {
         long elapsedMs = eventLoop.nowMs() - measuredAtMs;
-        if (elapsedMs < minMeasurementMs) {
+        if (elapsedMs < minMeasurementIntervalMs) {
             return;
         }
         measuredAtMs = eventLoop.nowMs();
@@ -76,13 +76,13 @@
     }
 
     /** How many writes a second this controller grants to a member, if it may grant any now; records the demand. */
-    Optional<Double> grantTo(String grantee, double wantedPerS) {
-        return allocator().flatMap(allocator -> allocator.grant(grantee, wantedPerS, eventLoop.nowMs()));
+    Optional<Double> grantTo(String grantee, double granteeDemandPerS) {
+        return allocator().flatMap(allocator -> allocator.grant(grantee, granteeDemandPerS, eventLoop.nowMs()));
     }
 
     /** Applies a grant, which counts from the moment at which this controller asked. */
     void applyGrant(double writesPerS, long requestedAtMs) {
-        store.applyWriteGrant(writesPerS, requestedAtMs + grantMs);
+        store.applyWriteGrant(writesPerS, requestedAtMs + grantDurationMs);
     }
 
     /** The allocator of the current term, if that is confirmed. */
@@ -92,8 +92,8 @@
         }
         long term = leadership.term();
         if (termAllocator.filter(current -> current.term() == term).isEmpty()) {
-            termAllocator = Optional.of(
-                    new TermAllocator(term, new WriteBudgetAllocator(limits, members, grantMs, eventLoop.nowMs())));
+            termAllocator = Optional.of(new TermAllocator(
+                    term, new WriteBudgetAllocator(limits, controllerCount, grantDurationMs, eventLoop.nowMs())));
         }
         return termAllocator.map(TermAllocator::allocator);
     }
--- a/src/main/java/io/quartzgw/recovery/FailoverRecovery.java
+++ b/src/main/java/io/quartzgw/recovery/FailoverRecovery.java
@@ -45,7 +45,7 @@
     private final UnverifiedMachines unverifiedMachines;
     private final ReservationExpiry reservationExpiry;
     private final long electedAtMs;
-    private boolean resolutionDue = true;
+    private boolean unaccountedCheckDue = true;
     private Phase phase = Phase.LOADING_STATE;
 
     /**
@@ -120,7 +120,7 @@
                 .addKeyValue("machines", cluster.machines().size())
                 .log("stored state loaded");
         unverifiedMachines.markUnaccounted();
-        inherit(collaborators.startLog().load(state.startLog()));
+        inheritStarts(collaborators.startLog().load(state.startLog()));
         collaborators.agents().beginReconciling();
         collaborators
                 .store()
@@ -130,7 +130,7 @@
                         state.openJobs().readAt(),
                         openJobWatcher);
         List.copyOf(cluster.jobs()).stream().filter(Job::complete).forEach(collaborators.progress()::completeJob);
-        eventLoop.after(timing.contactMs(), this::contactUnverified);
+        eventLoop.after(timing.contactIntervalMs(), this::contactUnverified);
         checkProgress();
     }
 
@@ -155,11 +155,11 @@
 
     // ---- starts of former leaders
 
-    private void inherit(FormerStarts formerStarts) {
+    private void inheritStarts(FormerStarts formerStarts) {
         if (formerStarts.unreadablePages() > 0) {
             eventLoop.increment("takeover.starts_unknown", 1);
             unverifiedMachines.expectUnknownStarts();
-            dropUnreadablePagesIfVoid();
+            dropUnreadablePagesIfObsolete();
         }
         int inherited = collaborators.agents().inheritStarts(formerStarts.machines());
         eventLoop.increment("takeover.starts_inherited", inherited);
@@ -180,7 +180,7 @@
             return;
         }
         unverifiedMachines.forEachUnverified(collaborators.agents()::contact);
-        eventLoop.after(timing.contactMs(), this::contactUnverified);
+        eventLoop.after(timing.contactIntervalMs(), this::contactUnverified);
     }
 
     /** Accounts for the machines that have been verified meanwhile; called after every batch. */
@@ -192,11 +192,11 @@
         List<Machine> verified = unverifiedMachines.removeVerified();
         if (!verified.isEmpty()) {
             verified.forEach(collaborators.agents()::updateUnaccountedCapacity);
-            resolutionDue = true;
+            unaccountedCheckDue = true;
         }
-        checkUnknownStarts();
-        if (resolutionDue) {
-            resolutionDue = false;
+        pruneUnknownStarts();
+        if (unaccountedCheckDue) {
+            unaccountedCheckDue = false;
             unverifiedMachines.resolveUnaccounted(collaborators.agents()::allocateInheritedStarts);
         }
         if (phase == Phase.GATHERING_HEARTBEATS && (unverifiedMachines.isEmpty() || isWindowElapsed())) {
@@ -204,14 +204,14 @@
         }
     }
 
-    private void checkUnknownStarts() {
-        if (unverifiedMachines.removeGone()) {
-            resolutionDue = true;
-            dropUnreadablePagesIfVoid();
+    private void pruneUnknownStarts() {
+        if (unverifiedMachines.pruneUnknownStarts()) {
+            unaccountedCheckDue = true;
+            dropUnreadablePagesIfObsolete();
         }
     }
 
-    private void dropUnreadablePagesIfVoid() {
+    private void dropUnreadablePagesIfObsolete() {
         if (!unverifiedMachines.hasUnknownStarts()) {
             collaborators.startLog().dropUnreadablePages();
         }
--- a/src/main/java/io/quartzgw/recovery/RecoveryTiming.java
+++ b/src/main/java/io/quartzgw/recovery/RecoveryTiming.java
@@ -8,10 +8,10 @@
  * @param gatherWindowMs how long a new leader gathers heartbeats at most
  * @param reservationMs how long the capacity of a silent machine stays reserved after the last response to a heartbeat
  * @param retryMs the pause before the stored state is read again
- * @param contactMs the pause between two rounds of contacting unverified machines
+ * @param contactIntervalMs the pause between two rounds of contacting unverified machines
  */
-public record RecoveryTiming(long gatherWindowMs, long reservationMs, long retryMs, long contactMs) {
-    private static final int WINDOW_HEARTBEATS = 6;
+public record RecoveryTiming(long gatherWindowMs, long reservationMs, long retryMs, long contactIntervalMs) {
+    private static final int GATHER_WINDOW_HEARTBEATS = 6;
     /** The margin over the lease, since an agent may be slow to notice that its lease has ended. */
     private static final double LEASE_MARGIN = 0.06;
 
@@ -23,7 +23,7 @@
         // Tasks may run until the lease has ended by the agent's clock, so a reservation must not be shorter.
         long reservationMs = timing.longestLeaseMs() + (long) (LEASE_MARGIN * timing.leaseMs());
         return new RecoveryTiming(
-                WINDOW_HEARTBEATS * timing.heartbeatMs(),
+                GATHER_WINDOW_HEARTBEATS * timing.heartbeatMs(),
                 reservationMs,
                 (long) (RETRY_HEARTBEATS * timing.heartbeatMs()),
                 (long) (CONTACT_HEARTBEATS * timing.heartbeatMs()));
--- a/src/main/java/io/quartzgw/recovery/StateLoader.java
+++ b/src/main/java/io/quartzgw/recovery/StateLoader.java
@@ -18,17 +18,17 @@
 
     private final LeaderContext leader;
     private final StoreClient store;
-    private final long retryMs;
+    private final long retryDelayMs;
     private final Consumer<StoredState> onLoaded;
 
     /**
-     * @param retryMs the pause before another try
+     * @param retryDelayMs the pause before another try
      * @param onLoaded takes the state once, while this leader's term is current
      */
-    StateLoader(LeaderContext leader, StoreClient store, long retryMs, Consumer<StoredState> onLoaded) {
+    StateLoader(LeaderContext leader, StoreClient store, long retryDelayMs, Consumer<StoredState> onLoaded) {
         this.leader = leader;
         this.store = store;
-        this.retryMs = retryMs;
+        this.retryDelayMs = retryDelayMs;
         this.onLoaded = onLoaded;
     }
 
@@ -38,7 +38,7 @@
             return;
         }
         if (!leader.machineTypes().isKnown()) {
-            retry();
+            scheduleRetry();
             return;
         }
         listNext(new ArrayList<>());
@@ -65,11 +65,11 @@
             listings.add(listed.listing());
             listNext(listings);
         } else {
-            retry();
+            scheduleRetry();
         }
     }
 
-    private void retry() {
-        leader.eventLoop().after(retryMs, this::load);
+    private void scheduleRetry() {
+        leader.eventLoop().after(retryDelayMs, this::load);
     }
 }
--- a/src/main/java/io/quartzgw/recovery/UnverifiedMachines.java
+++ b/src/main/java/io/quartzgw/recovery/UnverifiedMachines.java
@@ -23,7 +23,7 @@
     private final PeerExchange peers;
     private final Set<Machine> machines = new LinkedHashSet<>();
     /** The machines that any start of a former leader may be on its way to. */
-    private final Set<Machine> withUnknownStarts = new LinkedHashSet<>();
+    private final Set<Machine> machinesWithUnknownStarts = new LinkedHashSet<>();
 
     private long previousLeaderActiveUntilMs;
     private boolean previousLeadersStopped;
@@ -68,18 +68,18 @@
     void expectUnknownStarts() {
         cluster.machines().stream().filter(Machine::hasRunTasks).forEach(machine -> {
             machine.fencing().expectUnknownStarts();
-            withUnknownStarts.add(machine);
+            machinesWithUnknownStarts.add(machine);
         });
     }
 
     /** Returns whether starts that are not known may be on their way to any machine. */
     boolean hasUnknownStarts() {
-        return !withUnknownStarts.isEmpty();
+        return !machinesWithUnknownStarts.isEmpty();
     }
 
     /** Removes the machines that unknown starts can't reach any more, and returns whether there were any. */
-    boolean removeGone() {
-        return withUnknownStarts.removeIf(machine -> !cluster.contains(machine));
+    boolean pruneUnknownStarts() {
+        return machinesWithUnknownStarts.removeIf(machine -> !cluster.contains(machine));
     }
 
     /** Performs an action for each machine that is still unverified. */
@@ -123,7 +123,8 @@
     }
 
     private boolean mayRunOnAny(Job job) {
-        return Stream.concat(machines.stream(), withUnknownStarts.stream()).anyMatch(machine -> mayRunOn(job, machine));
+        return Stream.concat(machines.stream(), machinesWithUnknownStarts.stream())
+                .anyMatch(machine -> mayRunOn(job, machine));
     }
 
     /** A job that was accepted after the term had been raised was never started by a former leader. */
--- a/src/test/java/io/quartzgw/leadership/FencingTokensTest.java
+++ b/src/test/java/io/quartzgw/leadership/FencingTokensTest.java
@@ -11,18 +11,18 @@
 
     @ParameterizedTest
     @ValueSource(longs = {0, 1, 41, 4096, 4097, 1L << 40})
-    void tokensOfATermAreAboveAllOfTheTermBefore(long former) {
-        long term = FencingTokens.termAfter(former);
-        assertEquals(former + 1, FencingTokens.lowestOf(term));
+    void tokensExceedThoseOfPreviousTerm(long previousTerm) {
+        long term = FencingTokens.termAfter(previousTerm);
+        assertEquals(previousTerm + 1, FencingTokens.lowestOf(term));
         assertEquals(FencingTokens.PER_TERM, term - FencingTokens.lowestOf(term) + 1);
     }
 
     /** A version without ranges counts terms by one, and takes each token for a term. */
     @ParameterizedTest
     @ValueSource(longs = {4096, 8192})
-    void termThatAnEarlierVersionTakesNextIsAboveAllTokens(long term) {
-        long earlierVersionsTerm = term + 1;
-        assertTrue(earlierVersionsTerm > term);
-        assertTrue(FencingTokens.lowestOf(FencingTokens.termAfter(earlierVersionsTerm)) > earlierVersionsTerm);
+    void keepsTermOrderAfterVersionWithoutTokenRanges(long term) {
+        long oldVersionTerm = term + 1;
+        assertTrue(oldVersionTerm > term);
+        assertTrue(FencingTokens.lowestOf(FencingTokens.termAfter(oldVersionTerm)) > oldVersionTerm);
     }
 }
--- a/src/test/java/io/quartzgw/leadership/LeadershipTest.java
+++ b/src/test/java/io/quartzgw/leadership/LeadershipTest.java
@@ -37,7 +37,7 @@
     private final List<String> events = new ArrayList<>();
 
     @BeforeEach
-    void winTheFirstElection() {
+    void electController() {
         leadership.start(new Leadership.Listener() {
             @Override
             public void elected(long term, long termRevision) {
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void vacantLeadershipIsAcquiredAndConfirmed() {
+    void acquiresVacantLeadership() {
         assertEquals(List.of("elected 4096"), events);
         assertTrue(leadership.leading() && leadership.isConfirmed());
         assertEquals(Optional.of("rig-0"), leadership.leader());
@@ -67,14 +67,14 @@
     }
 
     @Test
-    void leaseThatIsRenewedStaysConfirmed() {
+    void staysConfirmedWhileLeaseIsRenewed() {
         advance(3 * TIMING.leaseMs());
         assertEquals(List.of("elected 4096"), events);
         assertTrue(leadership.isConfirmed());
     }
 
     @Test
-    void leaseThatIsNotRenewedLosesItsConfirmationButNotTheTerm() {
+    void losesConfirmationButKeepsTermDuringStoreOutage() {
         storeServer.setOutage(true);
         advance(TIMING.leaseMs() + STEP_MS);
         assertTrue(leadership.leading());
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void higherTermThatIsObservedEndsTheTermAndIsExceededByTheNext() {
+    void stepsDownOnHigherTermAndTakesTermAboveIt() {
         leadership.observeTerm(4097);
         assertFalse(leadership.leading());
         assertEquals(4097, leadership.highestTerm());
@@ -95,14 +95,14 @@
     }
 
     @Test
-    void lowerTermThatIsObservedChangesNothing() {
+    void ignoresObservedTermThatIsNotHigher() {
         leadership.observeTerm(4096);
         advance(1_000);
         assertEquals(List.of("elected 4096"), events);
     }
 
     @Test
-    void resignedLeaderIsNotElectedDuringItsBackOff() {
+    void isNotReelectedDuringBackOffAfterResigning() {
         leadership.resign(10_000);
         advance(9_900);
         assertEquals(List.of("elected 4096", "lost"), events);
--- a/src/test/java/io/quartzgw/leadership/PeerExchangeTest.java
+++ b/src/test/java/io/quartzgw/leadership/PeerExchangeTest.java
@@ -60,7 +60,7 @@
     // Guards the counts that users see: where the heartbeats of two controllers coincide, each answer of the leader
     // overtakes the message that it sent just before, with the counts.
     @Test
-    void jobCountsOvertakenByAnAnswerAreAppliedAndOlderOnesIgnored() {
+    void appliesJobCountsOvertakenByResponseAndIgnoresOlderOnes() {
         eventLoop.processBatch(List.of(), new ClockReading(1, 1));
         eventLoop.onRequest(exchange::serve);
         exchange.start(new PeerPayloads(maxJobs -> Optional.empty(), receivedCounts::add, notice -> {}));
--- a/src/test/java/io/quartzgw/leadership/PeerMessageCodecTest.java
+++ b/src/test/java/io/quartzgw/leadership/PeerMessageCodecTest.java
@@ -24,7 +24,7 @@
             new PeerMessage.Attachments(Optional.of(COUNTS), Optional.of(NOTICE), OptionalDouble.of(0.5)));
 
     @Test
-    void fieldsAreEncodedInTheirFixedOrder() {
+    void encodesFieldsInFixedOrder() {
         assertEquals(
                 "{\"cancelled\":{\"j-000001\":250},\"cancelled_whole\":true,\"writes_wanted\":1.5,\"member\":\"rig-0\","
                         + "\"sequence\":5,\"workers\":2,\"process\":17,\"up_ms\":4000,\"leading\":41,\"term\":42,"
@@ -33,13 +33,13 @@
     }
 
     @Test
-    void decodingAnEncodedMessageYieldsAnEqualMessage() {
+    void decodesEncodedMessage() {
         byte[] body = Json.writeCbor(PeerMessageCodec.encode(MESSAGE));
         assertEquals(Optional.of(MESSAGE), PeerMessageCodec.decode(body));
     }
 
     @Test
-    void missingFieldsAreDecodedAsZeroAndEmpty() {
+    void decodesMissingFieldsAsDefaults() {
         PeerMessage message = PeerMessageCodec.decode(Json.object().put("member", "rig-1"));
         assertEquals(new ControllerIdentity("rig-1", 0), message.sender());
         assertEquals(new PeerStatus(0, 0, 0, 0, false, false), message.status());
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void bodyThatIsNotCborIsDecodedAsEmpty() {
+    void returnsEmptyForBodyThatIsNotCbor() {
         assertTrue(PeerMessageCodec.decode(new byte[0]).isEmpty());
     }
 }
--- a/src/test/java/io/quartzgw/leadership/RedirectedAgentsTest.java
+++ b/src/test/java/io/quartzgw/leadership/RedirectedAgentsTest.java
@@ -37,14 +37,14 @@
     }
 
     @Test
-    void agentThatAnswersTheProbeCounts() {
+    void countsAgentThatRespondsToProbe() {
         runAt(0, redirectedAgents::probe);
         assertEquals(1, countAfterHeartbeatAndProbe(HEARTBEAT_MS));
     }
 
     // Guards a healthy leader: heartbeats that were queued while this controller was paused say nothing of the present.
     @Test
-    void heartbeatsQueuedDuringAPauseOfTheControllerDoNotCount() {
+    void ignoresHeartbeatsQueuedWhileControllerWasPaused() {
         runAt(0, redirectedAgents::probe);
         long resumedMs = 30 * HEARTBEAT_MS;
         runAt(resumedMs, () -> redirectedAgents.add("i-000001", AGENT));
--- a/src/test/java/io/quartzgw/leadership/SilentLeaderTest.java
+++ b/src/test/java/io/quartzgw/leadership/UnresponsiveLeaderTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A controller beside a recorded leader of which it hears nothing; the leader of the term before was deposed. */
-class SilentLeaderTest {
+class UnresponsiveLeaderTest {
     private static final LeadershipTiming TIMING = LeadershipTiming.of(2.5, 16, 36);
     private static final Endpoint STORE = new Endpoint("10.2.0.1", 1);
     private static final int LEADER_LEASE_MS = 600_000;
@@ -37,8 +37,8 @@
             TIMING,
             new ControllerIdentity("rig-0", 1),
             new CancellationWatermark(eventLoop, 36_000, List.of()));
-    private final LeaderSilence silence =
-            new LeaderSilence(eventLoop, leadership, new PeerRegistry(eventLoop, TIMING.leaseMs()), TIMING);
+    private final UnresponsiveLeaderDetector detector = new UnresponsiveLeaderDetector(
+            eventLoop, leadership, new PeerRegistry(eventLoop, TIMING.leaseMs()), TIMING);
 
     @BeforeEach
     void recordLeaderAndDeposition() {
@@ -64,42 +64,42 @@
         storeServer.handle(call, 0, reply -> assertEquals(200, reply.status()));
     }
 
-    private void listenFor(long durationMs) {
+    private void checkPeriodicallyFor(long durationMs) {
         for (long elapsedMs = 0; elapsedMs < durationMs; elapsedMs += TIMING.heartbeatMs()) {
             link.pass(TIMING.heartbeatMs(), false);
-            silence.check();
+            detector.check();
         }
     }
 
     @Test
-    void leaderIsSilentAfterOneAndAHalfOfItsLeases() {
-        silence.check();
-        listenFor(TIMING.leaseMs());
-        assertFalse(silence.isSilent());
-        listenFor(TIMING.leaseMs());
-        assertTrue(silence.isSilent());
+    void reportsLeaderUnresponsiveAfterOneAndAHalfLeases() {
+        detector.check();
+        checkPeriodicallyFor(TIMING.leaseMs());
+        assertFalse(detector.isLeaderUnresponsive());
+        checkPeriodicallyFor(TIMING.leaseMs());
+        assertTrue(detector.isLeaderUnresponsive());
     }
 
     @Test
-    void controllerThatWasPausedBeginsToListenAnew() {
-        silence.check();
-        listenFor(TIMING.leaseMs());
+    void restartsObservationAfterControllerPause() {
+        detector.check();
+        checkPeriodicallyFor(TIMING.leaseMs());
         link.pass(10 * TIMING.leaseMs(), false);
-        silence.check();
-        assertFalse(silence.isSilent(), "it could hear nobody");
-        listenFor(2 * TIMING.leaseMs());
-        assertTrue(silence.isSilent());
+        detector.check();
+        assertFalse(detector.isLeaderUnresponsive(), "it could hear nobody");
+        checkPeriodicallyFor(2 * TIMING.leaseMs());
+        assertTrue(detector.isLeaderUnresponsive());
     }
 
     // Guards the leader that has just been elected: agents and controllers are still finding it.
     @Test
-    void nextLeaderIsNotDeposedSoonAfterADeposition() {
-        leadership.deposeSilentLeader();
+    void doesNotDeposeNextLeaderDuringCooldown() {
+        leadership.deposeUnresponsiveLeader();
         link.pass(TIMING.heartbeatMs(), false);
         assertEquals("{\"term\":4}", storeServer.value(Leadership.DEPOSED_KEY).toString());
         link.pass(6 * TIMING.leaseMs(), false);
         assertEquals(LEADER, leadership.leaderRecord().orElseThrow());
-        leadership.deposeSilentLeader();
+        leadership.deposeUnresponsiveLeader();
         link.pass(1, false);
         assertEquals("{\"term\":5}", storeServer.value(Leadership.DEPOSED_KEY).toString());
         assertNull(storeServer.value(Leadership.LEADER_KEY), "its lease has ended");
