--- a/src/main/java/io/quartzgw/leadership/Candidacy.java
+++ b/src/main/java/io/quartzgw/leadership/Candidacy.java
@@ -12,21 +12,21 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Runs this controller's election attempts, one at a time, while the leadership is vacant. */
+/** Runs the election attempts of this controller, one at a time, while there is no leader. */
 final class Candidacy {
     private static final Logger LOG = LoggerFactory.getLogger(Candidacy.class);
 
     private static final long NO_HOLD_BACK = Long.MIN_VALUE;
 
     private static final int RETRY_DELAY_MS = 250;
-    /** Spreads the candidates, so that mostly one transaction wins without a conflict. */
+    /** Spreads the attempts of the candidates, so that usually one transaction succeeds without a conflict. */
     private static final int MAX_JITTER_MS = 60;
 
-    /** What a candidacy asks of its owner, and reports to it. */
+    /** The role that a candidacy queries and notifies. */
     interface Owner {
         boolean leading();
 
-        /** The highest term that this controller knows besides the stored one. */
+        /** Returns the highest term that this controller has observed, apart from the stored term. */
         long highestTerm();
 
         void electionWon(WonElection wonElection);
@@ -35,16 +35,17 @@
     /**
      * A won election.
      *
-     * @param termRevision the revision of the term key that the election has written
-     * @param requestedAtMs when the lease was requested: it can't have begun earlier
-     * @param holdBackUntilMs until when a deposed leader may count itself confirmed
+     * @param termRevision the revision of the term key that the election wrote
+     * @param requestedAtMs when the lease was requested, which is the earliest time at which it can have started
+     * @param holdBackUntilMs the time until which a deposed leader may consider itself confirmed; this leader does not
+     *     count as confirmed before
      */
     record WonElection(long term, long termRevision, long leaseId, long requestedAtMs, long holdBackUntilMs) {}
 
-    /** Whether this controller is a candidate, and the member that the leader record names, if any. */
+    /** The candidacy reason and the controller that the leader record names, or an empty string. */
     private record Status(CandidacyReason reason, String leader) {}
 
-    /** One attempt: the term it is for, and the state of the keys that it requires. */
+    /** An election attempt: the term to win, and the revisions of the election keys that its transaction requires. */
     private record Attempt(
             long term,
             long requiredLeaderRevision,
@@ -80,28 +81,28 @@
         this.owner = owner;
     }
 
-    /** Makes no attempt for a while, so that another controller is elected. */
+    /** Suspends the attempts for some time, so that another controller is elected. */
     void backOff(long durationMs) {
         backOffUntilMs = eventLoop.nowMs() + durationMs;
     }
 
-    /** Records that a process has ended: a leader record that names it is void. */
+    /** Records that a process has terminated. A leader record that names it is ignored. */
     void markTerminated(long process) {
         terminatedProcesses.add(process);
     }
 
-    /** Whether nobody leads, or only a process that is surely dead. */
+    /** Returns whether there is no leader record, or it names a process that is known to have terminated. */
     boolean isLeadershipVacant() {
         return state.leader().map(this::isTerminated).orElse(true);
     }
 
     private boolean isTerminated(LeaderRecord leader) {
-        // A record of this member's other process: that one has ended, since this one runs.
+        // Another process of this controller must have terminated, since this process is running.
         boolean previousProcess = leader.member().equals(identity.member()) && leader.process() != identity.process();
         return previousProcess || terminatedProcesses.contains(leader.process());
     }
 
-    /** Logs whether this controller is a candidate, and why not, if that has changed. */
+    /** Logs whether this controller is a candidate, and the reason, if that has changed. */
     void logStatusChange() {
         Status status = currentStatus();
         if (loggedStatus.filter(status::equals).isEmpty()) {
@@ -128,7 +129,7 @@
         return new Status(reason, state.leader().map(LeaderRecord::member).orElse(""));
     }
 
-    /** Schedules an election attempt, unless one is in progress or this controller backs off. */
+    /** Schedules an election attempt, unless one is in progress or this controller is backing off. */
     void scheduleAttempt() {
         if (attemptInProgress || isBackingOff()) {
             return;
@@ -171,7 +172,10 @@
         return previousLeaderDeposed ? eventLoop.nowMs() + timing.leaseMs() : NO_HOLD_BACK;
     }
 
-    /** Until when a leader of a term that this candidacy has won, unnoticed, has to hold back. */
+    /**
+     * Returns the time before which a leader must not count as confirmed, for a term that this candidacy won without
+     * receiving the outcome.
+     */
     long holdBackUntilMs(long wonTerm) {
         return lastAttempt
                 .filter(attempt -> attempt.term() == wonTerm)
@@ -209,7 +213,7 @@
             return;
         }
         logFailure(attempt, outcome);
-        // A transaction without an answer may yet be applied: its lease must outlive it.
+        // A transaction with an unknown outcome may still be applied, so its lease is not revoked.
         if (!(outcome instanceof TransactionOutcome.Unknown)) {
             store.revokeLease(leaseId);
         }
--- a/src/main/java/io/quartzgw/leadership/CandidacyReason.java
+++ b/src/main/java/io/quartzgw/leadership/CandidacyReason.java
@@ -2,15 +2,15 @@
 
 import java.util.Locale;
 
-/** Why a controller is a candidate for the leadership, or is none. */
+/** The reason why a controller is or is not a candidate for the leadership. */
 enum CandidacyReason {
-    /** Nobody leads, or only a process that has surely ended: it is a candidate. */
+    /** It is a candidate: there is no leader record, or it names a process that is known to have terminated. */
     VACANT,
-    /** It leads itself. */
+    /** It is no candidate because it is the leader. */
     LEADING,
-    /** The leader record names another process, which may still run. */
+    /** It is no candidate because the leader record names another process, which may still be running. */
     LED,
-    /** It has resigned lately. */
+    /** It is no candidate because it resigned recently. */
     BACKING_OFF;
 
     String logValue() {
--- a/src/main/java/io/quartzgw/leadership/ElectionState.java
+++ b/src/main/java/io/quartzgw/leadership/ElectionState.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** This controller's view of the election keys in the state store, kept up to date by a watch. */
+/** A local copy of the election keys in the state store, kept up to date by a watch. */
 final class ElectionState {
     private static final int RETRY_DELAY_MS = 250;
 
@@ -26,24 +26,24 @@
     private long deposedTerm;
     private long deposedRevision;
 
-    /** @param onChange called after the view was read or has changed */
+    /** @param onChange called after the keys were read or have changed */
     ElectionState(EventLoop eventLoop, StoreClient store, Runnable onChange) {
         this.eventLoop = eventLoop;
         this.store = store;
         this.onChange = onChange;
     }
 
-    /** Whether the keys have been read at least once. */
+    /** Returns whether the keys have been read at least once. */
     boolean initialized() {
         return initialized;
     }
 
-    /** The leader record; empty when there is none or it has not been read. */
+    /** Returns the leader record; empty if there is none or it has not been read. */
     Optional<LeaderRecord> leader() {
         return leader;
     }
 
-    /** The revision of the leader record, or {@link Transaction#NO_REVISION}. */
+    /** Returns the revision of the leader record, or {@link Transaction#NO_REVISION}. */
     long leaderRevision() {
         return leaderRevision;
     }
@@ -52,22 +52,22 @@
         return term;
     }
 
-    /** The revision of the term key, or {@link Transaction#NO_REVISION}. */
+    /** Returns the revision of the term key, or {@link Transaction#NO_REVISION}. */
     long termRevision() {
         return termRevision;
     }
 
-    /** The term of the leader that was last deposed; 0 if none was. */
+    /** Returns the term of the leader that was deposed last, or 0 if none was. */
     long deposedTerm() {
         return deposedTerm;
     }
 
-    /** The revision of the record of the last deposition, or {@link Transaction#NO_REVISION}. */
+    /** Returns the revision of the deposition record, or {@link Transaction#NO_REVISION}. */
     long deposedRevision() {
         return deposedRevision;
     }
 
-    /** Reads the keys again and watches them from there; an earlier watch ends. */
+    /** Reads the keys again and watches them from that revision. An earlier watch becomes inactive. */
     void reload() {
         long generation = ++watchGeneration;
         store.listPrefix(Leadership.PREFIX, result -> onListed(result, generation));
@@ -109,7 +109,7 @@
         initialized = true;
     }
 
-    /** Applies a won election without waiting for the watch to deliver it. */
+    /** Applies the result of a won election without waiting for the watch to report it. */
     void applyWonElection(long wonTerm, long revision) {
         term = Math.max(term, wonTerm);
         termRevision = Math.max(termRevision, revision);
@@ -146,7 +146,7 @@
         }
     }
 
-    /** One watch of the election keys; it ends when the keys are read again. */
+    /** A watch of the election keys. It is inactive once the keys are read again. */
     private final class ElectionWatcher implements StoreClient.Watcher {
         private final long generation;
 
--- a/src/main/java/io/quartzgw/leadership/FencingTokens.java
+++ b/src/main/java/io/quartzgw/leadership/FencingTokens.java
@@ -1,20 +1,20 @@
 package io.quartzgw.leadership;
 
 /**
- * The fencing tokens of a term. An agent rejects every message with a token lower than the highest that it has seen.
+ * The fencing tokens of a term. An agent rejects messages with a token lower than the highest it has received.
  *
- * <p>Each term has a range of tokens, so that its leader can also fence off its own earlier messages to an agent: it
- * goes on with the next token of the range. The number of a term is its highest token. So a controller that takes each
- * token for a term never sees one above the leader's term, and a term that follows, by whatever step, is above all
- * tokens of the one before.
+ * <p>Each term has a range of tokens, so that its leader can also fence off its own earlier messages to an agent by
+ * using the next token of the range. The number of a term is its highest token. A controller can therefore treat each
+ * token as a term, as versions without token ranges do: no token exceeds the leader's term, and the next term exceeds
+ * all tokens of the previous one, whatever the increment.
  */
 public final class FencingTokens {
-    /** How many tokens a term has. */
+    /** The number of tokens of a term. */
     public static final long PER_TERM = 4096;
 
     private FencingTokens() {}
 
-    /** Returns the term that a candidate takes after the highest one that it knows. */
+    /** Returns the term for which a candidate stands, given the highest term that it has observed. */
     static long termAfter(long highestTerm) {
         return highestTerm + PER_TERM;
     }
--- a/src/main/java/io/quartzgw/leadership/LeaderDeposition.java
+++ b/src/main/java/io/quartzgw/leadership/LeaderDeposition.java
@@ -9,18 +9,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Ends the lease of a leader that neither answers nor ends, when the state store's outages keep that lease alive; then
- * a leader is elected as usual.
+ * Revokes the lease of an unresponsive leader whose lease does not expire because of outages of the state store. The
+ * election that follows is an ordinary one.
  *
- * <p>The deposed leader may count itself confirmed until its lease would have ended, so its successor must hold back
- * for a lease. That is why the store has a record of the deposition before the lease ends: whoever is elected next has
- * seen it, since every election requires its revision.
+ * <p>The deposed leader may consider itself confirmed until its lease would have expired, so the next leader must not
+ * count as confirmed for the duration of a lease. For this reason the deposition is recorded in the store before the
+ * lease is revoked. Every election requires the revision of this record, so the next leader has read it.
  */
 final class LeaderDeposition {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderDeposition.class);
-    /** For so many leases after a deposition the next leader is not deposed, whatever is heard of it. */
+    /** The next leader is not deposed for this many leases after a deposition, even if it is unresponsive. */
     private static final int COOLDOWN_LEASES = 5;
-    /** The state store may answer for a moment only. */
+    /** The delay is short, since the state store may respond only briefly during an outage. */
     private static final int RETRY_DELAY_MS = 250;
 
     private final EventLoop eventLoop;
@@ -40,7 +40,7 @@
         this.retryPeriodMs = timing.heartbeatMs();
     }
 
-    /** Notices depositions by any controller; to be called when the election keys have changed. */
+    /** Records when any controller deposed a leader. To be called when the election keys have changed. */
     void recordDepositions() {
         if (state.deposedTerm() != deposedTerm) {
             deposedTerm = state.deposedTerm();
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Deposes a leader, unless another one was deposed a short time ago; tries for the interval between two heartbeats,
-     * after which the leader may have been heard again.
+     * Deposes a leader, unless another leader was deposed recently. Failed attempts are retried for one heartbeat
+     * interval only, since the leader may have become responsive after that.
      */
     void depose(LeaderRecord leader) {
         boolean inCooldown =
--- a/src/main/java/io/quartzgw/leadership/LeaderLease.java
+++ b/src/main/java/io/quartzgw/leadership/LeaderLease.java
@@ -4,11 +4,11 @@
 import io.quartzgw.store.LeaseRenewal;
 import io.quartzgw.store.StoreClient;
 
-/** The lease of one term: renewed until it expires or is released. */
+/** The lease of one term. It is renewed until it expires or is released. */
 final class LeaderLease {
-    /** Steady clocks drift by 0.05%, so a lease is trusted for a little less than its time to live. */
+    /** Monotonic clocks drift by 0.05%, so a lease is trusted for slightly less than its time to live. */
     private static final double TRUSTED_FRACTION = 0.99;
-    /** The fraction of a lease that is left when two of its renewals have not been answered. */
+    /** The remaining fraction of a lease when two renewals in a row are unanswered. */
     private static final double ENDING_FRACTION = 0.35;
 
     private final EventLoop eventLoop;
@@ -21,10 +21,10 @@
     private boolean released;
 
     /**
-     * @param confirmedAtMs a moment at which the lease surely had its full time to live
-     * @param holdBackUntilMs before that moment the lease does not count as confirmed, since a leader that was deposed
-     *     may still count its own so
-     * @param onExpired called once if the store reports that the lease has expired
+     * @param confirmedAtMs a time at which the lease is known to have had its full time to live
+     * @param holdBackUntilMs the lease does not count as confirmed before this time, since a deposed leader may still
+     *     consider its own lease confirmed
+     * @param onExpired called once, when the store reports that the lease has expired
      */
     LeaderLease(
             EventLoop eventLoop,
@@ -43,22 +43,22 @@
         this.onExpired = onExpired;
     }
 
-    /** Whether the lease surely has not expired, and no other controller can count itself as the confirmed leader. */
+    /** Returns whether the lease is known to be valid and no other controller can consider itself confirmed. */
     boolean isConfirmed() {
         return eventLoop.nowMs() >= holdBackUntilMs && eventLoop.nowMs() < confirmedUntilMs();
     }
 
-    /** Until when the lease surely has not expired, unless it is renewed. */
+    /** Returns the time until which the lease is known to be valid without another renewal. */
     long confirmedUntilMs() {
         return confirmedAtMs + trustedMs;
     }
 
-    /** Whether several renewals in a row have not succeeded, so that little time is left. */
+    /** Returns whether several renewals in a row have not succeeded, so that the confirmation expires soon. */
     boolean isConfirmationEnding() {
         return confirmedUntilMs() - eventLoop.nowMs() < ENDING_FRACTION * trustedMs;
     }
 
-    /** When the last successful renewal was requested. */
+    /** Returns when the last successful renewal was requested. */
     long confirmedAtMs() {
         return confirmedAtMs;
     }
@@ -72,7 +72,7 @@
         if (released) {
             return;
         }
-        // An unknown result changes nothing: without a renewal the lease loses its confirmation in time.
+        // An unknown result needs no action: a lease that is not renewed ceases to be confirmed in time.
         if (renewal == LeaseRenewal.RENEWED) {
             confirmedAtMs = Math.max(confirmedAtMs, requestedAtMs);
         } else if (renewal == LeaseRenewal.EXPIRED) {
@@ -80,7 +80,7 @@
         }
     }
 
-    /** Ends the lease, so that other controllers can be elected at once. */
+    /** Revokes the lease, so that another controller can be elected immediately. */
     void release() {
         released = true;
         store.revokeLease(leaseId);
--- a/src/main/java/io/quartzgw/leadership/LeaderRecord.java
+++ b/src/main/java/io/quartzgw/leadership/LeaderRecord.java
@@ -1,11 +1,11 @@
 package io.quartzgw.leadership;
 
 /**
- * The stored record that names the current leader.
+ * The stored record of the current leader.
  *
  * @param member the name of the leading controller
- * @param process the leader's process; a restarted controller has another one
- * @param term the term that the leader was elected for
- * @param leaseId the lease of the state store that the record is attached to
+ * @param process the number of the leader's process, which differs after a restart
+ * @param term the term for which the leader was elected
+ * @param leaseId the lease in the state store to which the record is attached
  */
 public record LeaderRecord(String member, long process, long term, long leaseId) {}
--- a/src/main/java/io/quartzgw/leadership/LeaderRecordCodec.java
+++ b/src/main/java/io/quartzgw/leadership/LeaderRecordCodec.java
@@ -3,10 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import io.quartzgw.http.Json;
 
-/**
- * Encodes and decodes the values of the two election keys. The names and the order of the fields are part of the stored
- * format.
- */
+/** Encodes and decodes the values of the election keys. Names and order of the fields are part of the stored format. */
 final class LeaderRecordCodec {
     private static final String MEMBER = "member";
     private static final String PROCESS = "process";
--- a/src/main/java/io/quartzgw/leadership/LeaderTerm.java
+++ b/src/main/java/io/quartzgw/leadership/LeaderTerm.java
@@ -1,57 +1,57 @@
 package io.quartzgw.leadership;
 
 /**
- * One term for which this controller was elected. Whatever a leader starts and continues later must first check that
- * the term is still current.
+ * A term for which this controller was elected. Asynchronous work of a leader must check that the term is still current
+ * before it continues.
  */
 public final class LeaderTerm {
     private final Leadership leadership;
     private final long number;
     private final long termRevision;
 
-    /** Captures the term that this controller leads with now. */
+    /** Captures the term in which this controller currently leads. */
     public LeaderTerm(Leadership leadership) {
         this.leadership = leadership;
         this.number = leadership.term();
         this.termRevision = leadership.termRevision();
     }
 
-    /** The number of the term, which is also its highest fencing token. */
+    /** Returns the number of the term, which is also its highest fencing token. */
     public long number() {
         return number;
     }
 
-    /** The lowest fencing token of the term: an agent that has shown it rejects the messages of former leaders. */
+    /** Returns the lowest fencing token of the term. An agent that received it rejects previous leaders' messages. */
     public long lowestToken() {
         return FencingTokens.lowestOf(number);
     }
 
-    /** The revision of the term key, which every write of this leader to the state store requires. */
+    /** Returns the revision of the term key, which every write of this leader to the state store requires. */
     public long termRevision() {
         return termRevision;
     }
 
-    /** Records a token that a message has shown; one above those of this term ends it. */
+    /** Records a fencing token from a message. A token above those of this term ends the term. */
     public void observeToken(long token) {
         leadership.observeTerm(token);
     }
 
-    /** Whether this controller still leads with this term, as far as it knows. */
+    /** Returns whether this controller still leads in this term, as far as it knows. */
     public boolean isCurrent() {
         return leadership.leading() && leadership.term() == number;
     }
 
-    /** Until when this controller surely leads with this term, as of now. */
+    /** Returns the time until which this controller is confirmed in this term if its lease is not renewed again. */
     public long confirmedUntilMs() {
         return isCurrent() ? leadership.confirmedUntilMs() : Long.MIN_VALUE;
     }
 
-    /** Whether the term is confirmed for a short time only, since the state store does not renew the leader's lease. */
+    /** Returns whether the term is confirmed but will soon not be, since the lease is not being renewed. */
     public boolean isConfirmationEnding() {
         return isConfirmed() && leadership.isConfirmationEnding();
     }
 
-    /** Whether this controller surely still leads with this term: no other controller can have been elected. */
+    /** Returns whether this controller is confirmed in this term: no other controller can have been elected. */
     public boolean isConfirmed() {
         return isCurrent() && leadership.isConfirmed();
     }
--- a/src/main/java/io/quartzgw/leadership/Leadership.java
+++ b/src/main/java/io/quartzgw/leadership/Leadership.java
@@ -8,32 +8,34 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This controller's role: it takes part in elections while nobody leads, and keeps or gives up the term that it won.
+ * The role of this controller. It is a candidate while there is no leader; after a won election it leads until it steps
+ * down.
  *
- * <p>There are two fences. The state store fences by the term: every write of a leader requires the revision of the
- * term key. Agents fence by the token, which is the term. So a leader that can't confirm its lease may go on answering
- * heartbeats for a grace period, while it starts, rents, deletes and finishes nothing.
+ * <p>Stale leaders are fenced off twice. In the state store, every write of a leader requires the revision of the term
+ * key. Agents reject messages whose fencing token, which belongs to the term, is too low. So a leader that can't
+ * confirm its lease may still answer heartbeats for a grace period. In that time it starts and completes no task, and
+ * rents and deletes no machine.
  */
 public final class Leadership {
     private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
 
     /** Prefix of the election keys. */
     public static final String PREFIX = "lead/";
-    /** The key of the term, which has no lease. Writes of a leader require its revision. */
+    /** The key of the current term, which has no lease. Every write of a leader requires its revision. */
     public static final String TERM_KEY = "lead/term";
-    /** The key of the leader record, which is attached to the leader's lease. */
+    /** The key of the leader record. It is attached to the leader's lease, so it is deleted when the lease expires. */
     static final String LEADER_KEY = "lead/leader";
-    /** The key of the last deposition, which names the deposed leader's term. */
+    /** The key of the last deposition. Its value is the term of the deposed leader. */
     static final String DEPOSED_KEY = "lead/deposed";
 
     private static final int RENEWALS_PER_LEASE = 4;
 
-    /** Receives changes of this controller's role, on the event loop's thread. */
+    /** Is notified of changes of this controller's role, on the event loop's thread. */
     public interface Listener {
-        /** This controller leads from now on. */
+        /** This controller has become the leader. */
         void elected(long term, long termRevision);
 
-        /** This controller leads no longer. */
+        /** This controller has stepped down. */
         void leadershipLost();
     }
 
@@ -49,10 +51,10 @@
 
     private long highestObservedTerm;
     private long term;
-    /** The lease of the current term; present only while this controller leads. */
+    /** The lease of the current term, present only while this controller leads. */
     private Optional<LeaderLease> lease = Optional.empty();
 
-    /** @param watermark the moment before which this controller knows all cancellations */
+    /** @param watermark the time up to which this controller knows all cancellations */
     public Leadership(
             EventLoop eventLoop,
             StoreClient store,
@@ -69,47 +71,53 @@
         this.deposition = new LeaderDeposition(eventLoop, store, state, timing);
     }
 
-    /** Begins to watch the election keys and to take part in elections. */
+    /** Starts watching the election keys and taking part in elections. */
     public void start(Listener listener) {
         this.listener = listener;
         state.reload();
         eventLoop.every(timing.leaseMs() / RENEWALS_PER_LEASE, () -> lease.ifPresent(LeaderLease::renew));
     }
 
-    /** Whether this controller leads, as far as it knows. */
+    /** Returns whether this controller leads, as far as it knows; its lease may have expired unnoticed. */
     public boolean leading() {
         return lease.isPresent();
     }
 
-    /** The last term that this controller has led with; 0 before the first. */
+    /** Returns the last term in which this controller led, or 0 if it has not led yet. */
     public long term() {
         return term;
     }
 
-    /** Whether this controller surely still leads: nobody else can have been elected. */
+    /** Returns whether this controller is the confirmed leader: no other controller can have been elected. */
     public boolean isConfirmed() {
         return lease.map(LeaderLease::isConfirmed).orElse(false);
     }
 
-    /** Whether this controller leads, and its lease is confirmed for a short time only since it was not renewed. */
+    /** Returns whether this controller leads and will soon lose its confirmation unless the lease is renewed. */
     boolean isConfirmationEnding() {
         return lease.filter(LeaderLease::isConfirmationEnding).isPresent();
     }
 
-    /** Until when this controller surely leads, as of now; what only a confirmed leader may send leaves before. */
+    /**
+     * Returns the time until which this controller is confirmed as leader if its lease is not renewed again. Messages
+     * that only a confirmed leader may send must be sent before this time.
+     */
     public long confirmedUntilMs() {
         return lease.map(LeaderLease::confirmedUntilMs).orElse(Long.MIN_VALUE);
     }
 
-    /** How long ago the last successful renewal of this leader's lease was requested; 0 while it does not lead. */
+    /**
+     * Returns the time since the last successful lease renewal was requested, or 0 if this controller does not lead.
+     */
     public long confirmedAgeMs() {
         return lease.map(current -> eventLoop.nowMs() - current.confirmedAtMs()).orElse(0L);
     }
 
     /**
-     * Whether this controller may answer agents, and so renew their leases. An answer has the commands that stop the
-     * tasks of every job that this controller knows as cancelled; the grace period bounds how long ago a job that it
-     * doesn't know may have been cancelled. That holds from the election on, also while the stored state is being read.
+     * Returns whether this controller may answer heartbeats and thereby renew the leases of agents. A heartbeat
+     * response carries the commands to stop the tasks of all jobs that this controller knows to be cancelled. The grace
+     * period limits the age of cancellations that it may have missed. This applies from the election on, even while the
+     * stored state is being read.
      */
     public boolean mayRenewAgentLeases() {
         return lease.map(current ->
@@ -117,27 +125,29 @@
                 .orElse(false);
     }
 
-    /** The revision of the term key under this controller's term. */
+    /** Returns the revision of the term key; for a leader, the one written by its election. */
     public long termRevision() {
         return state.termRevision();
     }
 
-    /** The highest term that this controller has led with or observed; it answers agents with none below. */
+    /**
+     * Returns the highest term that this controller led in or observed. It no longer answers agents in a lower term.
+     */
     public long highestTerm() {
         return Math.max(term, highestObservedTerm);
     }
 
-    /** The member that leads as far as this controller knows. */
+    /** Returns the name of the leading controller, as far as this controller knows. */
     public Optional<String> leader() {
         return leading() ? Optional.of(identity.member()) : state.leader().map(LeaderRecord::member);
     }
 
-    /** Whether this controller has read the election keys since it was started. */
+    /** Returns whether this controller has read the election keys since its start. */
     public boolean hasReadStore() {
         return state.initialized();
     }
 
-    /** Gives up the term in favour of another controller, and takes part in no election for a while. */
+    /** Steps down in favour of another controller and takes part in no election during the back-off. */
     public void resign(long backOffMs) {
         if (leading()) {
             candidacy.backOff(backOffMs);
@@ -147,7 +157,7 @@
         }
     }
 
-    /** Records a term that an agent or a peer has shown; a higher one than this controller's ends its leadership. */
+    /** Records a term from a message of an agent or a peer. A leader steps down if it is higher than its own term. */
     public void observeTerm(long observedTerm) {
         highestObservedTerm = Math.max(highestObservedTerm, observedTerm);
         if (leading() && observedTerm > term) {
@@ -156,14 +166,15 @@
         }
     }
 
-    /** The stored leader record as far as this controller knows. */
+    /** Returns the stored leader record, as far as this controller knows. */
     Optional<LeaderRecord> leaderRecord() {
         return state.leader();
     }
 
     /**
-     * Records that a peer has answered as a process. If the leader record, as it was known when the peer was asked,
-     * names another process of the peer, that one is dead; a record that came meanwhile may name a newer one.
+     * Records which process of a peer has responded. If the leader record names another process of this peer, that
+     * process has terminated, and this controller becomes a candidate. The record must be the same as when the request
+     * was sent: a record received since then may name a newer process.
      */
     void recordPeerProcess(ControllerIdentity peer, Optional<LeaderRecord> recordAtRequest) {
         if (leading() || state.leader().isEmpty() || !state.leader().equals(recordAtRequest)) {
@@ -182,7 +193,7 @@
         }
     }
 
-    /** Ends the term of the recorded leader, which a majority of the controllers has not heard for long. */
+    /** Deposes the leader that the leader record names, after a majority of the controllers found it unresponsive. */
     void deposeUnresponsiveLeader() {
         if (!leading()) {
             state.leader().ifPresent(deposition::depose);
@@ -203,18 +214,18 @@
         }
     }
 
-    /** Whether an election whose outcome was lost, or whose transaction was applied late, was won after all. */
+    /** Returns whether this controller won an election whose outcome was lost or whose transaction was applied late. */
     private boolean isUnobservedElectionWin(LeaderRecord leader) {
         return leader.process() == identity.process() && leader.term() == state.term() && leader.term() > term;
     }
 
     private void adoptElectionWin(LeaderRecord leader) {
-        // When the lease began is not known: it counts as unconfirmed until it is renewed.
+        // The start of the lease is unknown, so it counts as unconfirmed until it is renewed.
         long unconfirmedAtMs = eventLoop.nowMs() - timing.leaseMs();
         becomeLeader(leader.term(), leader.leaseId(), unconfirmedAtMs, candidacy.holdBackUntilMs(leader.term()));
     }
 
-    /** Connects the candidacy to this role. */
+    /** Connects the candidacy to this controller's role. */
     private final class CandidacyOwner implements Candidacy.Owner {
         @Override
         public boolean leading() {
@@ -228,7 +239,7 @@
 
         @Override
         public void electionWon(Candidacy.WonElection wonElection) {
-            // The watch may have reported the victory first: then its lease is in use already.
+            // If the watch reported the won election first, its lease is already in use.
             if (!leading() && wonElection.term() > term) {
                 state.applyWonElection(wonElection.term(), wonElection.termRevision());
                 becomeLeader(
--- a/src/main/java/io/quartzgw/leadership/PeerExchange.java
+++ b/src/main/java/io/quartzgw/leadership/PeerExchange.java
@@ -19,18 +19,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Exchanges messages with the other controllers: once a heartbeat with each, and at once after an event. They announce
- * which process runs, who leads with which term, whether the state store answers, cancelled jobs and the job counts.
+ * Exchanges messages with the other controllers, once per heartbeat interval and immediately after certain events. A
+ * message announces the sender's process, its term, whether the state store responds, the cancelled jobs and the job
+ * counts.
  */
 public final class PeerExchange {
     private static final Logger LOG = LoggerFactory.getLogger(PeerExchange.class);
 
-    /** The path of the peer listener that messages are posted to. */
+    /** The path of the peer listener to which messages are posted. */
     public static final String PATH = "/peer";
 
     private static final int STALE_AFTER_HEARTBEATS = 4;
     private static final int RESPONSE_TIMEOUT_HEARTBEATS = 2;
-    /** How many jobs a message may name: at 48 bytes each for the longest names, it stays below 64 KiB. */
+    /** The maximum number of jobs in a message. At 48 bytes for each of the longest names it stays below 64 KiB. */
     private static final int MAX_JOBS_PER_MESSAGE = 1_200;
 
     private final EventLoop eventLoop;
@@ -47,7 +48,7 @@
     private final Set<String> peersWithRequestInFlight = new HashSet<>();
     private PeerPayloads payloads = PeerPayloads.NONE;
 
-    /** The parts of this controller whose state is announced to peers, and that learn from their messages. */
+    /** The components of this controller whose state is announced to peers, or that process their messages. */
     public record Participants(
             Leadership leadership,
             StoreClient store,
@@ -55,7 +56,7 @@
             CancellationWatermark watermark,
             WriteBudgetExchange writeBudget) {}
 
-    /** @param endpoints the peer listeners of the other controllers, by member */
+    /** @param endpoints the peer listeners of the other controllers by name */
     public PeerExchange(
             EventLoop eventLoop,
             LeadershipTiming timing,
@@ -77,7 +78,7 @@
                 identity, participants, redirectedAgents, unresponsiveLeaderDetector, staleAfterMs);
     }
 
-    /** Begins to send messages. */
+    /** Starts sending messages. */
     public void start(PeerPayloads peerPayloads) {
         this.payloads = peerPayloads;
         broadcast();
@@ -91,7 +92,8 @@
         });
     }
 
-    // A leader that its agents reach serves them whomever else it reaches, so agents have to come here as well.
+    // A leader that its agents reach still serves them, even if it is isolated from the other controllers. So it is
+    // deposed only if agents contact this controller as well.
     private boolean shouldDeposeLeader() {
         if (!unresponsiveLeaderDetector.isLeaderUnresponsive()) {
             return false;
@@ -109,7 +111,7 @@
 
     // ---- sending
 
-    /** Sends a message to every peer at once, for example after this controller was elected. */
+    /** Sends a message to every peer immediately, for example after this controller was elected. */
     public void broadcast() {
         writeBudget.measureDemand();
         PeerMessage status = messages.create();
@@ -126,7 +128,7 @@
         postToLeader(messages.create().with(Attachments.ofNotice(notice)));
     }
 
-    /** Sends a message with the cancelled jobs to the leader at once, if another controller leads. */
+    /** Sends a message with the cancelled jobs to the leader immediately, if another controller leads. */
     public void sendToLeader() {
         postToLeader(messages.create());
     }
@@ -141,7 +143,7 @@
     }
 
     private void send(String member, PeerMessage message) {
-        // One message at a time to each peer: calls must not pile up while it can't be reached.
+        // Only one request per peer is in flight, so that requests don't accumulate while a peer is unreachable.
         if (!peersWithRequestInFlight.add(member)) {
             return;
         }
@@ -162,7 +164,7 @@
 
     // ---- receiving
 
-    /** Serves a peer's message. */
+    /** Handles a message of a peer. */
     public void serve(Request request) {
         Optional<PeerMessage> message = PeerMessageCodec.decode(request.body())
                 .filter(received -> endpoints.containsKey(received.sender().member()));
@@ -175,8 +177,8 @@
     }
 
     private PeerMessage receive(PeerMessage message) {
-        // A message may be a late copy, of a process that has ended: it does not prove which process runs now. The
-        // peer's answer to this controller's next message does.
+        // A message may be a delayed copy from a process that has terminated, so it does not prove which process runs
+        // now. The peer's response to the next message of this controller does.
         peers.findCurrentProcess(message.sender())
                 .ifPresentOrElse(
                         peer -> applyCurrentState(peer, message),
@@ -199,7 +201,7 @@
                 .ifPresent(payloads.countsListener());
     }
 
-    // An answer was made after the message that it answers was sent, so it proves which process runs.
+    // A response was created after the request was sent, so it proves which process runs.
     private void onResponse(
             String member, PeerMessage response, long sentAtMs, Optional<LeaderRecord> recordAtRequest) {
         ControllerIdentity peer =
@@ -216,30 +218,30 @@
         leadership.recordPeerProcess(peer, recordAtRequest);
     }
 
-    /** Applies what stays true, however late it comes: cancellations, and that a term was reached. */
+    /** Applies the facts that remain true if the message is delayed: cancellations and observed terms. */
     private void applyDurableFacts(PeerMessage message) {
         cancellations.recordAll(message.cancellations());
         leadership.observeTerm(message.status().highestTerm());
     }
 
-    // ---- the peers' state
+    // ---- state of the peers
 
-    /** Whether every other controller has announced that it answers agents with no term below this one. */
+    /** Returns whether every other controller has announced that it no longer answers agents in a lower term. */
     public boolean allAcknowledgedTerm(long term) {
         return peers.allAcknowledged(endpoints.keySet(), term);
     }
 
-    /** Records that an agent sent its heartbeat to this controller while another one leads, or none. */
+    /** Records that an agent sent its heartbeat to this controller, which does not lead. */
     public void recordRedirectedAgent(String machine, Endpoint address) {
         redirectedAgents.add(machine, address);
     }
 
-    /** The most agents that one other controller has lately turned away and can reach. */
+    /** Returns the highest number of agents that a single peer recently redirected and can reach. */
     public int agentsReachingOthers() {
         return peers.maxRedirectedAgents();
     }
 
-    /** Whether the state store lately answered some other controller. */
+    /** Returns whether the state store recently responded to any other controller. */
     public boolean anotherPeerReachesStore() {
         return peers.anyReachesStore();
     }
--- a/src/main/java/io/quartzgw/leadership/PeerMessage.java
+++ b/src/main/java/io/quartzgw/leadership/PeerMessage.java
@@ -6,10 +6,10 @@
 import java.util.OptionalDouble;
 
 /**
- * A message from one controller to another, or the answer to one.
+ * A message from one controller to another, or the response to one.
  *
- * @param sequence the number of the message among those of its process
- * @param writeDemandPerS how many writes of the state store the sender wants to make a second
+ * @param sequence the sequence number of the message within the sending process
+ * @param writeDemandPerS the number of writes per second to the state store that the sender needs
  */
 record PeerMessage(
         ControllerIdentity sender,
@@ -20,11 +20,11 @@
         Attachments attachments) {
 
     /**
-     * What only some messages have.
+     * The optional parts of a message.
      *
-     * @param jobCounts a page of the leader's job counts, which this package only passes on
-     * @param notice a notice about a job for the leader, which this package only passes on
-     * @param writeGrantPerS how many writes a second the leader grants to the receiver of this answer
+     * @param jobCounts a page of the leader's job counts, which this package does not interpret
+     * @param notice a notice to the leader about a job, which this package does not interpret
+     * @param writeGrantPerS the writes per second that the leader grants to the receiver of this response
      */
     record Attachments(Optional<JsonNode> jobCounts, Optional<JsonNode> notice, OptionalDouble writeGrantPerS) {
         static final Attachments NONE = new Attachments(Optional.empty(), Optional.empty(), OptionalDouble.empty());
--- a/src/main/java/io/quartzgw/leadership/PeerMessageCodec.java
+++ b/src/main/java/io/quartzgw/leadership/PeerMessageCodec.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.OptionalDouble;
 
-/** Encodes and decodes messages between controllers. The names and the order of the fields are part of the format. */
+/** Encodes and decodes messages between controllers. Names and order of the fields are part of the message format. */
 final class PeerMessageCodec {
     private static final String WRITE_DEMAND = "writes_wanted";
     private static final String MEMBER = "member";
@@ -18,7 +18,7 @@
     private static final String LED_TERM = "leading";
     private static final String HIGHEST_TERM = "term";
     private static final String STORE_REACHABLE = "store";
-    /** Only in messages of which it is true. */
+    /** Present only if true. */
     private static final String LEADER_UNRESPONSIVE = "leader_silent";
 
     private static final String JOB_COUNTS = "counts";
@@ -50,12 +50,12 @@
         return node;
     }
 
-    /** The message of a request's body; empty when the body is not CBOR. */
+    /** Returns the message in a request body; empty if the body is not CBOR. */
     static Optional<PeerMessage> decode(byte[] body) {
         return Optional.ofNullable(Json.readCborOrNull(body)).map(PeerMessageCodec::decode);
     }
 
-    /** Missing fields are read as 0, false and empty. */
+    /** Decodes a message. Missing fields are decoded as 0, false or empty. */
     static PeerMessage decode(JsonNode node) {
         ControllerIdentity sender = new ControllerIdentity(
                 node.path(MEMBER).asText(), node.path(PROCESS).asLong());
--- a/src/main/java/io/quartzgw/leadership/PeerMessageFactory.java
+++ b/src/main/java/io/quartzgw/leadership/PeerMessageFactory.java
@@ -2,7 +2,7 @@
 
 import io.quartzgw.leadership.PeerMessage.Attachments;
 
-/** Creates this controller's messages to its peers from the present state of its parts. */
+/** Creates the messages to the peers from the current state of this controller's components. */
 final class PeerMessageFactory {
     private final ControllerIdentity identity;
     private final PeerExchange.Participants participants;
@@ -11,7 +11,7 @@
     private final long staleAfterMs;
     private long lastSequence;
 
-    /** @param staleAfterMs how long after its last response the state store counts as reachable */
+    /** @param staleAfterMs how long the state store counts as reachable after its last response */
     PeerMessageFactory(
             ControllerIdentity identity,
             PeerExchange.Participants participants,
@@ -25,7 +25,7 @@
         this.staleAfterMs = staleAfterMs;
     }
 
-    /** The next message, without attachments. */
+    /** Creates the next message, without attachments. */
     PeerMessage create() {
         return new PeerMessage(
                 identity,
--- a/src/main/java/io/quartzgw/leadership/PeerPayloads.java
+++ b/src/main/java/io/quartzgw/leadership/PeerPayloads.java
@@ -6,11 +6,11 @@
 import java.util.function.IntFunction;
 
 /**
- * The source and the receivers of those parts of messages that {@link PeerExchange} only passes on.
+ * The source and the receivers of the message parts that {@link PeerExchange} does not interpret.
  *
- * @param countsSource the next page of the leader's job counts, of so many jobs at the most; empty when this controller
- *     has none
- * @param countsListener receives each page of the leader's job counts, this controller's own as well
+ * @param countsSource returns the next page of the leader's job counts, with at most the given number of jobs; empty if
+ *     this controller has none
+ * @param countsListener receives each page of the leader's job counts, including those of this controller
  * @param noticeListener receives a peer's notice about a job
  */
 public record PeerPayloads(
@@ -18,6 +18,6 @@
         Consumer<JsonNode> countsListener,
         Consumer<JsonNode> noticeListener) {
 
-    /** Supplies nothing, and ignores what is received. */
+    /** Supplies no job counts and ignores received job counts and notices. */
     static final PeerPayloads NONE = new PeerPayloads(maxJobs -> Optional.empty(), counts -> {}, notice -> {});
 }
--- a/src/main/java/io/quartzgw/leadership/PeerRegistry.java
+++ b/src/main/java/io/quartzgw/leadership/PeerRegistry.java
@@ -8,54 +8,54 @@
 import java.util.Set;
 import java.util.stream.Stream;
 
-/** The states of all peers that have answered this controller. */
+/** The states of all peers that have responded to this controller. */
 final class PeerRegistry {
     private final EventLoop eventLoop;
     private final long staleAfterMs;
     private final Map<String, PeerState> peers = new HashMap<>();
 
-    /** @param staleAfterMs how long a status counts */
+    /** @param staleAfterMs the maximum age of a status that counts as recent */
     PeerRegistry(EventLoop eventLoop, long staleAfterMs) {
         this.eventLoop = eventLoop;
         this.staleAfterMs = staleAfterMs;
     }
 
-    /** The state of a peer, if the sender is the process that has answered last. */
+    /** Returns the state of a peer, if the sender is the process that responded last. */
     Optional<PeerState> findCurrentProcess(ControllerIdentity sender) {
         return Optional.ofNullable(peers.get(sender.member())).filter(peer -> peer.isProcess(sender.process()));
     }
 
-    /** Records that a peer has answered as a process. */
+    /** Records which process of a peer has responded. */
     PeerState observeProcess(ControllerIdentity peer) {
         PeerState state = peers.computeIfAbsent(peer.member(), name -> new PeerState());
         state.observeProcess(peer.process());
         return state;
     }
 
-    /** Whether each of these peers has observed a term at least as high. */
+    /** Returns whether each of these peers has observed this term or a higher one. */
     boolean allAcknowledged(Set<String> members, long term) {
         return members.stream()
                 .allMatch(name -> peers.containsKey(name) && peers.get(name).acknowledgedTerm() >= term);
     }
 
-    /** The most redirected agents that one peer lately had. */
+    /** Returns the highest number of redirected agents that a single peer recently reported. */
     int maxRedirectedAgents() {
         return recentPeers().mapToInt(PeerState::redirectedAgents).max().orElse(0);
     }
 
-    /** Whether the state store lately answered some peer. */
+    /** Returns whether the state store recently responded to any peer. */
     boolean anyReachesStore() {
         return recentPeers().anyMatch(PeerState::storeReachable);
     }
 
-    /** How many peers have lately said that they have not heard the leader of a term for long. */
+    /** Returns the number of peers that recently reported the leader of a term as unresponsive. */
     int countReportingLeaderUnresponsive(long term) {
         return (int) recentPeers()
                 .filter(peer -> peer.reportsLeaderUnresponsive(term))
                 .count();
     }
 
-    /** When a process of a peer was last heard; empty if it is not known to be the present one. */
+    /** Returns when the last status of a process was received if the process is known to be current. */
     OptionalLong lastReceivedAtMs(ControllerIdentity peer) {
         return findCurrentProcess(peer)
                 .map(state -> OptionalLong.of(state.lastReceivedAtMs()))
--- a/src/main/java/io/quartzgw/leadership/PeerState.java
+++ b/src/main/java/io/quartzgw/leadership/PeerState.java
@@ -1,12 +1,12 @@
 package io.quartzgw.leadership;
 
-/** The newest status of one peer that is known to be of its present process. */
+/** The newest status of a peer that is known to come from its current process. */
 final class PeerState {
     private long process;
     private long lastReceivedAtMs;
-    /** The number of the process's newest message. */
+    /** The sequence number of the newest message applied from the process. */
     private long lastStatusSequence;
-    /** The number of its newest message that had job counts. */
+    /** The sequence number of the newest applied message with job counts. */
     private long lastCountsSequence;
 
     private boolean storeReachable;
@@ -15,7 +15,7 @@
     private long acknowledgedTerm;
 
     /**
-     * Records that the peer has answered as a process: the messages of another one are numbered from the first again.
+     * Records which process of the peer has responded. The sequence numbers of another process start from one again.
      */
     void observeProcess(long answeringProcess) {
         if (process != answeringProcess) {
@@ -29,7 +29,7 @@
         return process == otherProcess;
     }
 
-    /** Applies a message's status, unless a newer message was applied before. */
+    /** Applies the status of a message, unless a newer message has been applied. */
     void applyStatus(PeerMessage message, long nowMs) {
         if (message.sequence() <= lastStatusSequence) {
             return;
@@ -44,8 +44,9 @@
     }
 
     /**
-     * Whether the job counts of a message are the newest. They are numbered apart from the status, since answers have
-     * none: an answer that overtakes the leader's message must not make its counts look old, or two controllers whose
+     * Returns whether the job counts of a message are the newest, and records their sequence number if they are. It is
+     * tracked separately from that of the status, since responses carry no job counts. A response that overtakes an
+     * earlier message of the leader must not make the counts of that message look outdated. Otherwise controllers whose
      * heartbeats coincide would never receive any.
      */
     boolean acceptCounts(PeerMessage message) {
@@ -64,7 +65,7 @@
         return storeReachable;
     }
 
-    /** Whether the peer has not heard the leader for long, and knows of no other term than this one. */
+    /** Returns whether the peer reports the leader as unresponsive and this is the highest term it has observed. */
     boolean reportsLeaderUnresponsive(long term) {
         return leaderUnresponsive && acknowledgedTerm == term;
     }
@@ -73,7 +74,7 @@
         return redirectedAgents;
     }
 
-    /** The highest term that the peer has observed, and so no longer answers agents below. */
+    /** Returns the highest term that the peer has observed. It no longer answers agents in a lower term. */
     long acknowledgedTerm() {
         return acknowledgedTerm;
     }
--- a/src/main/java/io/quartzgw/leadership/PeerStatus.java
+++ b/src/main/java/io/quartzgw/leadership/PeerStatus.java
@@ -1,14 +1,14 @@
 package io.quartzgw.leadership;
 
 /**
- * The state of a controller at the time of a message.
+ * The state of a controller when it sent a message.
  *
- * @param redirectedAgents how many agents it has lately turned away from itself and can reach
- * @param uptimeMs how long its process has run
- * @param ledTerm the term that it leads with; 0 when it does not lead
- * @param highestTerm the highest term that it has observed; it answers agents with none below
- * @param storeReachable whether the state store answers it
- * @param leaderUnresponsive whether it has not heard the recorded leader for so long that it should be replaced
+ * @param redirectedAgents the number of agents that it recently redirected and can reach
+ * @param uptimeMs the time since the start of its process
+ * @param ledTerm the term in which it leads; 0 if it does not lead
+ * @param highestTerm the highest term that it has observed; it no longer answers agents in a lower term
+ * @param storeReachable whether the state store responds to it
+ * @param leaderUnresponsive whether the recorded leader has sent it no message for so long that it should be replaced
  */
 record PeerStatus(
         int redirectedAgents,
--- a/src/main/java/io/quartzgw/leadership/RedirectedAgents.java
+++ b/src/main/java/io/quartzgw/leadership/RedirectedAgents.java
@@ -8,17 +8,17 @@
 import java.util.Map;
 
 /**
- * Agents that sent a heartbeat to this controller while another one leads, or none, and whether this controller can
+ * Counts the agents that recently sent a heartbeat to this controller although it does not lead, if this controller can
  * reach them.
  *
- * <p>Many of them may mean that the leader is cut off from its agents, and should give up its term to a controller that
- * isn't. But agents that receive nothing turn up at every controller as well, and no other leader would serve them
- * better. So one of them is probed at each heartbeat, and they count only while such probes are answered.
+ * <p>A high count may mean that the leader is partitioned from its agents and should resign in favour of a controller
+ * that isn't. But agents whose inbound traffic is blocked also contact every controller, and no other leader could
+ * serve them better. So one agent is probed per heartbeat, and the agents count only while probes are answered.
  */
 final class RedirectedAgents {
-    /** How long an agent counts: in between it tries the leader for some seconds. */
+    /** An agent counts for this long after a heartbeat, since it also tries the leader for some seconds in between. */
     private static final int EXPIRY_HEARTBEATS = 6;
-    /** A controller that has missed so many heartbeats was paused; what it reads for a while after that is old. */
+    /** A controller that missed this many heartbeats was paused; the messages it reads next may be outdated. */
     private static final int PAUSE_HEARTBEATS = 3;
 
     private static final int IGNORE_AFTER_PAUSE_HEARTBEATS = 2;
@@ -32,7 +32,7 @@
     private long lastProbeAtMs;
     private long ignoreHeartbeatsUntilMs = NEVER;
 
-    /** An agent's last heartbeat to this controller. */
+    /** The last heartbeat of an agent to this controller. */
     private record Redirection(Endpoint address, long receivedAtMs) {}
 
     RedirectedAgents(EventLoop eventLoop, long heartbeatMs) {
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Probes one of the agents; to be called once a heartbeat. */
+    /** Probes one of the agents. To be called once per heartbeat. */
     void probe() {
         discardAfterPause();
         lastProbeAtMs = eventLoop.nowMs();
@@ -65,8 +65,8 @@
         });
     }
 
-    // Guards the leader that was elected meanwhile: to a controller that was paused, heartbeats that were queued look
-    // like agents that are turned away now, and with a wave of lost machines they would depose a healthy leader.
+    // Protects the leader that was elected during a pause. A controller that resumes would count the queued heartbeats
+    // as agents that need a leader now. If many machines are lost at the same time, it would depose a healthy leader.
     private void discardAfterPause() {
         if (eventLoop.nowMs() - lastProbeAtMs > PAUSE_HEARTBEATS * heartbeatMs) {
             redirections.clear();
@@ -74,7 +74,7 @@
         }
     }
 
-    /** How many agents this controller has lately turned away; 0 while it reaches none of them. */
+    /** Returns the number of agents recently redirected, or 0 if none of them recently responded to a probe. */
     int count() {
         if (!isRecent(lastProbeResponseAtMs)) {
             return 0;
@@ -84,7 +84,7 @@
                 .count();
     }
 
-    private boolean isRecent(long momentMs) {
-        return eventLoop.nowMs() - momentMs <= EXPIRY_HEARTBEATS * heartbeatMs;
+    private boolean isRecent(long timeMs) {
+        return eventLoop.nowMs() - timeMs <= EXPIRY_HEARTBEATS * heartbeatMs;
     }
 }
--- a/src/main/java/io/quartzgw/leadership/StepDownReason.java
+++ b/src/main/java/io/quartzgw/leadership/StepDownReason.java
@@ -2,15 +2,15 @@
 
 import java.util.Locale;
 
-/** Why a leader gave up its term. */
+/** The reason why a leader stepped down. */
 enum StepDownReason {
-    /** The lease of the leader record has ended. */
+    /** The lease of the leader record has expired. */
     LEASE_EXPIRED,
-    /** The term key in the state store has a higher term. */
+    /** The term key in the state store contains a higher term. */
     HIGHER_TERM_STORED,
-    /** A message of an agent or a peer showed a higher term. */
+    /** A message of an agent or a peer contained a higher term. */
     HIGHER_TERM_OBSERVED,
-    /** This controller resigned, since its agents reach another controller but not this one. */
+    /** This controller resigned because its agents can reach another controller but not this one. */
     RESIGNED;
 
     String logValue() {
--- a/src/main/java/io/quartzgw/leadership/UnresponsiveLeaderDetector.java
+++ b/src/main/java/io/quartzgw/leadership/UnresponsiveLeaderDetector.java
@@ -4,13 +4,14 @@
 import java.util.Optional;
 
 /**
- * How long this controller has heard nothing of the leader that the state store names, while it ran itself. A leader
- * whose lease is not renewed is replaced before it counts as silent, unless the store's outages keep the lease alive.
+ * Detects that the leader named in the state store has sent this controller no message for a long time. Times in which
+ * this controller was paused do not count. A leader whose lease expires is replaced before it counts as unresponsive,
+ * so this matters only when outages of the store keep the lease from expiring.
  */
 final class UnresponsiveLeaderDetector {
-    /** A leader that was not heard for so many of its leases is silent. */
+    /** A leader is unresponsive after this many lease durations without a message. */
     private static final double UNRESPONSIVE_AFTER_LEASES = 1.5;
-    /** Without a check for so many heartbeats, this controller was paused, and could not have heard anybody. */
+    /** If no check ran for this many heartbeat intervals, this controller was paused and could not receive messages. */
     private static final int PAUSE_HEARTBEATS = 3;
 
     private final EventLoop eventLoop;
@@ -19,7 +20,7 @@
     private final long unresponsiveAfterMs;
     private final long pauseThresholdMs;
     private Optional<LeaderRecord> observedRecord = Optional.empty();
-    /** Since when this controller could have heard the leader of the record. */
+    /** The time since which this controller has been able to receive messages of the recorded leader. */
     private long observingSinceMs;
 
     private long checkedAtMs;
@@ -35,7 +36,7 @@
         this.checkedAtMs = eventLoop.nowMs();
     }
 
-    /** Notices another leader record and pauses of this process; to be called once a heartbeat. */
+    /** Restarts the observation after a change of the leader record or a pause. To be called once per heartbeat. */
     void check() {
         boolean paused = eventLoop.nowMs() - checkedAtMs > pauseThresholdMs;
         checkedAtMs = eventLoop.nowMs();
@@ -45,7 +46,7 @@
         }
     }
 
-    /** Whether the recorded leader is another controller that was not heard for long. */
+    /** Returns whether the recorded leader is another controller and unresponsive. */
     boolean isLeaderUnresponsive() {
         return !leadership.leading()
                 && observedRecord.isPresent()
--- a/src/main/java/io/quartzgw/leadership/WriteBudgetExchange.java
+++ b/src/main/java/io/quartzgw/leadership/WriteBudgetExchange.java
@@ -7,14 +7,14 @@
 import java.util.Optional;
 
 /**
- * This controller's grants of the state store's write budget. Every message between controllers has the sender's
- * demand; the leader's answers grant part of the budget, while its term is confirmed. Only answers grant: the receiver
- * knows when it asked, so a late copy grants nothing for longer than it should.
+ * Distributes the write budget of the state store among the controllers. Every message between controllers contains the
+ * sender's demand. While its term is confirmed, the leader grants parts of the budget in its responses. Grants are sent
+ * in responses only, since the receiver knows when it sent the request: a delayed response does not extend the grant.
  */
 public final class WriteBudgetExchange {
-    /** A grant outlasts one heartbeat whose message is lost. */
+    /** The duration of a grant in heartbeat intervals, so that it outlasts one heartbeat whose message is lost. */
     private static final double GRANT_HEARTBEATS = 2.5;
-    /** The part of a former demand that is still counted at the next heartbeat: bursts come again. */
+    /** The fraction of the previous demand that still counts at the next heartbeat, since bursts tend to recur. */
     private static final double DEMAND_DECAY = 0.7;
 
     private final EventLoop eventLoop;
@@ -24,21 +24,21 @@
     private final String member;
     private final int controllerCount;
     private final long grantDurationMs;
-    /** A demand is not measured over less than this. */
+    /** The minimum interval over which the demand is measured. */
     private final long minMeasurementIntervalMs;
 
-    /** The allocator of the term that this controller last led with. */
+    /** The allocator of the last term in which this controller was the confirmed leader. */
     private Optional<TermAllocator> termAllocator = Optional.empty();
 
     private double demandPerS;
     private long measuredAtMs;
 
-    /** The allocator of one term: a new term begins without grants. */
+    /** The allocator of one term. A new term starts without grants. */
     private record TermAllocator(long term, WriteBudgetAllocator allocator) {}
 
     /**
-     * @param limits the state store's limits for all controllers together
-     * @param controllerCount how many controllers there are
+     * @param limits the limits of the state store for all controllers together
+     * @param controllerCount the number of controllers
      */
     public WriteBudgetExchange(
             EventLoop eventLoop,
@@ -59,7 +59,7 @@
         this.measuredAtMs = eventLoop.nowMs();
     }
 
-    /** Measures this controller's demand, and grants it its own part if it leads; once a heartbeat. */
+    /** Measures this controller's demand. A leader also grants itself its share. To be called once per heartbeat. */
     void measureDemand() {
         long elapsedMs = eventLoop.nowMs() - measuredAtMs;
         if (elapsedMs < minMeasurementIntervalMs) {
@@ -70,22 +70,22 @@
         grantTo(member, demandPerS).ifPresent(writesPerS -> applyGrant(writesPerS, eventLoop.nowMs()));
     }
 
-    /** How many writes a second this controller wants to make. */
+    /** Returns the number of writes per second that this controller needs. */
     double demandPerS() {
         return demandPerS;
     }
 
-    /** How many writes a second this controller grants to a member, if it may grant any now; records the demand. */
+    /** Records the demand of a controller and returns the writes per second granted to it, if any can be granted. */
     Optional<Double> grantTo(String grantee, double granteeDemandPerS) {
         return allocator().flatMap(allocator -> allocator.grant(grantee, granteeDemandPerS, eventLoop.nowMs()));
     }
 
-    /** Applies a grant, which counts from the moment at which this controller asked. */
+    /** Applies a grant, whose duration counts from the time at which this controller sent the request. */
     void applyGrant(double writesPerS, long requestedAtMs) {
         store.applyWriteGrant(writesPerS, requestedAtMs + grantDurationMs);
     }
 
-    /** The allocator of the current term, if that is confirmed. */
+    /** Returns the allocator of the current term, if this controller is the confirmed leader. */
     private Optional<WriteBudgetAllocator> allocator() {
         if (!leadership.isConfirmed()) {
             return Optional.empty();
--- a/src/main/java/io/quartzgw/recovery/FailoverRecovery.java
+++ b/src/main/java/io/quartzgw/recovery/FailoverRecovery.java
@@ -22,13 +22,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Rebuilds the cluster state of a new leader: reads the stored state, gathers heartbeats for a limited time, and then
- * releases the reservations of machines that remain silent.
+ * Rebuilds the cluster state of a new leader. It reads the stored state, gathers heartbeats for a limited time, and
+ * releases the reservations of machines that stay unresponsive.
  */
 public final class FailoverRecovery {
     private static final Logger LOG = LoggerFactory.getLogger(FailoverRecovery.class);
 
-    /** How far the recovery has come. */
+    /** The phases of the recovery, in this order. */
     private enum Phase {
         LOADING_STATE,
         GATHERING_HEARTBEATS,
@@ -49,14 +49,14 @@
     private Phase phase = Phase.LOADING_STATE;
 
     /**
-     * The parts of the leader that take part in the recovery.
+     * The components that the recovery uses.
      *
      * @param store the state service
-     * @param peers tells whether the other controllers have seen this term
-     * @param agents takes heartbeats and contacts agents
-     * @param progress loads which tasks have finished or may have been started
+     * @param peers reports whether the other controllers have observed this term
+     * @param agents tracks the tasks on agents and contacts agents
+     * @param progress loads which tasks have completed or may have been started
      * @param machineRecords loads the rented machines
-     * @param startLog has the starts that direct calls of former leaders may still carry
+     * @param startLog lists the starts of previous leaders that direct calls may still deliver
      */
     public record Collaborators(
             StoreClient store,
@@ -69,9 +69,10 @@
     /**
      * Creates the recovery of the current term.
      *
-     * @param previousLeaderActiveUntilMs when a former leader can last respond to a heartbeat, its grace included
-     * @param isKnownTerminal whether a job is known to have ended, whatever is read of it
-     * @param openJobWatcher follows the open jobs from the revision at which they were read
+     * @param previousLeaderActiveUntilMs the latest time at which a previous leader may respond to a heartbeat, with
+     *     its grace period included
+     * @param isKnownTerminal tests whether a job is known to have ended, even if the stored state lists it as open
+     * @param openJobWatcher watches the open jobs from the revision at which they were read
      */
     public FailoverRecovery(
             LeaderContext leader,
@@ -92,17 +93,17 @@
         this.electedAtMs = eventLoop.nowMs();
     }
 
-    /** Begins to read the stored state. */
+    /** Starts reading the stored state. */
     public void start() {
         new StateLoader(leader, collaborators.store(), timing.retryMs(), this::onStateLoaded).load();
     }
 
-    /** Returns whether the stored state has been read, so that verified machines may be given tasks. */
+    /** Returns whether the stored state has been read. From then on verified machines may receive tasks. */
     public boolean isStateLoaded() {
         return phase != Phase.LOADING_STATE;
     }
 
-    /** Returns whether the time for gathering heartbeats is over. */
+    /** Returns whether the window for gathering heartbeats has closed. */
     public boolean isWindowClosed() {
         return phase == Phase.RECOVERED;
     }
@@ -153,7 +154,7 @@
                         unverifiedMachines::add);
     }
 
-    // ---- starts of former leaders
+    // ---- starts of previous leaders
 
     private void inheritStarts(FormerStarts formerStarts) {
         if (formerStarts.unreadablePages() > 0) {
@@ -183,7 +184,7 @@
         eventLoop.after(timing.contactIntervalMs(), this::contactUnverified);
     }
 
-    /** Accounts for the machines that have been verified meanwhile; called after every batch. */
+    /** Accounts for machines verified since the previous check. Called after every event loop batch. */
     public void checkProgress() {
         if (phase == Phase.LOADING_STATE || !leader.term().isCurrent()) {
             return;
@@ -240,7 +241,7 @@
 
     // ---- reservations
 
-    /** Releases the reservations of machines that have been silent for too long; called periodically. */
+    /** Releases the expired reservations of unresponsive machines. Called periodically. */
     public void releaseExpiredReservations() {
         if (phase != Phase.LOADING_STATE && leader.term().isCurrent()) {
             reservationExpiry.releaseExpired();
--- a/src/main/java/io/quartzgw/recovery/RecoveryTiming.java
+++ b/src/main/java/io/quartzgw/recovery/RecoveryTiming.java
@@ -3,16 +3,16 @@
 import io.quartzgw.liveness.AgentTiming;
 
 /**
- * The durations of the recovery, which are ratios to the agents' timing.
+ * The durations of the recovery, derived from the timing of the agents.
  *
- * @param gatherWindowMs how long a new leader gathers heartbeats at most
- * @param reservationMs how long the capacity of a silent machine stays reserved after the last response to a heartbeat
- * @param retryMs the pause before the stored state is read again
- * @param contactIntervalMs the pause between two rounds of contacting unverified machines
+ * @param gatherWindowMs the maximum time for which a new leader gathers heartbeats
+ * @param reservationMs how long capacity on an unresponsive machine stays reserved after the last heartbeat response
+ * @param retryMs the delay before another attempt to read the stored state
+ * @param contactIntervalMs the interval at which the leader contacts unverified machines
  */
 public record RecoveryTiming(long gatherWindowMs, long reservationMs, long retryMs, long contactIntervalMs) {
     private static final int GATHER_WINDOW_HEARTBEATS = 6;
-    /** The margin over the lease, since an agent may be slow to notice that its lease has ended. */
+    /** The margin on top of the lease, as a fraction of it: an agent may detect late that its lease has expired. */
     private static final double LEASE_MARGIN = 0.06;
 
     private static final double RETRY_HEARTBEATS = 0.1;
@@ -20,7 +20,7 @@
 
     /** Derives the durations from the heartbeat interval and the lease of agents. */
     public static RecoveryTiming of(AgentTiming timing) {
-        // Tasks may run until the lease has ended by the agent's clock, so a reservation must not be shorter.
+        // A task may run until the lease expires by the agent's clock, so a reservation must last at least as long.
         long reservationMs = timing.longestLeaseMs() + (long) (LEASE_MARGIN * timing.leaseMs());
         return new RecoveryTiming(
                 GATHER_WINDOW_HEARTBEATS * timing.heartbeatMs(),
--- a/src/main/java/io/quartzgw/recovery/ReservationExpiry.java
+++ b/src/main/java/io/quartzgw/recovery/ReservationExpiry.java
@@ -8,7 +8,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Releases the capacity that is reserved on machines whose agents have sent no heartbeat for longer than a lease. */
+/** Releases the capacity reserved on machines whose agents have been unresponsive for longer than a lease. */
 final class ReservationExpiry {
     private static final Logger LOG = LoggerFactory.getLogger(ReservationExpiry.class);
 
@@ -16,7 +16,7 @@
     private final AgentManager agents;
     private final long reservationMs;
 
-    /** @param reservationMs how long a reservation lasts from the last response to a heartbeat */
+    /** @param reservationMs the duration of a reservation after the last heartbeat response */
     ReservationExpiry(LeaderContext leader, AgentManager agents, long reservationMs) {
         this.leader = leader;
         this.agents = agents;
--- a/src/main/java/io/quartzgw/recovery/StateLoader.java
+++ b/src/main/java/io/quartzgw/recovery/StateLoader.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Reads the stored state, one listing after the other, and begins anew when one of them fails. */
+/** Reads the stored state, one key prefix after the other, and restarts from the first if a request fails. */
 final class StateLoader {
     private static final List<String> PREFIXES = List.of(
             JobKeys.OPEN, ProgressBitmaps.PREFIX, MachineRecords.PREFIX, MachineRecords.MARK_PREFIX, StartLog.PREFIX);
@@ -22,8 +22,8 @@
     private final Consumer<StoredState> onLoaded;
 
     /**
-     * @param retryDelayMs the pause before another try
-     * @param onLoaded takes the state once, while this leader's term is current
+     * @param retryDelayMs the delay before the next attempt
+     * @param onLoaded receives the state once, only while this leader's term is current
      */
     StateLoader(LeaderContext leader, StoreClient store, long retryDelayMs, Consumer<StoredState> onLoaded) {
         this.leader = leader;
@@ -32,7 +32,7 @@
         this.onLoaded = onLoaded;
     }
 
-    /** Begins to read, as soon as the machine types are known. */
+    /** Starts reading once the machine types are known. */
     void load() {
         if (!leader.term().isCurrent()) {
             return;
--- a/src/main/java/io/quartzgw/recovery/StoredState.java
+++ b/src/main/java/io/quartzgw/recovery/StoredState.java
@@ -5,13 +5,13 @@
 import java.util.List;
 
 /**
- * What the state service has stored when a new leader is elected.
+ * The state that a new leader reads from the state service.
  *
  * @param openJobs the open jobs, with the revision at which they were read
- * @param progress the finished tasks of open jobs, and how many tasks may have been started
+ * @param progress the completed tasks of open jobs, and how many tasks may have been started
  * @param machines the descriptions of the rented machines
  * @param usedMachines the machines that may run tasks
- * @param startLog the starts that direct calls of former leaders may still carry
+ * @param startLog the starts of previous leaders that direct calls may still deliver
  */
 record StoredState(
         StoreClient.Listing openJobs,
--- a/src/main/java/io/quartzgw/recovery/UnverifiedMachines.java
+++ b/src/main/java/io/quartzgw/recovery/UnverifiedMachines.java
@@ -12,23 +12,24 @@
 import java.util.stream.Stream;
 
 /**
- * The machines that may run tasks of former leaders and whose agents have not sent a current heartbeat to this leader.
+ * The machines that may run tasks of previous leaders and whose agents have not sent a current heartbeat to this
+ * leader.
  *
- * <p>A task that may have been started and that no current heartbeat has shown is unaccounted for while one of these
- * machines may run it.
+ * <p>A task that may have been started, but that no current heartbeat reports, is unaccounted for as long as any of
+ * these machines may be running it.
  */
 final class UnverifiedMachines {
     private final LeaderContext leader;
     private final ClusterState cluster;
     private final PeerExchange peers;
     private final Set<Machine> machines = new LinkedHashSet<>();
-    /** The machines that any start of a former leader may be on its way to. */
+    /** The machines that may still receive a start of a previous leader whose log entry can't be read. */
     private final Set<Machine> machinesWithUnknownStarts = new LinkedHashSet<>();
 
     private long previousLeaderActiveUntilMs;
     private boolean previousLeadersStopped;
 
-    /** @param previousLeaderActiveUntilMs when a former leader can last respond to a heartbeat */
+    /** @param previousLeaderActiveUntilMs the latest time at which a previous leader may respond to a heartbeat */
     UnverifiedMachines(LeaderContext leader, PeerExchange peers, long previousLeaderActiveUntilMs) {
         this.leader = leader;
         this.cluster = leader.cluster();
@@ -36,7 +37,7 @@
         this.previousLeaderActiveUntilMs = previousLeaderActiveUntilMs;
     }
 
-    /** Returns whether a machine may run tasks and is not verified, and its reservation has not expired. */
+    /** Returns whether a machine is in the cluster, may run tasks, is not verified and has an unexpired reservation. */
     static boolean isUnverified(Machine machine, ClusterState cluster) {
         return machine.isUnverified() && cluster.contains(machine);
     }
@@ -54,7 +55,7 @@
         }
     }
 
-    /** Marks the machines that may run tasks, and the jobs whose tasks may run there. */
+    /** Marks the unverified machines as unexplained, and the jobs whose tasks may run there as unaccounted for. */
     void markUnaccounted() {
         machines.removeIf(machine -> !isUnverified(machine));
         machines.forEach(machine -> cluster.setUnexplained(machine, true));
@@ -62,8 +63,9 @@
     }
 
     /**
-     * Handles that the starts of former leaders are not known: each may be on its way to any machine that may run
-     * tasks, whether its agent is heard or not.
+     * Marks every machine that may run tasks as a possible target of unknown starts. To be called when logged starts of
+     * previous leaders can't be read. Such a start may still reach any of these machines, even if its agent sends
+     * heartbeats.
      */
     void expectUnknownStarts() {
         cluster.machines().stream().filter(Machine::hasRunTasks).forEach(machine -> {
@@ -72,22 +74,22 @@
         });
     }
 
-    /** Returns whether starts that are not known may be on their way to any machine. */
+    /** Returns whether unknown starts may still be outstanding on any machine. */
     boolean hasUnknownStarts() {
         return !machinesWithUnknownStarts.isEmpty();
     }
 
-    /** Removes the machines that unknown starts can't reach any more, and returns whether there were any. */
+    /** Drops the unknown starts of machines that have left the cluster, and returns whether there were any. */
     boolean pruneUnknownStarts() {
         return machinesWithUnknownStarts.removeIf(machine -> !cluster.contains(machine));
     }
 
-    /** Performs an action for each machine that is still unverified. */
+    /** Runs an action for each machine that is still unverified. */
     void forEachUnverified(Consumer<Machine> action) {
         machines.stream().filter(this::isUnverified).forEach(action);
     }
 
-    /** Removes the machines that have been verified or are gone, and returns them. */
+    /** Removes and returns the machines that are verified, have left the cluster or have an expired reservation. */
     List<Machine> removeVerified() {
         List<Machine> verified =
                 machines.stream().filter(machine -> !isUnverified(machine)).toList();
@@ -96,9 +98,9 @@
     }
 
     /**
-     * Marks the jobs that can have no task on the remaining machines as fully accounted for.
+     * Marks jobs as fully accounted for if none of their tasks may run on the remaining machines.
      *
-     * @param beforeResolution performed before the unaccounted tasks of a job become pending
+     * @param beforeResolution called for each of these jobs before its unaccounted tasks become pending
      */
     void resolveUnaccounted(Consumer<Job> beforeResolution) {
         List.copyOf(cluster.jobsWithUnaccountedTasks()).stream()
@@ -110,8 +112,8 @@
     }
 
     /**
-     * Checks whether every other controller has seen this term. Then none of them responds to heartbeats any more, so
-     * the reservations of unverified machines count from now at the latest.
+     * Checks whether every other controller has observed this term. Once they all have, none of them responds to
+     * heartbeats as leader, so the reservations of unverified machines start to run no later than now.
      */
     void checkPreviousLeadersStopped() {
         if (!previousLeadersStopped && peers.allAcknowledgedTerm(leader.term().number())) {
@@ -127,19 +129,19 @@
                 .anyMatch(machine -> mayRunOn(job, machine));
     }
 
-    /** A job that was accepted after the term had been raised was never started by a former leader. */
+    /** Jobs accepted after the term was raised are excluded: no previous leader can have started their tasks. */
     private boolean mayRunOn(Job job, Machine machine) {
         return job.open().revision() < leader.term().termRevision()
                 && job.spec().allows(machine.type().name(), machine.zone(), machine.spot())
                 && job.spec().demand().fitsIn(machine.type().size());
     }
 
-    /** Returns how many machines are left. */
+    /** Returns the number of machines that are still tracked as unverified. */
     int size() {
         return machines.size();
     }
 
-    /** Returns whether no machine is left. */
+    /** Returns whether no machine is tracked as unverified any more. */
     boolean isEmpty() {
         return machines.isEmpty();
     }
--- a/src/main/java/io/quartzgw/recovery/package-info.java
+++ b/src/main/java/io/quartzgw/recovery/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Failover recovery: how a new leader rebuilds its cluster state, and how it treats machines that fall silent.
+ * Failover recovery: how a new leader rebuilds its cluster state, and how it handles unresponsive machines.
  *
- * <p>Duty: {@link io.quartzgw.recovery.FailoverRecovery} reads the stored state, gathers heartbeats for a limited time,
- * keeps tasks unaccounted for that may run on unverified machines, and releases reservations when they expire.
+ * <p>Responsibility: {@link io.quartzgw.recovery.FailoverRecovery} reads the stored state, gathers heartbeats for a
+ * limited time, tracks tasks that may run on unverified machines as unaccounted for, and releases expired reservations.
  *
  * <p>State: the phase of the recovery and the set of unverified machines. Both belong to one term and are never stored.
  *
--- a/src/test/java/io/quartzgw/leadership/FencingTokensTest.java
+++ b/src/test/java/io/quartzgw/leadership/FencingTokensTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The tokens of a term follow those of the term before, whatever version of the program has led with that. */
+/** Guards against a term whose fencing tokens are not above those of the previous term, also after a version change. */
 class FencingTokensTest {
 
     @ParameterizedTest
@@ -17,7 +17,7 @@
         assertEquals(FencingTokens.PER_TERM, term - FencingTokens.lowestOf(term) + 1);
     }
 
-    /** A version without ranges counts terms by one, and takes each token for a term. */
+    /** A version without token ranges increments terms by one and treats each token as a term. */
     @ParameterizedTest
     @ValueSource(longs = {4096, 8192})
     void keepsTermOrderAfterVersionWithoutTokenRanges(long term) {
--- a/src/test/java/io/quartzgw/leadership/PeerExchangeTest.java
+++ b/src/test/java/io/quartzgw/leadership/PeerExchangeTest.java
@@ -57,8 +57,8 @@
                 new ClockReading(2, 2));
     }
 
-    // Guards the counts that users see: where the heartbeats of two controllers coincide, each answer of the leader
-    // overtakes the message that it sent just before, with the counts.
+    // Guards against outdated job counts for users. If the heartbeats of two controllers coincide, each response of the
+    // leader overtakes the message with the job counts that it sent just before.
     @Test
     void appliesJobCountsOvertakenByResponseAndIgnoresOlderOnes() {
         eventLoop.processBatch(List.of(), new ClockReading(1, 1));
@@ -73,8 +73,8 @@
         serve(message(7, 10).set("counts", newest));
         assertEquals(List.of(newest), receivedCounts);
         serve(message(7, 9).set("counts", Json.object()));
-        assertEquals(List.of(newest), receivedCounts, "older counts are a late copy");
+        assertEquals(List.of(newest), receivedCounts, "older counts from a delayed message are ignored");
         serve(message(6, 12).set("counts", Json.object()));
-        assertEquals(List.of(newest), receivedCounts, "a process that has not answered may have ended");
+        assertEquals(List.of(newest), receivedCounts, "counts from a process that has not responded are ignored");
     }
 }
--- a/src/test/java/io/quartzgw/leadership/RedirectedAgentsTest.java
+++ b/src/test/java/io/quartzgw/leadership/RedirectedAgentsTest.java
@@ -19,14 +19,14 @@
     private final EventLoop eventLoop = new EventLoop(1);
     private final RedirectedAgents redirectedAgents = new RedirectedAgents(eventLoop, HEARTBEAT_MS);
 
-    /** An agent sends a heartbeat, it is probed a controller's heartbeat later, and it answers. */
+    /** Records a heartbeat of an agent, probes it one heartbeat interval later and delivers its response. */
     private int countAfterHeartbeatAndProbe(long nowMs) {
         runAt(nowMs, () -> redirectedAgents.add("i-000001", AGENT));
-        List<Command> answers = new ArrayList<>();
+        List<Command> responses = new ArrayList<>();
         for (Effect effect : runAt(nowMs + HEARTBEAT_MS, redirectedAgents::probe)) {
-            answers.add(new Command.CallEnded(((Effect.Send) effect).call(), new Reply(200, new byte[0])));
+            responses.add(new Command.CallEnded(((Effect.Send) effect).call(), new Reply(200, new byte[0])));
         }
-        eventLoop.processBatch(answers, new ClockReading(nowMs + HEARTBEAT_MS, 0));
+        eventLoop.processBatch(responses, new ClockReading(nowMs + HEARTBEAT_MS, 0));
         return redirectedAgents.count();
     }
 
@@ -42,7 +42,8 @@
         assertEquals(1, countAfterHeartbeatAndProbe(HEARTBEAT_MS));
     }
 
-    // Guards a healthy leader: heartbeats that were queued while this controller was paused say nothing of the present.
+    // Guards against the deposition of a healthy leader: heartbeats queued while this controller was paused are
+    // outdated.
     @Test
     void ignoresHeartbeatsQueuedWhileControllerWasPaused() {
         runAt(0, redirectedAgents::probe);
--- a/src/test/java/io/quartzgw/leadership/UnresponsiveLeaderTest.java
+++ b/src/test/java/io/quartzgw/leadership/UnresponsiveLeaderTest.java
@@ -20,7 +20,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A controller beside a recorded leader of which it hears nothing; the leader of the term before was deposed. */
+/**
+ * Tests a controller that receives no messages from the recorded leader, after the leader of the previous term was
+ * deposed.
+ */
 class UnresponsiveLeaderTest {
     private static final LeadershipTiming TIMING = LeadershipTiming.of(2.5, 16, 36);
     private static final Endpoint STORE = new Endpoint("10.2.0.1", 1);
@@ -86,12 +89,12 @@
         checkPeriodicallyFor(TIMING.leaseMs());
         link.pass(10 * TIMING.leaseMs(), false);
         detector.check();
-        assertFalse(detector.isLeaderUnresponsive(), "it could hear nobody");
+        assertFalse(detector.isLeaderUnresponsive(), "no message could be received during the pause");
         checkPeriodicallyFor(2 * TIMING.leaseMs());
         assertTrue(detector.isLeaderUnresponsive());
     }
 
-    // Guards the leader that has just been elected: agents and controllers are still finding it.
+    // Guards against the deposition of a newly elected leader that agents and controllers have not contacted yet.
     @Test
     void doesNotDeposeNextLeaderDuringCooldown() {
         leadership.deposeUnresponsiveLeader();
@@ -102,6 +105,6 @@
         leadership.deposeUnresponsiveLeader();
         link.pass(1, false);
         assertEquals("{\"term\":5}", storeServer.value(Leadership.DEPOSED_KEY).toString());
-        assertNull(storeServer.value(Leadership.LEADER_KEY), "its lease has ended");
+        assertNull(storeServer.value(Leadership.LEADER_KEY), "the leader's lease is revoked");
     }
 }
--- a/src/test/java/io/quartzgw/leadership/package-info.java
+++ b/src/test/java/io/quartzgw/leadership/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of elections, and of the messages between controllers. */
+/** Tests of leader election and of the messages between controllers. */
 package io.quartzgw.leadership;
