--- a/src/main/java/io/quartzgw/leadership/Candidacy.java
+++ b/src/main/java/io/quartzgw/leadership/Candidacy.java
@@ -12,39 +12,40 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Runs this controller's election attempts, one at a time, while the leadership is vacant. */
+/** Runs the election attempts of this controller, one at a time, while there is no leader. */
 final class Candidacy {
     private static final Logger LOG = LoggerFactory.getLogger(Candidacy.class);
 
     private static final long NO_HOLD_BACK = Long.MIN_VALUE;
 
-    private static final int RETRY_MS = 250;
-    /** Spreads the candidates, so that mostly one transaction wins without a conflict. */
+    private static final int RETRY_DELAY_MS = 250;
+    /** Spreads the attempts of the candidates, so that usually one transaction succeeds without a conflict. */
     private static final int MAX_JITTER_MS = 60;
 
-    /** What a candidacy asks of its owner, and reports to it. */
+    /** The role that a candidacy queries and notifies. */
     interface Owner {
         boolean leading();
 
-        /** The highest term that this controller knows besides the stored one. */
+        /** Returns the highest term that this controller has observed, apart from the stored term. */
         long highestTerm();
 
-        void electionWon(Victory victory);
+        void electionWon(WonElection wonElection);
     }
 
     /**
      * A won election.
      *
-     * @param termRevision the revision of the term key that the election has written
-     * @param requestedAtMs when the lease was requested: it can't have begun earlier
-     * @param holdBackUntilMs until when a deposed leader may count itself confirmed
+     * @param termRevision the revision of the term key that the election wrote
+     * @param requestedAtMs when the lease was requested, which is the earliest time at which it can have started
+     * @param holdBackUntilMs the time until which a deposed leader may consider itself confirmed; this leader does not
+     *     count as confirmed before
      */
-    record Victory(long term, long termRevision, long leaseId, long requestedAtMs, long holdBackUntilMs) {}
+    record WonElection(long term, long termRevision, long leaseId, long requestedAtMs, long holdBackUntilMs) {}
 
-    /** Whether this controller is a candidate, and the member that the leader record names, if any. */
-    private record Standing(CandidacyReason reason, String leader) {}
+    /** The candidacy reason and the controller that the leader record names, or an empty string. */
+    private record Status(CandidacyReason reason, String leader) {}
 
-    /** One attempt: the term it is for, and the state of the keys that it requires. */
+    /** An election attempt: the term to win, and the revisions of the election keys that its transaction requires. */
     private record Attempt(
             long term,
             long requiredLeaderRevision,
@@ -59,8 +60,8 @@
     private final ControllerIdentity identity;
     private final ElectionState state;
     private final Owner owner;
-    private final Set<Long> deadProcesses = new HashSet<>();
-    private Optional<Standing> loggedStanding = Optional.empty();
+    private final Set<Long> terminatedProcesses = new HashSet<>();
+    private Optional<Status> loggedStatus = Optional.empty();
     private Optional<Attempt> lastAttempt = Optional.empty();
     private boolean attemptInProgress;
     private long backOffUntilMs = Long.MIN_VALUE;
@@ -80,57 +81,57 @@
         this.owner = owner;
     }
 
-    /** Makes no attempt for a while, so that another controller is elected. */
+    /** Suspends the attempts for some time, so that another controller is elected. */
     void backOff(long durationMs) {
         backOffUntilMs = eventLoop.nowMs() + durationMs;
     }
 
-    /** Records that a process has ended: a leader record that names it is void. */
-    void markDead(long process) {
-        deadProcesses.add(process);
+    /** Records that a process has terminated. A leader record that names it is ignored. */
+    void markTerminated(long process) {
+        terminatedProcesses.add(process);
     }
 
-    /** Whether nobody leads, or only a process that is surely dead. */
-    boolean leadershipVacant() {
-        return state.leader().map(this::isDead).orElse(true);
+    /** Returns whether there is no leader record, or it names a process that is known to have terminated. */
+    boolean isLeadershipVacant() {
+        return state.leader().map(this::isTerminated).orElse(true);
     }
 
-    private boolean isDead(LeaderRecord leader) {
-        // A record of this member's other process: that one has ended, since this one runs.
-        boolean formerProcess = leader.member().equals(identity.member()) && leader.process() != identity.process();
-        return formerProcess || deadProcesses.contains(leader.process());
+    private boolean isTerminated(LeaderRecord leader) {
+        // Another process of this controller must have terminated, since this process is running.
+        boolean previousProcess = leader.member().equals(identity.member()) && leader.process() != identity.process();
+        return previousProcess || terminatedProcesses.contains(leader.process());
     }
 
-    /** Logs whether this controller is a candidate, and why not, if that has changed. */
-    void logStanding() {
-        Standing standing = standing();
-        if (loggedStanding.filter(standing::equals).isEmpty()) {
-            loggedStanding = Optional.of(standing);
+    /** Logs whether this controller is a candidate, and the reason, if that has changed. */
+    void logStatusChange() {
+        Status status = currentStatus();
+        if (loggedStatus.filter(status::equals).isEmpty()) {
+            loggedStatus = Optional.of(status);
             LOG.atInfo()
-                    .addKeyValue("reason", standing.reason().logValue())
-                    .addKeyValue("leader", standing.leader())
+                    .addKeyValue("reason", status.reason().logValue())
+                    .addKeyValue("leader", status.leader())
                     .addKeyValue("term", state.term())
                     .log("candidacy changed");
         }
     }
 
-    private Standing standing() {
+    private Status currentStatus() {
         CandidacyReason reason;
         if (owner.leading()) {
             reason = CandidacyReason.LEADING;
-        } else if (!leadershipVacant()) {
+        } else if (!isLeadershipVacant()) {
             reason = CandidacyReason.LED;
-        } else if (backingOff()) {
+        } else if (isBackingOff()) {
             reason = CandidacyReason.BACKING_OFF;
         } else {
             reason = CandidacyReason.VACANT;
         }
-        return new Standing(reason, state.leader().map(LeaderRecord::member).orElse(""));
+        return new Status(reason, state.leader().map(LeaderRecord::member).orElse(""));
     }
 
-    /** Schedules an election attempt, unless one is in progress or this controller backs off. */
-    void schedule() {
-        if (attemptInProgress || backingOff()) {
+    /** Schedules an election attempt, unless one is in progress or this controller is backing off. */
+    void scheduleAttempt() {
+        if (attemptInProgress || isBackingOff()) {
             return;
         }
         attemptInProgress = true;
@@ -138,10 +139,10 @@
                 .addKeyValue("term", nextTerm())
                 .addKeyValue("former_leader", state.leader().orElse(null))
                 .log("election scheduled");
-        eventLoop.after(eventLoop.random().nextInt(MAX_JITTER_MS), this::begin);
+        eventLoop.after(eventLoop.random().nextInt(MAX_JITTER_MS), this::beginAttempt);
     }
 
-    private boolean backingOff() {
+    private boolean isBackingOff() {
         return eventLoop.nowMs() < backOffUntilMs;
     }
 
@@ -149,9 +150,9 @@
         return FencingTokens.termAfter(Math.max(state.term(), owner.highestTerm()));
     }
 
-    private void begin() {
+    private void beginAttempt() {
         // Another candidate may have won since this attempt was scheduled.
-        if (owner.leading() || !leadershipVacant() || backingOff()) {
+        if (owner.leading() || !isLeadershipVacant() || isBackingOff()) {
             attemptInProgress = false;
             return;
         }
@@ -167,11 +168,14 @@
     }
 
     private long holdBackUntilMs() {
-        boolean formerLeaderDeposed = state.deposedTerm() > 0 && state.deposedTerm() == state.term();
-        return formerLeaderDeposed ? eventLoop.nowMs() + timing.leaseMs() : NO_HOLD_BACK;
+        boolean previousLeaderDeposed = state.deposedTerm() > 0 && state.deposedTerm() == state.term();
+        return previousLeaderDeposed ? eventLoop.nowMs() + timing.leaseMs() : NO_HOLD_BACK;
     }
 
-    /** Until when a leader of a term that this candidacy has won, unnoticed, has to hold back. */
+    /**
+     * Returns the time before which a leader must not count as confirmed, for a term that this candidacy won without
+     * receiving the outcome.
+     */
     long holdBackUntilMs(long wonTerm) {
         return lastAttempt
                 .filter(attempt -> attempt.term() == wonTerm)
@@ -187,7 +191,7 @@
                     outcome -> onOutcome(attempt, granted.leaseId(), outcome));
         } else {
             logFailure(attempt, grant);
-            retryLater();
+            scheduleRetry();
         }
     }
 
@@ -204,16 +208,16 @@
     private void onOutcome(Attempt attempt, long leaseId, TransactionOutcome outcome) {
         if (outcome instanceof TransactionOutcome.Committed committed) {
             attemptInProgress = false;
-            owner.electionWon(new Victory(
+            owner.electionWon(new WonElection(
                     attempt.term(), committed.revision(), leaseId, attempt.requestedAtMs(), attempt.holdBackUntilMs()));
             return;
         }
         logFailure(attempt, outcome);
-        // A transaction without an answer may yet be applied: its lease must outlive it.
+        // A transaction with an unknown outcome may still be applied, so its lease is not revoked.
         if (!(outcome instanceof TransactionOutcome.Unknown)) {
             store.revokeLease(leaseId);
         }
-        retryLater();
+        scheduleRetry();
     }
 
     private static void logFailure(Attempt attempt, Object result) {
@@ -223,8 +227,8 @@
                 .log("election attempt failed");
     }
 
-    private void retryLater() {
-        eventLoop.after(RETRY_MS, () -> {
+    private void scheduleRetry() {
+        eventLoop.after(RETRY_DELAY_MS, () -> {
             attemptInProgress = false;
             if (!owner.leading()) {
                 state.reload();
--- a/src/main/java/io/quartzgw/leadership/LeaderDeposition.java
+++ b/src/main/java/io/quartzgw/leadership/LeaderDeposition.java
@@ -9,25 +9,25 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Ends the lease of a leader that neither answers nor ends, when the state store's outages keep that lease alive; then
- * a leader is elected as usual.
+ * Revokes the lease of an unresponsive leader whose lease does not expire because of outages of the state store. The
+ * election that follows is an ordinary one.
  *
- * <p>The deposed leader may count itself confirmed until its lease would have ended, so its successor must hold back
- * for a lease. That is why the store has a record of the deposition before the lease ends: whoever is elected next has
- * seen it, since every election requires its revision.
+ * <p>The deposed leader may consider itself confirmed until its lease would have expired, so the next leader must not
+ * count as confirmed for the duration of a lease. For this reason the deposition is recorded in the store before the
+ * lease is revoked. Every election requires the revision of this record, so the next leader has read it.
  */
 final class LeaderDeposition {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderDeposition.class);
-    /** For so many leases after a deposition the next leader is not deposed, whatever is heard of it. */
-    private static final int REST_LEASES = 5;
-    /** The state store may answer for a moment only. */
-    private static final int RETRY_MS = 250;
+    /** The next leader is not deposed for this many leases after a deposition, even if it is unresponsive. */
+    private static final int COOLDOWN_LEASES = 5;
+    /** The delay is short, since the state store may respond only briefly during an outage. */
+    private static final int RETRY_DELAY_MS = 250;
 
     private final EventLoop eventLoop;
     private final StoreClient store;
     private final ElectionState state;
-    private final long restMs;
-    private final long heartbeatMs;
+    private final long cooldownMs;
+    private final long retryPeriodMs;
     private long deposedTerm;
     private long deposedAtMs;
     private boolean inProgress;
@@ -36,12 +36,12 @@
         this.eventLoop = eventLoop;
         this.store = store;
         this.state = state;
-        this.restMs = REST_LEASES * timing.leaseMs();
-        this.heartbeatMs = timing.heartbeatMs();
+        this.cooldownMs = COOLDOWN_LEASES * timing.leaseMs();
+        this.retryPeriodMs = timing.heartbeatMs();
     }
 
-    /** Notices depositions by any controller; to be called when the election keys have changed. */
-    void stateChanged() {
+    /** Records when any controller deposed a leader. To be called when the election keys have changed. */
+    void recordDepositions() {
         if (state.deposedTerm() != deposedTerm) {
             deposedTerm = state.deposedTerm();
             deposedAtMs = eventLoop.nowMs();
@@ -49,26 +49,27 @@
     }
 
     /**
-     * Deposes a leader, unless another one was deposed a short time ago; tries for the interval between two heartbeats,
-     * after which the leader may have been heard again.
+     * Deposes a leader, unless another leader was deposed recently. Failed attempts are retried for one heartbeat
+     * interval only, since the leader may have become responsive after that.
      */
     void depose(LeaderRecord leader) {
-        boolean resting = deposedTerm > 0 && deposedTerm != leader.term() && eventLoop.nowMs() - deposedAtMs < restMs;
-        if (!inProgress && !resting) {
-            attempt(leader, eventLoop.nowMs() + heartbeatMs);
+        boolean inCooldown =
+                deposedTerm > 0 && deposedTerm != leader.term() && eventLoop.nowMs() - deposedAtMs < cooldownMs;
+        if (!inProgress && !inCooldown) {
+            attempt(leader, eventLoop.nowMs() + retryPeriodMs);
         }
     }
 
-    private void attempt(LeaderRecord leader, long endMs) {
+    private void attempt(LeaderRecord leader, long deadlineMs) {
         inProgress = true;
         Transaction record = new Transaction()
                 .require(Leadership.LEADER_KEY, state.leaderRevision())
                 .require(Leadership.TERM_KEY, state.termRevision())
                 .put(Leadership.DEPOSED_KEY, LeaderRecordCodec.encodeTerm(leader.term()));
-        store.commit(record, RequestUrgency.ELECTION, outcome -> onOutcome(leader, endMs, outcome));
+        store.commit(record, RequestUrgency.ELECTION, outcome -> onOutcome(leader, deadlineMs, outcome));
     }
 
-    private void onOutcome(LeaderRecord leader, long endMs, TransactionOutcome outcome) {
+    private void onOutcome(LeaderRecord leader, long deadlineMs, TransactionOutcome outcome) {
         inProgress = false;
         if (outcome instanceof TransactionOutcome.Committed) {
             eventLoop.increment("leadership.depositions", 1);
@@ -77,14 +78,14 @@
                     .addKeyValue("term", leader.term())
                     .log("silent leader deposed");
             store.revokeLease(leader.leaseId());
-        } else if (eventLoop.nowMs() + RETRY_MS < endMs) {
-            eventLoop.after(RETRY_MS, () -> retry(leader, endMs));
+        } else if (eventLoop.nowMs() + RETRY_DELAY_MS < deadlineMs) {
+            eventLoop.after(RETRY_DELAY_MS, () -> retry(leader, deadlineMs));
         }
     }
 
-    private void retry(LeaderRecord leader, long endMs) {
+    private void retry(LeaderRecord leader, long deadlineMs) {
         if (!inProgress && state.leader().filter(leader::equals).isPresent()) {
-            attempt(leader, endMs);
+            attempt(leader, deadlineMs);
         }
     }
 }
--- a/src/main/java/io/quartzgw/leadership/PeerExchange.java
+++ b/src/main/java/io/quartzgw/leadership/PeerExchange.java
@@ -19,18 +19,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Exchanges messages with the other controllers: once a heartbeat with each, and at once after an event. They announce
- * which process runs, who leads with which term, whether the state store answers, cancelled jobs and the job counts.
+ * Exchanges messages with the other controllers, once per heartbeat interval and immediately after certain events. A
+ * message announces the sender's process, its term, whether the state store responds, the cancelled jobs and the job
+ * counts.
  */
 public final class PeerExchange {
     private static final Logger LOG = LoggerFactory.getLogger(PeerExchange.class);
 
-    /** The path of the peer listener that messages are posted to. */
+    /** The path of the peer listener to which messages are posted. */
     public static final String PATH = "/peer";
 
     private static final int STALE_AFTER_HEARTBEATS = 4;
-    private static final int ANSWER_TIMEOUT_HEARTBEATS = 2;
-    /** How many jobs a message may name: at 48 bytes each for the longest names, it stays below 64 KiB. */
+    private static final int RESPONSE_TIMEOUT_HEARTBEATS = 2;
+    /** The maximum number of jobs in a message. At 48 bytes for each of the longest names it stays below 64 KiB. */
     private static final int MAX_JOBS_PER_MESSAGE = 1_200;
 
     private final EventLoop eventLoop;
@@ -42,12 +43,12 @@
     private final WriteBudgetExchange writeBudget;
     private final PeerRegistry peers;
     private final RedirectedAgents redirectedAgents;
-    private final LeaderSilence leaderSilence;
+    private final UnresponsiveLeaderDetector unresponsiveLeaderDetector;
     private final PeerMessageFactory messages;
-    private final Set<String> awaitingAnswer = new HashSet<>();
+    private final Set<String> peersWithRequestInFlight = new HashSet<>();
     private PeerPayloads payloads = PeerPayloads.NONE;
 
-    /** The parts of this controller whose state is announced to peers, and that learn from their messages. */
+    /** The components of this controller whose state is announced to peers, or that process their messages. */
     public record Participants(
             Leadership leadership,
             StoreClient store,
@@ -55,7 +56,7 @@
             CancellationWatermark watermark,
             WriteBudgetExchange writeBudget) {}
 
-    /** @param endpoints the peer listeners of the other controllers, by member */
+    /** @param endpoints the peer listeners of the other controllers by name */
     public PeerExchange(
             EventLoop eventLoop,
             LeadershipTiming timing,
@@ -72,43 +73,45 @@
         long staleAfterMs = STALE_AFTER_HEARTBEATS * timing.heartbeatMs();
         this.peers = new PeerRegistry(eventLoop, staleAfterMs);
         this.redirectedAgents = new RedirectedAgents(eventLoop, timing.heartbeatMs());
-        this.leaderSilence = new LeaderSilence(eventLoop, leadership, peers, timing);
-        this.messages = new PeerMessageFactory(identity, participants, redirectedAgents, leaderSilence, staleAfterMs);
+        this.unresponsiveLeaderDetector = new UnresponsiveLeaderDetector(eventLoop, leadership, peers, timing);
+        this.messages = new PeerMessageFactory(
+                identity, participants, redirectedAgents, unresponsiveLeaderDetector, staleAfterMs);
     }
 
-    /** Begins to send messages. */
+    /** Starts sending messages. */
     public void start(PeerPayloads peerPayloads) {
         this.payloads = peerPayloads;
         broadcast();
         eventLoop.every(timing.heartbeatMs(), () -> {
             redirectedAgents.probe();
-            leaderSilence.check();
-            if (isLeaderDeposedByMajority()) {
-                leadership.deposeSilentLeader();
+            unresponsiveLeaderDetector.check();
+            if (shouldDeposeLeader()) {
+                leadership.deposeUnresponsiveLeader();
             }
             broadcast();
         });
     }
 
-    // A leader that its agents reach serves them whomever else it reaches, so agents have to come here as well.
-    private boolean isLeaderDeposedByMajority() {
-        if (!leaderSilence.isSilent()) {
+    // A leader that its agents reach still serves them, even if it is isolated from the other controllers. So it is
+    // deposed only if agents contact this controller as well.
+    private boolean shouldDeposeLeader() {
+        if (!unresponsiveLeaderDetector.isLeaderUnresponsive()) {
             return false;
         }
-        int agreeing = 1 + peers.countLeaderSilentIn(leadership.highestTerm());
-        int agents = redirectedAgents.count();
+        int agreeingControllers = 1 + peers.countReportingLeaderUnresponsive(leadership.highestTerm());
+        int redirectedAgentCount = redirectedAgents.count();
         LOG.atDebug()
                 .addKeyValue("term", leadership.highestTerm())
-                .addKeyValue("agreeing_controllers", agreeing)
-                .addKeyValue("redirected_agents", agents)
+                .addKeyValue("agreeing_controllers", agreeingControllers)
+                .addKeyValue("redirected_agents", redirectedAgentCount)
                 .log("leader silent");
         int controllers = endpoints.size() + 1;
-        return agreeing > controllers / 2 && agents > 0;
+        return agreeingControllers > controllers / 2 && redirectedAgentCount > 0;
     }
 
     // ---- sending
 
-    /** Sends a message to every peer at once, for example after this controller was elected. */
+    /** Sends a message to every peer immediately, for example after this controller was elected. */
     public void broadcast() {
         writeBudget.measureDemand();
         PeerMessage status = messages.create();
@@ -125,7 +128,7 @@
         postToLeader(messages.create().with(Attachments.ofNotice(notice)));
     }
 
-    /** Sends a message with the cancelled jobs to the leader at once, if another controller leads. */
+    /** Sends a message with the cancelled jobs to the leader immediately, if another controller leads. */
     public void sendToLeader() {
         postToLeader(messages.create());
     }
@@ -140,57 +143,57 @@
     }
 
     private void send(String member, PeerMessage message) {
-        // One message at a time to each peer: calls must not pile up while it can't be reached.
-        if (!awaitingAnswer.add(member)) {
+        // Only one request per peer is in flight, so that requests don't accumulate while a peer is unreachable.
+        if (!peersWithRequestInFlight.add(member)) {
             return;
         }
         long sentAtMs = eventLoop.nowMs();
-        Optional<LeaderRecord> recordWhenAsked = leadership.leaderRecord();
+        Optional<LeaderRecord> recordAtRequest = leadership.leaderRecord();
         Call call = Call.postCbor(
                 endpoints.get(member),
                 PATH,
                 PeerMessageCodec.encode(message),
-                ANSWER_TIMEOUT_HEARTBEATS * timing.heartbeatMs());
+                RESPONSE_TIMEOUT_HEARTBEATS * timing.heartbeatMs());
         eventLoop.call(call, reply -> {
-            awaitingAnswer.remove(member);
+            peersWithRequestInFlight.remove(member);
             if (reply.ok()) {
-                onAnswer(member, PeerMessageCodec.decode(reply.cbor()), sentAtMs, recordWhenAsked);
+                onResponse(member, PeerMessageCodec.decode(reply.cbor()), sentAtMs, recordAtRequest);
             }
         });
     }
 
     // ---- receiving
 
-    /** Serves a peer's message. */
+    /** Handles a message of a peer. */
     public void serve(Request request) {
         Optional<PeerMessage> message = PeerMessageCodec.decode(request.body())
                 .filter(received -> endpoints.containsKey(received.sender().member()));
         if (message.isPresent()) {
-            PeerMessage answer = receive(message.get());
-            eventLoop.answer(request.exchange(), Response.cbor(PeerMessageCodec.encode(answer)));
+            PeerMessage response = receive(message.get());
+            eventLoop.answer(request.exchange(), Response.cbor(PeerMessageCodec.encode(response)));
         } else {
             eventLoop.answer(request.exchange(), Response.error(400, "not a peer's message"));
         }
     }
 
     private PeerMessage receive(PeerMessage message) {
-        // A message may be a late copy, of a process that has ended: it does not prove which process runs now. The
-        // peer's answer to this controller's next message does.
-        peers.present(message.sender())
+        // A message may be a delayed copy from a process that has terminated, so it does not prove which process runs
+        // now. The peer's response to the next message of this controller does.
+        peers.findCurrentProcess(message.sender())
                 .ifPresentOrElse(
-                        peer -> applyPresentState(peer, message),
+                        peer -> applyCurrentState(peer, message),
                         () -> send(message.sender().member(), messages.create()));
         applyDurableFacts(message);
         message.attachments().notice().ifPresent(payloads.noticeListener());
-        PeerMessage answer = messages.create();
+        PeerMessage response = messages.create();
         return writeBudget
                 .grantTo(message.sender().member(), message.writeDemandPerS())
                 .map(Attachments::ofWriteGrant)
-                .map(answer::with)
-                .orElse(answer);
+                .map(response::with)
+                .orElse(response);
     }
 
-    private void applyPresentState(PeerState peer, PeerMessage message) {
+    private void applyCurrentState(PeerState peer, PeerMessage message) {
         peer.applyStatus(message, eventLoop.nowMs());
         message.attachments()
                 .jobCounts()
@@ -198,45 +201,47 @@
                 .ifPresent(payloads.countsListener());
     }
 
-    // An answer was made after the message that it answers was sent, so it proves which process runs.
-    private void onAnswer(String member, PeerMessage answer, long sentAtMs, Optional<LeaderRecord> recordWhenAsked) {
-        ControllerIdentity peer = new ControllerIdentity(member, answer.sender().process());
-        peers.observeProcess(peer).applyStatus(answer, eventLoop.nowMs());
-        answer.attachments().writeGrantPerS().ifPresent(writesPerS -> writeBudget.applyGrant(writesPerS, sentAtMs));
-        applyDurableFacts(answer);
+    // A response was created after the request was sent, so it proves which process runs.
+    private void onResponse(
+            String member, PeerMessage response, long sentAtMs, Optional<LeaderRecord> recordAtRequest) {
+        ControllerIdentity peer =
+                new ControllerIdentity(member, response.sender().process());
+        peers.observeProcess(peer).applyStatus(response, eventLoop.nowMs());
+        response.attachments().writeGrantPerS().ifPresent(writesPerS -> writeBudget.applyGrant(writesPerS, sentAtMs));
+        applyDurableFacts(response);
         watermark.recordPeerAnswer(
                 member,
                 peer.process(),
-                answer.status().uptimeMs(),
+                response.status().uptimeMs(),
                 sentAtMs,
-                answer.cancellations().complete());
-        leadership.observePeerProcess(peer, recordWhenAsked);
+                response.cancellations().complete());
+        leadership.recordPeerProcess(peer, recordAtRequest);
     }
 
-    /** Applies what stays true, however late it comes: cancellations, and that a term was reached. */
+    /** Applies the facts that remain true if the message is delayed: cancellations and observed terms. */
     private void applyDurableFacts(PeerMessage message) {
         cancellations.recordAll(message.cancellations());
         leadership.observeTerm(message.status().highestTerm());
     }
 
-    // ---- the peers' state
+    // ---- state of the peers
 
-    /** Whether every other controller has announced that it answers agents with no term below this one. */
+    /** Returns whether every other controller has announced that it no longer answers agents in a lower term. */
     public boolean allAcknowledgedTerm(long term) {
         return peers.allAcknowledged(endpoints.keySet(), term);
     }
 
-    /** Records that an agent sent its heartbeat to this controller while another one leads, or none. */
+    /** Records that an agent sent its heartbeat to this controller, which does not lead. */
     public void recordRedirectedAgent(String machine, Endpoint address) {
         redirectedAgents.add(machine, address);
     }
 
-    /** The most agents that one other controller has lately turned away and can reach. */
+    /** Returns the highest number of agents that a single peer recently redirected and can reach. */
     public int agentsReachingOthers() {
         return peers.maxRedirectedAgents();
     }
 
-    /** Whether the state store lately answered some other controller. */
+    /** Returns whether the state store recently responded to any other controller. */
     public boolean anotherPeerReachesStore() {
         return peers.anyReachesStore();
     }
--- a/src/main/java/io/quartzgw/leadership/PeerMessageCodec.java
+++ b/src/main/java/io/quartzgw/leadership/PeerMessageCodec.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.OptionalDouble;
 
-/** Encodes and decodes messages between controllers. The names and the order of the fields are part of the format. */
+/** Encodes and decodes messages between controllers. Names and order of the fields are part of the message format. */
 final class PeerMessageCodec {
     private static final String WRITE_DEMAND = "writes_wanted";
     private static final String MEMBER = "member";
@@ -18,8 +18,8 @@
     private static final String LED_TERM = "leading";
     private static final String HIGHEST_TERM = "term";
     private static final String STORE_REACHABLE = "store";
-    /** Only in messages of which it is true. */
-    private static final String LEADER_SILENT = "leader_silent";
+    /** Present only if true. */
+    private static final String LEADER_UNRESPONSIVE = "leader_silent";
 
     private static final String JOB_COUNTS = "counts";
     private static final String NOTICE = "notice";
@@ -40,8 +40,8 @@
                 .put(LED_TERM, status.ledTerm())
                 .put(HIGHEST_TERM, status.highestTerm())
                 .put(STORE_REACHABLE, status.storeReachable());
-        if (status.leaderSilent()) {
-            node.put(LEADER_SILENT, true);
+        if (status.leaderUnresponsive()) {
+            node.put(LEADER_UNRESPONSIVE, true);
         }
         PeerMessage.Attachments attachments = message.attachments();
         attachments.jobCounts().ifPresent(counts -> node.set(JOB_COUNTS, counts));
@@ -50,12 +50,12 @@
         return node;
     }
 
-    /** The message of a request's body; empty when the body is not CBOR. */
+    /** Returns the message in a request body; empty if the body is not CBOR. */
     static Optional<PeerMessage> decode(byte[] body) {
         return Optional.ofNullable(Json.readCborOrNull(body)).map(PeerMessageCodec::decode);
     }
 
-    /** Missing fields are read as 0, false and empty. */
+    /** Decodes a message. Missing fields are decoded as 0, false or empty. */
     static PeerMessage decode(JsonNode node) {
         ControllerIdentity sender = new ControllerIdentity(
                 node.path(MEMBER).asText(), node.path(PROCESS).asLong());
@@ -65,7 +65,7 @@
                 node.path(LED_TERM).asLong(),
                 node.path(HIGHEST_TERM).asLong(),
                 node.path(STORE_REACHABLE).asBoolean(),
-                node.path(LEADER_SILENT).asBoolean());
+                node.path(LEADER_UNRESPONSIVE).asBoolean());
         PeerMessage.Attachments attachments = new PeerMessage.Attachments(
                 Optional.ofNullable(node.get(JOB_COUNTS)),
                 Optional.ofNullable(node.get(NOTICE)),
--- a/src/main/java/io/quartzgw/leadership/PeerMessageFactory.java
+++ b/src/main/java/io/quartzgw/leadership/PeerMessageFactory.java
@@ -2,30 +2,30 @@
 
 import io.quartzgw.leadership.PeerMessage.Attachments;
 
-/** Creates this controller's messages to its peers from the present state of its parts. */
+/** Creates the messages to the peers from the current state of this controller's components. */
 final class PeerMessageFactory {
     private final ControllerIdentity identity;
     private final PeerExchange.Participants participants;
     private final RedirectedAgents redirectedAgents;
-    private final LeaderSilence leaderSilence;
+    private final UnresponsiveLeaderDetector unresponsiveLeaderDetector;
     private final long staleAfterMs;
     private long lastSequence;
 
-    /** @param staleAfterMs how long after its last response the state store counts as reachable */
+    /** @param staleAfterMs how long the state store counts as reachable after its last response */
     PeerMessageFactory(
             ControllerIdentity identity,
             PeerExchange.Participants participants,
             RedirectedAgents redirectedAgents,
-            LeaderSilence leaderSilence,
+            UnresponsiveLeaderDetector unresponsiveLeaderDetector,
             long staleAfterMs) {
         this.identity = identity;
         this.participants = participants;
         this.redirectedAgents = redirectedAgents;
-        this.leaderSilence = leaderSilence;
+        this.unresponsiveLeaderDetector = unresponsiveLeaderDetector;
         this.staleAfterMs = staleAfterMs;
     }
 
-    /** The next message, without attachments. */
+    /** Creates the next message, without attachments. */
     PeerMessage create() {
         return new PeerMessage(
                 identity,
@@ -44,7 +44,7 @@
                 leadership.leading() ? leadership.term() : 0,
                 leadership.highestTerm(),
                 storeReachable(),
-                leaderSilence.isSilent());
+                unresponsiveLeaderDetector.isLeaderUnresponsive());
     }
 
     private boolean storeReachable() {
--- a/src/main/java/io/quartzgw/leadership/PeerState.java
+++ b/src/main/java/io/quartzgw/leadership/PeerState.java
@@ -1,27 +1,27 @@
 package io.quartzgw.leadership;
 
-/** The newest status of one peer that is known to be of its present process. */
+/** The newest status of a peer that is known to come from its current process. */
 final class PeerState {
     private long process;
-    private long receivedAtMs;
-    /** The number of the process's newest message. */
-    private long statusSequence;
-    /** The number of its newest message that had job counts. */
-    private long countsSequence;
+    private long lastReceivedAtMs;
+    /** The sequence number of the newest message applied from the process. */
+    private long lastStatusSequence;
+    /** The sequence number of the newest applied message with job counts. */
+    private long lastCountsSequence;
 
     private boolean storeReachable;
-    private boolean leaderSilent;
+    private boolean leaderUnresponsive;
     private int redirectedAgents;
     private long acknowledgedTerm;
 
     /**
-     * Records that the peer has answered as a process: the messages of another one are numbered from the first again.
+     * Records which process of the peer has responded. The sequence numbers of another process start from one again.
      */
     void observeProcess(long answeringProcess) {
         if (process != answeringProcess) {
             process = answeringProcess;
-            statusSequence = 0;
-            countsSequence = 0;
+            lastStatusSequence = 0;
+            lastCountsSequence = 0;
         }
     }
 
@@ -29,51 +29,52 @@
         return process == otherProcess;
     }
 
-    /** Applies a message's status, unless a newer message was applied before. */
+    /** Applies the status of a message, unless a newer message has been applied. */
     void applyStatus(PeerMessage message, long nowMs) {
-        if (message.sequence() <= statusSequence) {
+        if (message.sequence() <= lastStatusSequence) {
             return;
         }
         PeerStatus status = message.status();
-        statusSequence = message.sequence();
-        receivedAtMs = nowMs;
+        lastStatusSequence = message.sequence();
+        lastReceivedAtMs = nowMs;
         redirectedAgents = status.redirectedAgents();
         storeReachable = status.storeReachable();
-        leaderSilent = status.leaderSilent();
+        leaderUnresponsive = status.leaderUnresponsive();
         acknowledgedTerm = Math.max(acknowledgedTerm, status.highestTerm());
     }
 
     /**
-     * Whether the job counts of a message are the newest. They are numbered apart from the status, since answers have
-     * none: an answer that overtakes the leader's message must not make its counts look old, or two controllers whose
+     * Returns whether the job counts of a message are the newest, and records their sequence number if they are. It is
+     * tracked separately from that of the status, since responses carry no job counts. A response that overtakes an
+     * earlier message of the leader must not make the counts of that message look outdated. Otherwise controllers whose
      * heartbeats coincide would never receive any.
      */
     boolean acceptCounts(PeerMessage message) {
-        if (message.sequence() <= countsSequence) {
+        if (message.sequence() <= lastCountsSequence) {
             return false;
         }
-        countsSequence = message.sequence();
+        lastCountsSequence = message.sequence();
         return true;
     }
 
-    long receivedAtMs() {
-        return receivedAtMs;
+    long lastReceivedAtMs() {
+        return lastReceivedAtMs;
     }
 
     boolean storeReachable() {
         return storeReachable;
     }
 
-    /** Whether the peer has not heard the leader for long, and knows of no other term than this one. */
-    boolean leaderSilentIn(long term) {
-        return leaderSilent && acknowledgedTerm == term;
+    /** Returns whether the peer reports the leader as unresponsive and this is the highest term it has observed. */
+    boolean reportsLeaderUnresponsive(long term) {
+        return leaderUnresponsive && acknowledgedTerm == term;
     }
 
     int redirectedAgents() {
         return redirectedAgents;
     }
 
-    /** The highest term that the peer has observed, and so no longer answers agents below. */
+    /** Returns the highest term that the peer has observed. It no longer answers agents in a lower term. */
     long acknowledgedTerm() {
         return acknowledgedTerm;
     }
--- a/src/main/java/io/quartzgw/leadership/WriteBudgetExchange.java
+++ b/src/main/java/io/quartzgw/leadership/WriteBudgetExchange.java
@@ -7,14 +7,14 @@
 import java.util.Optional;
 
 /**
- * This controller's grants of the state store's write budget. Every message between controllers has the sender's
- * demand; the leader's answers grant part of the budget, while its term is confirmed. Only answers grant: the receiver
- * knows when it asked, so a late copy grants nothing for longer than it should.
+ * Distributes the write budget of the state store among the controllers. Every message between controllers contains the
+ * sender's demand. While its term is confirmed, the leader grants parts of the budget in its responses. Grants are sent
+ * in responses only, since the receiver knows when it sent the request: a delayed response does not extend the grant.
  */
 public final class WriteBudgetExchange {
-    /** A grant outlasts one heartbeat whose message is lost. */
+    /** The duration of a grant in heartbeat intervals, so that it outlasts one heartbeat whose message is lost. */
     private static final double GRANT_HEARTBEATS = 2.5;
-    /** The part of a former demand that is still counted at the next heartbeat: bursts come again. */
+    /** The fraction of the previous demand that still counts at the next heartbeat, since bursts tend to recur. */
     private static final double DEMAND_DECAY = 0.7;
 
     private final EventLoop eventLoop;
@@ -22,23 +22,23 @@
     private final StoreClient store;
     private final StoreLimits limits;
     private final String member;
-    private final int members;
-    private final long grantMs;
-    /** A demand is not measured over less than this. */
-    private final long minMeasurementMs;
+    private final int controllerCount;
+    private final long grantDurationMs;
+    /** The minimum interval over which the demand is measured. */
+    private final long minMeasurementIntervalMs;
 
-    /** The allocator of the term that this controller last led with. */
+    /** The allocator of the last term in which this controller was the confirmed leader. */
     private Optional<TermAllocator> termAllocator = Optional.empty();
 
     private double demandPerS;
     private long measuredAtMs;
 
-    /** The allocator of one term: a new term begins without grants. */
+    /** The allocator of one term. A new term starts without grants. */
     private record TermAllocator(long term, WriteBudgetAllocator allocator) {}
 
     /**
-     * @param limits the state store's limits for all controllers together
-     * @param members how many controllers there are
+     * @param limits the limits of the state store for all controllers together
+     * @param controllerCount the number of controllers
      */
     public WriteBudgetExchange(
             EventLoop eventLoop,
@@ -47,22 +47,22 @@
             StoreLimits limits,
             LeadershipTiming timing,
             String member,
-            int members) {
+            int controllerCount) {
         this.eventLoop = eventLoop;
         this.leadership = leadership;
         this.store = store;
         this.limits = limits;
         this.member = member;
-        this.members = members;
-        this.grantMs = (long) (GRANT_HEARTBEATS * timing.heartbeatMs());
-        this.minMeasurementMs = timing.heartbeatMs() / 2;
+        this.controllerCount = controllerCount;
+        this.grantDurationMs = (long) (GRANT_HEARTBEATS * timing.heartbeatMs());
+        this.minMeasurementIntervalMs = timing.heartbeatMs() / 2;
         this.measuredAtMs = eventLoop.nowMs();
     }
 
-    /** Measures this controller's demand, and grants it its own part if it leads; once a heartbeat. */
+    /** Measures this controller's demand. A leader also grants itself its share. To be called once per heartbeat. */
     void measureDemand() {
         long elapsedMs = eventLoop.nowMs() - measuredAtMs;
-        if (elapsedMs < minMeasurementMs) {
+        if (elapsedMs < minMeasurementIntervalMs) {
             return;
         }
         measuredAtMs = eventLoop.nowMs();
@@ -70,30 +70,30 @@
         grantTo(member, demandPerS).ifPresent(writesPerS -> applyGrant(writesPerS, eventLoop.nowMs()));
     }
 
-    /** How many writes a second this controller wants to make. */
+    /** Returns the number of writes per second that this controller needs. */
     double demandPerS() {
         return demandPerS;
     }
 
-    /** How many writes a second this controller grants to a member, if it may grant any now; records the demand. */
-    Optional<Double> grantTo(String grantee, double wantedPerS) {
-        return allocator().flatMap(allocator -> allocator.grant(grantee, wantedPerS, eventLoop.nowMs()));
+    /** Records the demand of a controller and returns the writes per second granted to it, if any can be granted. */
+    Optional<Double> grantTo(String grantee, double granteeDemandPerS) {
+        return allocator().flatMap(allocator -> allocator.grant(grantee, granteeDemandPerS, eventLoop.nowMs()));
     }
 
-    /** Applies a grant, which counts from the moment at which this controller asked. */
+    /** Applies a grant, whose duration counts from the time at which this controller sent the request. */
     void applyGrant(double writesPerS, long requestedAtMs) {
-        store.applyWriteGrant(writesPerS, requestedAtMs + grantMs);
+        store.applyWriteGrant(writesPerS, requestedAtMs + grantDurationMs);
     }
 
-    /** The allocator of the current term, if that is confirmed. */
+    /** Returns the allocator of the current term, if this controller is the confirmed leader. */
     private Optional<WriteBudgetAllocator> allocator() {
         if (!leadership.isConfirmed()) {
             return Optional.empty();
         }
         long term = leadership.term();
         if (termAllocator.filter(current -> current.term() == term).isEmpty()) {
-            termAllocator = Optional.of(
-                    new TermAllocator(term, new WriteBudgetAllocator(limits, members, grantMs, eventLoop.nowMs())));
+            termAllocator = Optional.of(new TermAllocator(
+                    term, new WriteBudgetAllocator(limits, controllerCount, grantDurationMs, eventLoop.nowMs())));
         }
         return termAllocator.map(TermAllocator::allocator);
     }
--- a/src/main/java/io/quartzgw/recovery/StateLoader.java
+++ b/src/main/java/io/quartzgw/recovery/StateLoader.java
@@ -11,34 +11,34 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Reads the stored state, one listing after the other, and begins anew when one of them fails. */
+/** Reads the stored state, one key prefix after the other, and restarts from the first if a request fails. */
 final class StateLoader {
     private static final List<String> PREFIXES = List.of(
             JobKeys.OPEN, ProgressBitmaps.PREFIX, MachineRecords.PREFIX, MachineRecords.MARK_PREFIX, StartLog.PREFIX);
 
     private final LeaderContext leader;
     private final StoreClient store;
-    private final long retryMs;
+    private final long retryDelayMs;
     private final Consumer<StoredState> onLoaded;
 
     /**
-     * @param retryMs the pause before another try
-     * @param onLoaded takes the state once, while this leader's term is current
+     * @param retryDelayMs the delay before the next attempt
+     * @param onLoaded receives the state once, only while this leader's term is current
      */
-    StateLoader(LeaderContext leader, StoreClient store, long retryMs, Consumer<StoredState> onLoaded) {
+    StateLoader(LeaderContext leader, StoreClient store, long retryDelayMs, Consumer<StoredState> onLoaded) {
         this.leader = leader;
         this.store = store;
-        this.retryMs = retryMs;
+        this.retryDelayMs = retryDelayMs;
         this.onLoaded = onLoaded;
     }
 
-    /** Begins to read, as soon as the machine types are known. */
+    /** Starts reading once the machine types are known. */
     void load() {
         if (!leader.term().isCurrent()) {
             return;
         }
         if (!leader.machineTypes().isKnown()) {
-            retry();
+            scheduleRetry();
             return;
         }
         listNext(new ArrayList<>());
@@ -65,11 +65,11 @@
             listings.add(listed.listing());
             listNext(listings);
         } else {
-            retry();
+            scheduleRetry();
         }
     }
 
-    private void retry() {
-        leader.eventLoop().after(retryMs, this::load);
+    private void scheduleRetry() {
+        leader.eventLoop().after(retryDelayMs, this::load);
     }
 }
