--- a/src/main/java/io/quartzgw/startlog/FormerReplicas.java
+++ b/src/main/java/io/quartzgw/startlog/LegacyReplicas.java
@@ -13,46 +13,46 @@
  * leaders from a replica which the key {@code starts/insync} covers. A leader of this version tells no replica of its
  * starts, so before its first one leaves it records that no replica of its term or an earlier one covers them.
  */
-final class FormerReplicas {
+final class LegacyReplicas {
     private static final String KEY = "starts/insync";
-    private static final int RETRY_MS = 250;
+    private static final int RETRY_DELAY_MS = 250;
 
     private final EventLoop eventLoop;
     private final StoreClient store;
     private final LeaderTerm term;
-    private boolean writing;
-    private boolean outdated;
+    private boolean writeInFlight;
+    private boolean invalidated;
 
-    FormerReplicas(EventLoop eventLoop, StoreClient store, LeaderTerm term) {
+    LegacyReplicas(EventLoop eventLoop, StoreClient store, LeaderTerm term) {
         this.eventLoop = eventLoop;
         this.store = store;
         this.term = term;
     }
 
     /** Returns whether it is recorded that no replica covers the starts of this leader. */
-    boolean areOutdated() {
-        return outdated;
+    boolean areInvalidated() {
+        return invalidated;
     }
 
     /** Records it, once in a term. */
-    void outdate() {
-        if (outdated || writing) {
+    void invalidate() {
+        if (invalidated || writeInFlight) {
             return;
         }
-        writing = true;
+        writeInFlight = true;
         // A late copy is applied in this term only, and says the same.
         Transaction transaction = new Transaction()
                 .require(Leadership.TERM_KEY, term.termRevision())
-                .put(KEY, OutdatedReplicasCodec.encode(term.number()));
-        store.commit(transaction, RequestUrgency.HIGH, this::onOutcome);
+                .put(KEY, LegacyReplicasCodec.encode(term.number()));
+        store.commit(transaction, RequestUrgency.HIGH, this::onCommitOutcome);
     }
 
-    private void onOutcome(TransactionOutcome outcome) {
+    private void onCommitOutcome(TransactionOutcome outcome) {
         if (outcome instanceof TransactionOutcome.Committed) {
-            outdated = true;
-            writing = false;
+            invalidated = true;
+            writeInFlight = false;
         } else {
-            eventLoop.after(RETRY_MS, () -> writing = false);
+            eventLoop.after(RETRY_DELAY_MS, () -> writeInFlight = false);
         }
     }
 }
--- a/src/main/java/io/quartzgw/startlog/LogWrites.java
+++ b/src/main/java/io/quartzgw/startlog/LogWriteMonitor.java
@@ -7,21 +7,21 @@
 import org.slf4j.LoggerFactory;
 
 /** Reports when the log of starts can't be written, and when it is written again. */
-final class LogWrites {
-    private static final Logger LOG = LoggerFactory.getLogger(LogWrites.class);
+final class LogWriteMonitor {
+    private static final Logger LOG = LoggerFactory.getLogger(LogWriteMonitor.class);
 
     private final EventLoop eventLoop;
     private final LeaderTerm term;
     /** When the first of the writes that have failed was begun, unless the last one has succeeded. */
     private Optional<Long> failingSinceMs = Optional.empty();
 
-    LogWrites(EventLoop eventLoop, LeaderTerm term) {
+    LogWriteMonitor(EventLoop eventLoop, LeaderTerm term) {
         this.eventLoop = eventLoop;
         this.term = term;
     }
 
     /** Handles a write that failed or had no answer, while some starts wait to be stored. */
-    void failed(long begunAtMs, int waitingStarts) {
+    void onWriteFailed(long begunAtMs, int waitingStarts) {
         if (failingSinceMs.isEmpty()) {
             failingSinceMs = Optional.of(begunAtMs);
             eventLoop.increment("startlog.stalls", 1);
@@ -33,7 +33,7 @@
     }
 
     /** Handles a write that was answered. */
-    void succeeded() {
+    void onWriteSucceeded() {
         failingSinceMs.ifPresent(since -> LOG.atInfo()
                 .addKeyValue("term", term.number())
                 .addKeyValue("stalled_ms", eventLoop.nowMs() - since)
--- a/src/main/java/io/quartzgw/startlog/StartLog.java
+++ b/src/main/java/io/quartzgw/startlog/StartLog.java
@@ -43,9 +43,9 @@
     /** The fraction of it that may be spent on dropping starts which are void. */
     private static final double CLEANUP_FRACTION = 0.1;
     /** How long a stored start that is void may stay in the log while no other start is written, in heartbeats. */
-    private static final double CLEANUP_HEARTBEATS = 2;
+    private static final double CLEANUP_DELAY_HEARTBEATS = 2;
     /** The pause after a failed write, in heartbeats. */
-    private static final double RETRY_HEARTBEATS = 0.1;
+    private static final double RETRY_DELAY_HEARTBEATS = 0.1;
     /** Further starts leave in responses only: a new leader has to read the log before it does anything else. */
     private static final int MAX_STARTS = 20_000;
 
@@ -53,13 +53,13 @@
     private final StoreClient store;
     private final LeaderTerm term;
     private final PackedRecords records;
-    private final FormerReplicas formerReplicas;
-    private final LogWrites writes;
+    private final LegacyReplicas legacyReplicas;
+    private final LogWriteMonitor writeMonitor;
     private final CoalescedTask flushLater;
-    private final long cleanupMs;
-    private final long retryMs;
+    private final long cleanupDelayMs;
+    private final long retryDelayMs;
     /** Keys with the prefix that are no pages. */
-    private final List<String> foreignKeys = new ArrayList<>();
+    private final List<String> nonPageKeys = new ArrayList<>();
 
     private final Map<String, Map<Attempt, LogEntry>> entriesByMachine = new HashMap<>();
     /** The starts that are not stored yet. */
@@ -68,7 +68,7 @@
     private Consumer<String> onStored = machine -> {};
     private int size;
     private boolean loaded;
-    private boolean writing;
+    private boolean writeInFlight;
     private long nextWriteAtMs;
     /** When pages that hold void starts are to be written, unless a start is written before. */
     private Optional<Long> cleanupAtMs = Optional.empty();
@@ -83,11 +83,11 @@
         this.store = store;
         this.term = term;
         this.records = new PackedRecords(store, PREFIX, this::fencedTransaction);
-        this.formerReplicas = new FormerReplicas(eventLoop, store, term);
-        this.writes = new LogWrites(eventLoop, term);
+        this.legacyReplicas = new LegacyReplicas(eventLoop, store, term);
+        this.writeMonitor = new LogWriteMonitor(eventLoop, term);
         this.flushLater = new CoalescedTask(eventLoop, this::flush);
-        this.cleanupMs = (long) (CLEANUP_HEARTBEATS * heartbeatMs);
-        this.retryMs = (long) (RETRY_HEARTBEATS * heartbeatMs);
+        this.cleanupDelayMs = (long) (CLEANUP_DELAY_HEARTBEATS * heartbeatMs);
+        this.retryDelayMs = (long) (RETRY_DELAY_HEARTBEATS * heartbeatMs);
     }
 
     private Transaction fencedTransaction() {
@@ -110,7 +110,7 @@
                 readable.add(page);
             } else {
                 unreadable++;
-                reportUnreadable(page);
+                handleUnreadable(page);
             }
         }
         Map<String, Set<Attempt>> starts = new LinkedHashMap<>();
@@ -128,11 +128,11 @@
         return new FormerStarts(machines, unreadable);
     }
 
-    private void reportUnreadable(KeyValue page) {
+    private void handleUnreadable(KeyValue page) {
         if (records.isPageKey(page.key())) {
             records.keepUnreadable(page);
         } else {
-            foreignKeys.add(page.key());
+            nonPageKeys.add(page.key());
         }
         eventLoop.increment("startlog.unreadable_pages", 1);
         LOG.atWarn()
@@ -147,9 +147,9 @@
         records.dropUnreadable();
         scheduleCleanup();
         // Where that fails, the next leader finds them again.
-        foreignKeys.forEach(
+        nonPageKeys.forEach(
                 key -> store.commit(fencedTransaction().delete(key), RequestUrgency.BACKGROUND, outcome -> {}));
-        foreignKeys.clear();
+        nonPageKeys.clear();
     }
 
     private void addStored(String machine, Attempt start) {
@@ -200,25 +200,25 @@
 
     private void scheduleCleanup() {
         if (cleanupAtMs.isEmpty()) {
-            cleanupAtMs = Optional.of(eventLoop.nowMs() + cleanupMs);
+            cleanupAtMs = Optional.of(eventLoop.nowMs() + cleanupDelayMs);
         }
     }
 
     /** Returns whether a start that was announced is stored, so that a direct call may carry it. */
     public boolean isStored(String machine, Attempt start) {
         LogEntry entry = entriesByMachine.getOrDefault(machine, Map.of()).get(start);
-        return entry != null && entry.isStored() && formerReplicas.areOutdated();
+        return entry != null && entry.isStored() && legacyReplicas.areInvalidated();
     }
 
     // ---- writes
 
     /** Writes what has been announced, one write at a time; called at the end of every batch. */
     public void flush() {
-        if (!loaded || writing || !term.isConfirmed()) {
+        if (!loaded || writeInFlight || !term.isConfirmed()) {
             return;
         }
-        if (!formerReplicas.areOutdated()) {
-            formerReplicas.outdate();
+        if (!legacyReplicas.areInvalidated()) {
+            legacyReplicas.invalidate();
             return;
         }
         boolean cleanupDue = cleanupAtMs.isPresent() && eventLoop.nowMs() >= cleanupAtMs.get();
@@ -241,22 +241,22 @@
         double fraction = written.isEmpty() ? CLEANUP_FRACTION : WRITE_FRACTION;
         long begunAtMs = eventLoop.nowMs();
         nextWriteAtMs = begunAtMs + store.pauseMsAfter(records.dirtyPageCount(), fraction);
-        writing = true;
+        writeInFlight = true;
         eventLoop.increment("startlog.pages_written", records.dirtyPageCount());
         records.write(urgency, success -> onWritten(written, success, begunAtMs));
     }
 
     private void onWritten(List<LogEntry> written, boolean success, long begunAtMs) {
-        writing = false;
+        writeInFlight = false;
         if (!term.isCurrent()) {
             return;
         }
         if (success) {
-            writes.succeeded();
+            writeMonitor.onWriteSucceeded();
             written.forEach(this::markStored);
         } else {
-            writes.failed(begunAtMs, waiting.size());
-            nextWriteAtMs = eventLoop.nowMs() + retryMs;
+            writeMonitor.onWriteFailed(begunAtMs, waiting.size());
+            nextWriteAtMs = eventLoop.nowMs() + retryDelayMs;
             scheduleCleanup();
         }
     }
--- a/src/test/java/io/quartzgw/app/CancelledStartsAndOutagesTest.java
+++ b/src/test/java/io/quartzgw/app/CancelledStartsAndOutagesTest.java
@@ -24,41 +24,41 @@
     private static final int CONTROLLERS = 3;
     private static final long CANCEL_MS = new AgentTiming(2_500, LEASE_MS, 36_000).cancelMs();
     private static final long AFTER_LIMIT_MS = 1_000;
-    private static final String FILLER = "j-000699";
-    private static final long FILLER_RUNS_MS = 30_000;
-    private static final long TASKS_RUN_MS = 45_000;
+    private static final String FILLER_JOB = "j-000699";
+    private static final long FILLER_STARTUP_MS = 30_000;
+    private static final long TASKS_COMPLETE_MS = 45_000;
     private static final long RECOVERY_MS = 60_000;
 
     private ClusterSimulation simulation;
-    private StartsOnTheirWay starts;
+    private DelayedStartsScenario starts;
 
     static LongStream seeds() {
         return SeedRanges.range("outages", 1, 4);
     }
 
-    private void cancelWithAStartOnItsWay(long seed) {
+    private void cancelWithOutstandingStart(long seed) {
         simulation = clusterWithServices(new ClusterSimulation(seed, CONTROLLERS));
-        starts = new StartsOnTheirWay(simulation);
-        fillMachinesForLong();
-        starts.send(StartsOnTheirWay.tasks());
+        starts = new DelayedStartsScenario(simulation);
+        fillMachines();
+        starts.sendDelayedStarts(DelayedStartsScenario.tasks());
         starts.cancel();
     }
 
-    private void fillMachinesForLong() {
-        simulation.users().submitUntilAccepted(JobRequests.array(FILLER, "blue", 4, 4, 600));
-        simulation.runChecked(FILLER_RUNS_MS);
+    private void fillMachines() {
+        simulation.users().submitUntilAccepted(JobRequests.array(FILLER_JOB, "blue", 4, 4, 600));
+        simulation.runChecked(FILLER_STARTUP_MS);
     }
 
     private void beginOutage(long durationMs) {
         simulation.store().setOutage(true);
-        starts.log("outage begins");
+        starts.logStep("outage begins");
         simulation.schedule(simulation.now() + durationMs, () -> {
-            starts.log("outage ends");
+            starts.logStep("outage ends");
             simulation.store().setOutage(false);
         });
     }
 
-    private void assertNothingStartsAfterTheLimit() {
+    private void assertNothingStartsAfterCancelLimit() {
         simulation.runChecked(CANCEL_MS + AFTER_LIMIT_MS);
         starts.rebootAndDeliver();
         simulation.runChecked(RECOVERY_MS);
@@ -71,41 +71,41 @@
     // The leader is not confirmed during the outage, and deletes no machine.
     @ParameterizedTest
     @MethodSource("seeds")
-    void leaderDeletesTheMachineWithinTheLimitThoughTheStateServiceIsOut(long seed) {
-        cancelWithAStartOnItsWay(seed);
+    void machineIsDeletedWithinCancelLimitDuringStateServiceOutage(long seed) {
+        cancelWithOutstandingStart(seed);
         beginOutage(CANCEL_MS + 4_000);
-        assertNothingStartsAfterTheLimit();
+        assertNothingStartsAfterCancelLimit();
     }
 
     // A task that is done is not started elsewhere, but its late start is one of a cancelled job.
     @ParameterizedTest
     @MethodSource("seeds")
-    void unansweredStartOfADoneTaskOfACancelledJobRunsNot(long seed) {
+    void unansweredStartOfCompletedTaskIsNotExecutedAfterCancellation(long seed) {
         simulation = clusterWithServices(new ClusterSimulation(seed, CONTROLLERS));
-        starts = new StartsOnTheirWay(simulation);
-        fillMachinesForLong();
+        starts = new DelayedStartsScenario(simulation);
+        fillMachines();
         // Without more machines, most tasks wait.
         simulation.cloud().setOutage(true);
-        starts.send(StartsOnTheirWay.tasks(60, 20));
-        simulation.runChecked(TASKS_RUN_MS);
-        for (String machine : starts.machines()) {
+        starts.sendDelayedStarts(DelayedStartsScenario.tasks(60, 20));
+        simulation.runChecked(TASKS_COMPLETE_MS);
+        for (String machine : starts.targetMachines()) {
             assertTrue(
                     simulation.invariants().runningTasks().stream().noneMatch(task -> simulation
                             .network()
-                            .heldStarts(StartsOnTheirWay.JOB)
+                            .heldStarts(DelayedStartsScenario.JOB)
                             .get(machine)
                             .contains(task)),
                     "the tasks are done");
         }
         simulation.cloud().setOutage(false);
         starts.cancel();
-        assertNothingStartsAfterTheLimit();
+        assertNothingStartsAfterCancelLimit();
     }
 
     // No machine has run a task, so the page names none that exists: it must not cost the fleet at a later failover.
     @ParameterizedTest
     @MethodSource("seeds")
-    void pageThatCannotBeReadIsDroppedThoughNoMachineHasRunATask(long seed) {
+    void unreadablePageIsDroppedWhenNoMachineHasRunTasks(long seed) {
         ClusterSimulation empty = new ClusterSimulation(seed, CONTROLLERS);
         empty.store().setValue("sent/0", Json.object().put("no attempt", "i-000001"));
         clusterWithServices(empty);
--- a/src/test/java/io/quartzgw/app/CrashesOfAllControllers.java
+++ b/src/test/java/io/quartzgw/app/CrashesOfAllControllers.java
@@ -16,31 +16,31 @@
  */
 final class CrashesOfAllControllers {
     private static final int CONTROLLERS = 3;
-    private static final long FIRST_MS = 20_000;
-    private static final int SHORTEST_INTERVAL_MS = 12_000;
-    private static final int INTERVAL_SPREAD_MS = 16_000;
+    private static final long FIRST_ROUND_AT_MS = 20_000;
+    private static final int MIN_ROUND_INTERVAL_MS = 12_000;
+    private static final int ROUND_INTERVAL_SPREAD_MS = 16_000;
 
-    private static final int LONGEST_CUT_BEFORE_MS = 8_000;
-    private static final int LONGEST_CUT_AFTER_MS = 3_000;
-    private static final int SUBMITTED_WITHIN_MS = 2_000;
-    private static final int LATEST_CRASH_MS = 3_000;
-    private static final int LONGEST_BURST_MS = 8_000;
-    private static final long SHORTEST_DOWN_MS = 100;
-    private static final int DOWN_SPREAD_MS = 3_000;
-    private static final int LONGEST_OUTAGE_MS = 8_000;
+    private static final int MAX_PARTITION_BEFORE_ROUND_MS = 8_000;
+    private static final int MAX_PARTITION_AFTER_CRASH_MS = 3_000;
+    private static final int SUBMISSION_SPREAD_MS = 2_000;
+    private static final int MAX_CRASH_DELAY_MS = 3_000;
+    private static final int MAX_BURST_MS = 8_000;
+    private static final long MIN_DOWNTIME_MS = 100;
+    private static final int DOWNTIME_SPREAD_MS = 3_000;
+    private static final int MAX_OUTAGE_MS = 8_000;
     private static final int OUTAGE_ONE_IN = 3;
 
-    private static final int FIRST_JOB = 7_000;
+    private static final int FIRST_JOB_NUMBER = 7_000;
     private static final int JOBS_PER_ROUND = 4;
     private static final int MAX_TASKS = 5;
-    private static final int SHORTEST_LIFE_MS = 300;
-    private static final int LIFE_SPREAD_MS = 9_000;
+    private static final int MIN_JOB_LIFETIME_MS = 300;
+    private static final int JOB_LIFETIME_SPREAD_MS = 9_000;
 
     private static final int MAX_REBOOTS = 5;
-    private static final int SHORTEST_REBOOT_MS = 3_000;
-    private static final int REBOOT_SPREAD_MS = 22_000;
+    private static final int MIN_REBOOT_DELAY_MS = 3_000;
+    private static final int REBOOT_DELAY_SPREAD_MS = 22_000;
     /** Within such a time the agent of a machine that was started again has often not been answered yet. */
-    private static final int LATEST_DELIVERY_MS = 200;
+    private static final int MAX_DELIVERY_DELAY_MS = 200;
 
     private final ClusterSimulation simulation;
     private final SplittableRandom random;
@@ -67,27 +67,27 @@
 
     private void scheduleRounds() {
         int round = 0;
-        for (long at = FIRST_MS;
-                at + LATEST_CRASH_MS + LONGEST_BURST_MS + SHORTEST_REBOOT_MS + REBOOT_SPREAD_MS < end;
-                at += SHORTEST_INTERVAL_MS + random.nextInt(INTERVAL_SPREAD_MS)) {
-            scheduleRound(at, FIRST_JOB + round * JOBS_PER_ROUND);
+        for (long at = FIRST_ROUND_AT_MS;
+                at + MAX_CRASH_DELAY_MS + MAX_BURST_MS + MIN_REBOOT_DELAY_MS + REBOOT_DELAY_SPREAD_MS < end;
+                at += MIN_ROUND_INTERVAL_MS + random.nextInt(ROUND_INTERVAL_SPREAD_MS)) {
+            scheduleRound(at, FIRST_JOB_NUMBER + round * JOBS_PER_ROUND);
             round++;
         }
         simulation.schedule(end, () -> simulation.network().holdUpCommandShare(0, 0));
     }
 
     private void scheduleRound(long at, int firstJob) {
-        long crashAt = at + 1 + random.nextInt(LATEST_CRASH_MS);
-        simulation.schedule(at, () -> CrashesWithHeldUpStarts.holdUpCalls(simulation));
+        long crashAt = at + 1 + random.nextInt(MAX_CRASH_DELAY_MS);
+        simulation.schedule(at, () -> CrashesWithHeldUpStarts.delayMostCalls(simulation));
         for (int i = 0; i < JOBS_PER_ROUND; i++) {
             scheduleJob(at, firstJob + i);
         }
         if (random.nextBoolean()) {
-            scheduleCut(at, crashAt);
+            schedulePartition(at, crashAt);
         }
         scheduleCrashes(crashAt);
         if (random.nextInt(OUTAGE_ONE_IN) == 0) {
-            scheduleOutage(at + random.nextInt(LONGEST_BURST_MS));
+            scheduleOutage(at + random.nextInt(MAX_BURST_MS));
         }
         int reboots = random.nextInt(MAX_REBOOTS + 1);
         for (int i = 0; i < reboots; i++) {
@@ -97,9 +97,9 @@
 
     private void scheduleJob(long roundAt, int number) {
         ObjectNode job = CrashesWithHeldUpStarts.job(number, 1 + random.nextInt(MAX_TASKS));
-        long at = roundAt + random.nextInt(SUBMITTED_WITHIN_MS);
+        long at = roundAt + random.nextInt(SUBMISSION_SPREAD_MS);
         OptionalLong cancelAt = random.nextBoolean()
-                ? OptionalLong.of(at + SHORTEST_LIFE_MS + random.nextInt(LIFE_SPREAD_MS))
+                ? OptionalLong.of(at + MIN_JOB_LIFETIME_MS + random.nextInt(JOB_LIFETIME_SPREAD_MS))
                 : OptionalLong.empty();
         simulation.schedule(at, () -> simulation.users().submitUntilAccepted(job, cancelAt));
     }
@@ -107,9 +107,9 @@
     /**
      * The leader goes on without the controller that is cut off from it, and may end before that hears of its starts.
      */
-    private void scheduleCut(long roundAt, long crashAt) {
-        long cutAt = roundAt - random.nextInt(LONGEST_CUT_BEFORE_MS);
-        long healAt = crashAt + random.nextInt(LONGEST_CUT_AFTER_MS);
+    private void schedulePartition(long roundAt, long crashAt) {
+        long cutAt = roundAt - random.nextInt(MAX_PARTITION_BEFORE_ROUND_MS);
+        long healAt = crashAt + random.nextInt(MAX_PARTITION_AFTER_CRASH_MS);
         int other = 1 + random.nextInt(CONTROLLERS - 1);
         simulation.schedule(cutAt, () -> {
             int leader = simulation.leaderOrFirst();
@@ -124,12 +124,12 @@
     private void scheduleCrashes(long crashAt) {
         int crashes = 1 + random.nextInt(CONTROLLERS);
         int direction = 1 + random.nextInt(CONTROLLERS - 1);
-        int withinMs = random.nextBoolean() ? 1 : LONGEST_BURST_MS;
+        int withinMs = random.nextBoolean() ? 1 : MAX_BURST_MS;
         long[] delaysMs = new long[crashes];
         long[] downMs = new long[crashes];
         for (int i = 0; i < crashes; i++) {
             delaysMs[i] = i == 0 ? 0 : random.nextInt(withinMs);
-            downMs[i] = SHORTEST_DOWN_MS + random.nextInt(DOWN_SPREAD_MS);
+            downMs[i] = MIN_DOWNTIME_MS + random.nextInt(DOWNTIME_SPREAD_MS);
         }
         simulation.schedule(crashAt, () -> {
             int leader = simulation.leaderOrFirst();
@@ -146,18 +146,17 @@
     private void scheduleOutage(long at) {
         simulation.schedule(at, () -> simulation.store().setOutage(true));
         simulation.schedule(
-                at + 1 + random.nextInt(LONGEST_OUTAGE_MS),
-                () -> simulation.store().setOutage(false));
+                at + 1 + random.nextInt(MAX_OUTAGE_MS), () -> simulation.store().setOutage(false));
     }
 
     /** Calls to a machine are held back from the beginning of the round until it has been started again. */
     private void scheduleReboot(long roundAt, long crashAt) {
         int pick = random.nextInt(Integer.MAX_VALUE);
         boolean epochKept = random.nextInt(4) == 0;
-        long soonMs = (long) SHORTEST_REBOOT_MS + random.nextInt(REBOOT_SPREAD_MS);
-        boolean late = random.nextBoolean() && crashAt + LONGEST_BURST_MS + cancelMs + soonMs < end;
-        long rebootAt = crashAt + soonMs + (late ? LONGEST_BURST_MS + cancelMs : 0);
-        long deliveryMs = random.nextInt(LATEST_DELIVERY_MS);
+        long soonMs = (long) MIN_REBOOT_DELAY_MS + random.nextInt(REBOOT_DELAY_SPREAD_MS);
+        boolean late = random.nextBoolean() && crashAt + MAX_BURST_MS + cancelMs + soonMs < end;
+        long rebootAt = crashAt + soonMs + (late ? MAX_BURST_MS + cancelMs : 0);
+        long deliveryMs = random.nextInt(MAX_DELIVERY_DELAY_MS);
         simulation.schedule(roundAt, () -> {
             List<String> machines = simulation.agents().machineIds();
             if (machines.isEmpty()) {
--- a/src/test/java/io/quartzgw/app/CrashesWithHeldUpStarts.java
+++ b/src/test/java/io/quartzgw/app/CrashesWithHeldUpStarts.java
@@ -12,19 +12,19 @@
  */
 final class CrashesWithHeldUpStarts {
     private static final int CONTROLLERS = 3;
-    private static final long FIRST_MS = 25_000;
-    private static final int SHORTEST_INTERVAL_MS = 12_000;
-    private static final int INTERVAL_SPREAD_MS = 20_000;
+    private static final long FIRST_ROUND_AT_MS = 25_000;
+    private static final int MIN_ROUND_INTERVAL_MS = 12_000;
+    private static final int ROUND_INTERVAL_SPREAD_MS = 20_000;
 
-    private static final double HELD_UP_SHARE = 0.9;
-    private static final long LONGEST_HOLD_UP_MS = 30_000;
-    private static final int LONGEST_BURST_MS = 4_000;
-    private static final long SHORTEST_DOWN_MS = 100;
-    private static final int DOWN_SPREAD_MS = 3_000;
-    private static final int LATEST_REBOOT_MS = 25_000;
+    private static final double DELAYED_CALL_SHARE = 0.9;
+    private static final long MAX_CALL_DELAY_MS = 30_000;
+    private static final int MAX_BURST_MS = 4_000;
+    private static final long MIN_DOWNTIME_MS = 100;
+    private static final int DOWNTIME_SPREAD_MS = 3_000;
+    private static final int MAX_REBOOT_DELAY_MS = 25_000;
     private static final int MAX_REBOOTS = 4;
 
-    private static final int FIRST_JOB = 8_000;
+    private static final int FIRST_JOB_NUMBER = 8_000;
     private static final int JOBS_PER_CRASH = 3;
     private static final int MAX_TASKS = 4;
 
@@ -39,38 +39,38 @@
     static void scheduleAll(ClusterSimulation simulation, long seed, long end) {
         SplittableRandom random = new SplittableRandom(~seed);
         int crashes = 0;
-        for (long at = FIRST_MS;
-                at + LONGEST_BURST_MS + LATEST_REBOOT_MS < end;
-                at += SHORTEST_INTERVAL_MS + random.nextInt(INTERVAL_SPREAD_MS)) {
-            schedule(simulation, random, at, FIRST_JOB + crashes * JOBS_PER_CRASH);
+        for (long at = FIRST_ROUND_AT_MS;
+                at + MAX_BURST_MS + MAX_REBOOT_DELAY_MS < end;
+                at += MIN_ROUND_INTERVAL_MS + random.nextInt(ROUND_INTERVAL_SPREAD_MS)) {
+            schedule(simulation, random, at, FIRST_JOB_NUMBER + crashes * JOBS_PER_CRASH);
             crashes++;
         }
         simulation.schedule(end, () -> simulation.network().holdUpCommandShare(0, 0));
     }
 
     private static void schedule(ClusterSimulation simulation, SplittableRandom random, long at, int firstJob) {
-        simulation.schedule(at, () -> holdUpCalls(simulation));
+        simulation.schedule(at, () -> delayMostCalls(simulation));
         for (int i = 0; i < JOBS_PER_CRASH; i++) {
             ObjectNode job = job(firstJob + i, 1 + random.nextInt(MAX_TASKS));
             simulation.schedule(
-                    at + random.nextInt(LONGEST_BURST_MS),
-                    () -> simulation.users().submitUntilAccepted(job));
+                    at + random.nextInt(MAX_BURST_MS), () -> simulation.users().submitUntilAccepted(job));
         }
-        long crashAt = at + 1 + random.nextInt(LONGEST_BURST_MS);
-        long downMs = SHORTEST_DOWN_MS + random.nextInt(DOWN_SPREAD_MS);
+        long crashAt = at + 1 + random.nextInt(MAX_BURST_MS);
+        long downMs = MIN_DOWNTIME_MS + random.nextInt(DOWNTIME_SPREAD_MS);
         int others = random.nextInt(CONTROLLERS);
         simulation.schedule(crashAt, () -> crash(simulation, downMs, others));
         int reboots = random.nextInt(MAX_REBOOTS + 1);
         for (int i = 0; i < reboots; i++) {
             int pick = random.nextInt(Integer.MAX_VALUE);
             boolean epochKept = random.nextBoolean();
-            simulation.schedule(crashAt + random.nextInt(LATEST_REBOOT_MS), () -> reboot(simulation, pick, epochKept));
+            simulation.schedule(
+                    crashAt + random.nextInt(MAX_REBOOT_DELAY_MS), () -> reboot(simulation, pick, epochKept));
         }
     }
 
     /** Holds most direct calls up from now on. */
-    static void holdUpCalls(ClusterSimulation simulation) {
-        simulation.network().holdUpCommandShare(HELD_UP_SHARE, LONGEST_HOLD_UP_MS);
+    static void delayMostCalls(ClusterSimulation simulation) {
+        simulation.network().holdUpCommandShare(DELAYED_CALL_SHARE, MAX_CALL_DELAY_MS);
     }
 
     /** A job whose tasks run as soon as their starts arrive. */
--- a/src/test/java/io/quartzgw/app/DelayedCommandsTest.java
+++ b/src/test/java/io/quartzgw/app/DelayedCommandsTest.java
@@ -31,8 +31,8 @@
     /** The share of heartbeats that arrive again, late. */
     private static final double DUPLICATE_SHARE = 0.02;
 
-    private static final long FAULTS_END = 120_000;
-    private static final long END = 230_000;
+    private static final long FAULTS_END_MS = 120_000;
+    private static final long END_MS = 230_000;
     private static final int MACHINES = 8;
     /** The heartbeat period is short beside the timeout of direct commands, as it is in effect when tasks change. */
     private static final AgentTiming TIMING = new AgentTiming(5_000, 26_500, 56_500);
@@ -46,7 +46,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {11, 306, 318, 415, 440, 476, 491, 492})
-    void invariantsHoldForSeedsThatOnceViolatedThem(long seed) {
+    void invariantsHoldForRegressionSeeds(long seed) {
         run(seed, false);
     }
 
@@ -64,7 +64,7 @@
     @MethodSource("seedsWithPauses")
     void invariantsHoldWhileLeadersAlsoPause(long seed) {
         ClusterSimulation simulation = newSimulation(seed);
-        LeaderPauses.scheduleAll(simulation, seed, FAULTS_END);
+        LeaderPauses.scheduleAll(simulation, seed, FAULTS_END_MS);
         run(simulation, seed, false);
     }
 
@@ -75,9 +75,9 @@
     /** Guards against ran_twice: a successor has to know the starts that its predecessor had sent. */
     @ParameterizedTest
     @MethodSource("seedsWithCrashes")
-    void invariantsHoldWhileLeadersCrashWithStartsHeldUp(long seed) {
+    void invariantsHoldWhenLeadersCrashWithDelayedStarts(long seed) {
         ClusterSimulation simulation = newSimulation(seed);
-        CrashesWithHeldUpStarts.scheduleAll(simulation, seed, FAULTS_END);
+        CrashesWithHeldUpStarts.scheduleAll(simulation, seed, FAULTS_END_MS);
         run(simulation, seed, true);
     }
 
@@ -88,9 +88,9 @@
     /** Guards against ran_twice and ran_cancelled: starts outlive the controllers that know of them. */
     @ParameterizedTest
     @MethodSource("seedsWithTotalLoss")
-    void invariantsHoldWhileAllControllersCrashWithStartsHeldUp(long seed) {
+    void invariantsHoldWhenAllControllersCrashWithDelayedStarts(long seed) {
         ClusterSimulation simulation = newSimulation(seed);
-        CrashesOfAllControllers.scheduleAll(simulation, seed, TIMING.cancelMs(), FAULTS_END);
+        CrashesOfAllControllers.scheduleAll(simulation, seed, TIMING.cancelMs(), FAULTS_END_MS);
         run(simulation, seed, true);
     }
 
@@ -106,7 +106,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {245})
-    void aReplacedWorkerRunsNoAttemptThatHasEnded(long seed) {
+    void replacedAgentDoesNotRunEndedAttempt(long seed) {
         run(seed, true);
     }
 
@@ -116,7 +116,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {10151, 10152, 11367, 11428, 11636})
-    void startOfAFormerLeaderRunsOnNoRebootedMachine(long seed) {
+    void previousLeaderStartIsNotExecutedAfterReboot(long seed) {
         run(seed, true);
     }
 
@@ -127,13 +127,13 @@
      */
     @ParameterizedTest
     @ValueSource(longs = 11078)
-    void taskWhoseStartIsInAResponseToANewAgentRunsNowhereElse(long seed) {
+    void taskStartedInResponseToNewAgentRunsOnce(long seed) {
         run(seed, true);
     }
 
     /** A machine receives nothing until its epoch ends, then reboots, and counts its epochs from the first. */
     @Test
-    void aStartOfAFormerSessionRunsOnNoWorkerThatCountsItsSessionsAnew() {
+    void startOfEarlierEpochIsNotExecutedAfterEpochReset() {
         ClusterSimulation simulation = clusterWithServices();
         ObjectNode filling = JobRequests.array("j-000700", "blue", 4, 4, 90);
         simulation.users().submitUntilAccepted(filling);
@@ -165,16 +165,16 @@
         simulation.network().delayCommandsUpTo(MAX_COMMAND_DELAY_MS);
         simulation.network().delayLinksUpTo(random.nextInt(MAX_LINK_DELAY_MS));
         simulation.network().duplicateMessageShare(DUPLICATE_SHARE);
-        List<String> arrays = load(simulation, random);
-        faults(simulation, random, reboots);
-        simulation.runChecked(FAULTS_END);
+        List<String> arrays = submitJobs(simulation, random);
+        scheduleFaults(simulation, random, reboots);
+        simulation.runChecked(FAULTS_END_MS);
         simulation.network().delayCommandsUpTo(0);
         simulation.network().delayLinksUpTo(0);
-        assertRecovers(simulation, arrays, END);
+        assertRecovers(simulation, arrays, END_MS);
     }
 
     /** Low-priority jobs that urgent ones preempt, jobs that fail at their start until cancelled, and cancellations. */
-    private static List<String> load(ClusterSimulation simulation, SplittableRandom random) {
+    private static List<String> submitJobs(ClusterSimulation simulation, SplittableRandom random) {
         List<String> arrays = new ArrayList<>();
         for (int i = 0; i < 24; i++) {
             String id = JobRequests.id(3000 + i);
@@ -200,8 +200,8 @@
         return arrays;
     }
 
-    private static void faults(ClusterSimulation simulation, SplittableRandom random, boolean reboots) {
-        for (long at = 15_000; at < FAULTS_END - 20_000; at += 1_000 + random.nextInt(6_000)) {
+    private static void scheduleFaults(ClusterSimulation simulation, SplittableRandom random, boolean reboots) {
+        for (long at = 15_000; at < FAULTS_END_MS - 20_000; at += 1_000 + random.nextInt(6_000)) {
             int kind = random.nextInt(10);
             int pick = random.nextInt(1_000);
             simulation.schedule(at, () -> {
--- a/src/test/java/io/quartzgw/app/StartsOnTheirWay.java
+++ b/src/test/java/io/quartzgw/app/DelayedStartsScenario.java
@@ -18,33 +18,33 @@
  * A simulated cluster in which a job's starts are held up in direct calls, and what happens to the machines that the
  * calls go to. Each step is logged with the simulated time.
  */
-final class StartsOnTheirWay {
+final class DelayedStartsScenario {
     static final String JOB = "j-000701";
 
-    private static final Logger LOG = LoggerFactory.getLogger(StartsOnTheirWay.class);
-    private static final String FILLER = "j-000700";
+    private static final Logger LOG = LoggerFactory.getLogger(DelayedStartsScenario.class);
+    private static final String FILLER_JOB = "j-000700";
     private static final int TASKS = 2;
     private static final double TASK_CPUS = 2;
     private static final double RUN_S = 60;
-    private static final long FILLER_RUNS_MS = 30_000;
+    private static final long FILLER_STARTUP_MS = 30_000;
     private static final long STEP_MS = 10;
-    private static final long LONGEST_SENDING_MS = 3_000;
-    private static final long LONGEST_TELLING_MS = 20_000;
-    private static final long LONGEST_FAILOVER_MS = 60_000;
-    private static final long RETRY_MS = 200;
+    private static final long SEND_TIMEOUT_MS = 3_000;
+    private static final long CANCEL_TIMEOUT_MS = 20_000;
+    private static final long FAILOVER_TIMEOUT_MS = 60_000;
+    private static final long CANCEL_RETRY_MS = 200;
 
     private final ClusterSimulation simulation;
-    private List<String> held = List.of();
+    private List<String> machinesWithDelayedCommands = List.of();
     /** By machine, the tasks whose starts are on their way there. */
-    private Map<String, Set<String>> onTheirWay = Map.of();
+    private Map<String, Set<String>> delayedStarts = Map.of();
 
     /** @param simulation a cluster in which services run */
-    StartsOnTheirWay(ClusterSimulation simulation) {
+    DelayedStartsScenario(ClusterSimulation simulation) {
         this.simulation = simulation;
     }
 
     /** Logs what the test does next. */
-    void log(String what) {
+    void logStep(String what) {
         LOG.info("{} ms: {}", simulation.now(), what);
     }
 
@@ -60,34 +60,34 @@
 
     /** Fills most machines. */
     void fillMachines() {
-        simulation.users().submitUntilAccepted(JobRequests.array(FILLER, "blue", 4, 4, 90));
-        simulation.runChecked(FILLER_RUNS_MS);
+        simulation.users().submitUntilAccepted(JobRequests.array(FILLER_JOB, "blue", 4, 4, 90));
+        simulation.runChecked(FILLER_STARTUP_MS);
     }
 
     /** Submits a job, and returns as soon as a start of it has left in a direct call that is held up. */
-    void send(ObjectNode job) {
-        holdCommands(simulation.agents().machinesWithRoom(TASK_CPUS));
+    void sendDelayedStarts(ObjectNode job) {
+        delayCommands(simulation.agents().machinesWithRoom(TASK_CPUS));
         simulation.users().submitUntilAccepted(job);
-        awaitHeldStart();
-        assertFalse(onTheirWay.isEmpty(), "a start is on its way");
+        awaitDelayedStart();
+        assertFalse(delayedStarts.isEmpty(), "a start is on its way");
     }
 
     /** Holds up the direct calls to some machines from now on. */
-    void holdCommands(List<String> machines) {
-        held = machines;
+    void delayCommands(List<String> machines) {
+        machinesWithDelayedCommands = machines;
         machines.forEach(simulation.network()::holdCommands);
     }
 
     /** Runs until a start of the job has left in a direct call that is held up, for a limited time. */
-    void awaitHeldStart() {
-        runUntil(() -> !simulation.network().heldStarts(JOB).isEmpty(), LONGEST_SENDING_MS);
-        onTheirWay = simulation.network().heldStarts(JOB);
-        log("starts on their way: " + onTheirWay + ", running " + runningTasks());
+    void awaitDelayedStart() {
+        runUntil(() -> !simulation.network().heldStarts(JOB).isEmpty(), SEND_TIMEOUT_MS);
+        delayedStarts = simulation.network().heldStarts(JOB);
+        logStep("starts on their way: " + delayedStarts + ", running " + runningTasks());
     }
 
     /** The machines that starts are on their way to. */
-    Set<String> machines() {
-        return onTheirWay.keySet();
+    Set<String> targetMachines() {
+        return delayedStarts.keySet();
     }
 
     private List<String> runningTasks() {
@@ -108,43 +108,44 @@
 
     /** Runs until a controller leads. */
     void awaitLeader() {
-        runUntil(simulation::hasLeader, LONGEST_FAILOVER_MS);
+        runUntil(simulation::hasLeader, FAILOVER_TIMEOUT_MS);
         assertTrue(simulation.hasLeader(), "a controller leads");
-        log("controller " + simulation.leader() + " leads");
+        logStep("controller " + simulation.leader() + " leads");
     }
 
     /** Cancels the job, and returns as soon as its user was told. */
     void cancel() {
-        for (long end = simulation.now() + LONGEST_TELLING_MS;
+        for (long end = simulation.now() + CANCEL_TIMEOUT_MS;
                 simulation.now() < end
                         && simulation.invariants().finalPhase(JOB).isEmpty(); ) {
             simulation.users().cancelJob(simulation.leaderOrFirst(), JOB, reply -> {});
-            runUntil(() -> simulation.invariants().finalPhase(JOB).isPresent(), RETRY_MS);
+            runUntil(() -> simulation.invariants().finalPhase(JOB).isPresent(), CANCEL_RETRY_MS);
         }
         assertTrue(simulation.invariants().hasEndedIn("withdrawn", JOB), "the user was told of the cancellation");
-        log("user told that the job is cancelled");
+        logStep("user told that the job is cancelled");
     }
 
     /** Cuts the machines off that starts are on their way to, so that the tasks run elsewhere if anywhere. */
-    void cutOffMachines() {
-        machines().forEach(machine -> simulation.network().partition(machine, Hosts.ALL));
+    void partitionTargetMachines() {
+        targetMachines().forEach(machine -> simulation.network().partition(machine, Hosts.ALL));
     }
 
     /** Runs until the tasks run, for a limited time, and ends the cut. */
-    void runElsewhere() {
-        List<String> tasks = onTheirWay.values().stream().flatMap(Set::stream).toList();
-        runUntil(() -> simulation.invariants().runningTasks().containsAll(tasks), LONGEST_FAILOVER_MS);
-        machines().forEach(machine -> simulation.network().heal(machine, Hosts.ALL));
-        log("running " + runningTasks());
+    void awaitTasksElsewhereAndHeal() {
+        List<String> tasks =
+                delayedStarts.values().stream().flatMap(Set::stream).toList();
+        runUntil(() -> simulation.invariants().runningTasks().containsAll(tasks), FAILOVER_TIMEOUT_MS);
+        targetMachines().forEach(machine -> simulation.network().heal(machine, Hosts.ALL));
+        logStep("running " + runningTasks());
     }
 
     /** The machines are started again, and the starts reach them. */
     void rebootAndDeliver() {
-        log("reboot of " + machines() + ", calls arrive; up are "
+        logStep("reboot of " + targetMachines() + ", calls arrive; up are "
                 + simulation.agents().machineIds());
-        machines().forEach(machine -> simulation.agents().reboot(machine, false));
-        held.forEach(simulation.network()::deliverHeldCommands);
-        log("violations " + simulation.invariants().violations());
+        targetMachines().forEach(machine -> simulation.agents().reboot(machine, false));
+        machinesWithDelayedCommands.forEach(simulation.network()::deliverHeldCommands);
+        logStep("violations " + simulation.invariants().violations());
     }
 
     /** Asserts that no rule was broken so far. */
--- a/src/test/java/io/quartzgw/app/HeldUpCalls.java
+++ b/src/test/java/io/quartzgw/app/HeldUpCalls.java
@@ -14,17 +14,17 @@
     /** The longest time for which a call is held up. */
     static final long LONGEST_MS = 150_000;
 
-    private static final long LONGEST_OF_SHORT_BURST_MS = LONGEST_MS / 10;
-    private static final long FIRST_MS = 20_000;
-    private static final int SHORTEST_BURST_MS = 5_000;
-    private static final int BURST_SPREAD_MS = 20_000;
-    private static final List<Double> SHARES = List.of(0.2, 0.6, 0.95);
+    private static final long MAX_SHORT_DELAY_MS = LONGEST_MS / 10;
+    private static final long FIRST_BURST_AT_MS = 20_000;
+    private static final int MIN_BURST_INTERVAL_MS = 5_000;
+    private static final int BURST_INTERVAL_SPREAD_MS = 20_000;
+    private static final List<Double> DELAYED_CALL_SHARES = List.of(0.2, 0.6, 0.95);
     private static final int MAX_CANCELLED_JOBS = 5;
 
-    private static final int FIRST_JOB = 9_000;
+    private static final int FIRST_JOB_NUMBER = 9_000;
     private static final int JOBS_PER_BURST = 3;
-    private static final int SHORTEST_LIFE_MS = 200;
-    private static final int LIFE_SPREAD_MS = 4_000;
+    private static final int MIN_JOB_LIFETIME_MS = 200;
+    private static final int JOB_LIFETIME_SPREAD_MS = 4_000;
 
     private HeldUpCalls() {}
 
@@ -37,16 +37,18 @@
     static void scheduleAll(ClusterSimulation simulation, long seed, long end) {
         SplittableRandom random = new SplittableRandom(~seed);
         int burst = 0;
-        for (long at = FIRST_MS; at < end; at += SHORTEST_BURST_MS + random.nextInt(BURST_SPREAD_MS)) {
-            double share = SHARES.get(random.nextInt(SHARES.size()));
-            long longestMs = random.nextBoolean() ? LONGEST_MS : LONGEST_OF_SHORT_BURST_MS;
+        for (long at = FIRST_BURST_AT_MS;
+                at < end;
+                at += MIN_BURST_INTERVAL_MS + random.nextInt(BURST_INTERVAL_SPREAD_MS)) {
+            double share = DELAYED_CALL_SHARES.get(random.nextInt(DELAYED_CALL_SHARES.size()));
+            long longestMs = random.nextBoolean() ? LONGEST_MS : MAX_SHORT_DELAY_MS;
             simulation.schedule(at, () -> simulation.network().holdUpCommandShare(share, longestMs));
             int cancelled = random.nextInt(MAX_CANCELLED_JOBS + 1);
             simulation.schedule(
-                    at + random.nextInt(SHORTEST_BURST_MS),
+                    at + random.nextInt(MIN_BURST_INTERVAL_MS),
                     () -> simulation.users().cancelRunningJobs(cancelled));
             for (int i = 0; i < JOBS_PER_BURST; i++) {
-                scheduleShortLivedJob(simulation, random, at, FIRST_JOB + burst * JOBS_PER_BURST + i);
+                scheduleShortLivedJob(simulation, random, at, FIRST_JOB_NUMBER + burst * JOBS_PER_BURST + i);
             }
             burst++;
         }
@@ -57,8 +59,8 @@
             ClusterSimulation simulation, SplittableRandom random, long burstAt, int number) {
         ObjectNode job =
                 JobRequests.service(JobRequests.id(number), "blue", 1, 1).put("pull_gb", 0.0);
-        long at = burstAt + random.nextInt(SHORTEST_BURST_MS);
-        OptionalLong cancelAt = OptionalLong.of(at + SHORTEST_LIFE_MS + random.nextInt(LIFE_SPREAD_MS));
+        long at = burstAt + random.nextInt(MIN_BURST_INTERVAL_MS);
+        OptionalLong cancelAt = OptionalLong.of(at + MIN_JOB_LIFETIME_MS + random.nextInt(JOB_LIFETIME_SPREAD_MS));
         simulation.schedule(at, () -> simulation.users().submitUntilAccepted(job, cancelAt));
     }
 }
--- a/src/test/java/io/quartzgw/app/HeldUpStartsTest.java
+++ b/src/test/java/io/quartzgw/app/LongCommandDelaysTest.java
@@ -21,7 +21,7 @@
  * Direct calls are held up for longer than a cancellation may take, on more machines at a time than may be evacuated:
  * nothing of a cancelled job is started when they arrive.
  */
-class HeldUpStartsTest {
+class LongCommandDelaysTest {
     private static final int CONTROLLERS = 3;
     static final AgentTiming TIMING = new AgentTiming(5_000, 26_500, 56_500);
 
@@ -30,16 +30,16 @@
     private static final int CAPACITY = 4 * SERVICES;
 
     private static final int CANCELLED_JOBS = 12;
-    private static final long SERVICES_RUN_AT = 60_000;
-    static final long CANCELLED_AFTER_MS = 1_000;
+    private static final long SERVICES_RUNNING_AT_MS = 60_000;
+    static final long CANCEL_AFTER_MS = 1_000;
     private static final long RECOVERY_MS = 180_000;
 
-    private static final long FAULTS_BEGIN = 20_000;
-    private static final long FAULTS_END = 150_000;
-    private static final long END = FAULTS_END + HeldUpCalls.LONGEST_MS + 90_000;
+    private static final long FAULTS_BEGIN_MS = 20_000;
+    private static final long FAULTS_END_MS = 150_000;
+    private static final long END_MS = FAULTS_END_MS + HeldUpCalls.LONGEST_MS + 90_000;
     private static final int MIN_MACHINES = 4;
-    private static final int MORE_MACHINES = 12;
-    private static final int LASTING_SERVICES = 8;
+    private static final int MACHINE_SPREAD = 12;
+    private static final int BACKGROUND_SERVICES = 8;
     private static final int JOBS = 60;
 
     static LongStream seeds() {
@@ -48,12 +48,12 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void startHeldUpBeyondTheCancelLimitRunsNoCancelledTask(long seed) {
-        ClusterSimulation simulation = clusterInUse(seed);
+    void cancelledStartDelayedBeyondCancelLimitIsNotExecuted(long seed) {
+        ClusterSimulation simulation = clusterWithServiceOnEveryMachine(seed);
         List<String> machines = simulation.agents().machineIds();
         machines.forEach(simulation.network()::holdCommands);
         submitAndCancel(simulation);
-        simulation.runChecked(CANCELLED_AFTER_MS + TIMING.cancelMs() + TIMING.heartbeatMs());
+        simulation.runChecked(CANCEL_AFTER_MS + TIMING.cancelMs() + TIMING.heartbeatMs());
         assertTrue(simulation.counter("orders.unanswered") > 0, "calls had no answer");
         machines.forEach(simulation.network()::deliverHeldCommands);
         simulation.runChecked(RECOVERY_MS);
@@ -62,13 +62,13 @@
     }
 
     /** A cluster in which a service runs on every machine, with room for one more task on each. */
-    static ClusterSimulation clusterInUse(long seed) {
+    static ClusterSimulation clusterWithServiceOnEveryMachine(long seed) {
         ClusterSimulation simulation = newSimulation(seed, CAPACITY);
         for (int i = 0; i < SERVICES; i++) {
             ObjectNode service = JobRequests.service(JobRequests.id(i), "blue", 2, 6);
             simulation.schedule(1_000, () -> simulation.users().submitUntilAccepted(service));
         }
-        simulation.runUntil(SERVICES_RUN_AT);
+        simulation.runUntil(SERVICES_RUNNING_AT_MS);
         return simulation;
     }
 
@@ -85,7 +85,7 @@
         for (int i = 0; i < CANCELLED_JOBS; i++) {
             jobs.add(JobRequests.service(JobRequests.id(700 + i), "green", 1, 2).put("pull_gb", 0.0));
         }
-        OptionalLong cancelAt = OptionalLong.of(simulation.now() + CANCELLED_AFTER_MS);
+        OptionalLong cancelAt = OptionalLong.of(simulation.now() + CANCEL_AFTER_MS);
         jobs.forEach(job -> simulation.users().submitUntilAccepted(job, cancelAt));
     }
 
@@ -95,17 +95,17 @@
 
     @ParameterizedTest
     @MethodSource("seedsOfBursts")
-    void invariantsHoldWhileBurstsOfCallsAreHeldUpForMinutes(long seed) {
+    void invariantsHoldWhileCallsAreDelayedForMinutes(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        ClusterSimulation simulation = newSimulation(seed, MIN_MACHINES + random.nextInt(MORE_MACHINES));
-        List<String> arrays = load(simulation, random);
-        HeldUpCalls.scheduleAll(simulation, seed, FAULTS_END);
+        ClusterSimulation simulation = newSimulation(seed, MIN_MACHINES + random.nextInt(MACHINE_SPREAD));
+        List<String> arrays = submitJobs(simulation, random);
+        HeldUpCalls.scheduleAll(simulation, seed, FAULTS_END_MS);
         if (random.nextInt(3) == 0) {
-            long crashAt = FAULTS_BEGIN + random.nextInt(100_000);
+            long crashAt = FAULTS_BEGIN_MS + random.nextInt(100_000);
             simulation.schedule(crashAt, () -> simulation.crash(simulation.leaderOrFirst(), 3_000));
         }
-        simulation.runChecked(FAULTS_END);
-        assertRecovers(simulation, arrays, END);
+        simulation.runChecked(FAULTS_END_MS);
+        assertRecovers(simulation, arrays, END_MS);
     }
 
     static LongStream seedsOfTotalLoss() {
@@ -115,18 +115,18 @@
     /** Guards against ran_twice and ran_cancelled: starts outlive the controllers that know of them. */
     @ParameterizedTest
     @MethodSource("seedsOfTotalLoss")
-    void invariantsHoldWhileAllControllersCrashWithStartsHeldUp(long seed) {
+    void invariantsHoldWhenAllControllersCrashWithDelayedStarts(long seed) {
         // With fewer machines, small ones that are kept by services leave no room for the others.
-        ClusterSimulation simulation = newSimulation(seed, MIN_MACHINES + MORE_MACHINES);
-        List<String> arrays = load(simulation, new SplittableRandom(seed));
-        CrashesOfAllControllers.scheduleAll(simulation, seed, TIMING.cancelMs(), FAULTS_END);
-        simulation.runChecked(FAULTS_END);
-        assertRecovers(simulation, arrays, END);
+        ClusterSimulation simulation = newSimulation(seed, MIN_MACHINES + MACHINE_SPREAD);
+        List<String> arrays = submitJobs(simulation, new SplittableRandom(seed));
+        CrashesOfAllControllers.scheduleAll(simulation, seed, TIMING.cancelMs(), FAULTS_END_MS);
+        simulation.runChecked(FAULTS_END_MS);
+        assertRecovers(simulation, arrays, END_MS);
     }
 
     /** Services and arrays, of which half are cancelled soon after they were submitted. */
-    private static List<String> load(ClusterSimulation simulation, SplittableRandom random) {
-        for (int i = 0; i < LASTING_SERVICES; i++) {
+    private static List<String> submitJobs(ClusterSimulation simulation, SplittableRandom random) {
+        for (int i = 0; i < BACKGROUND_SERVICES; i++) {
             simulation.users().submitUntilAccepted(JobRequests.service(JobRequests.id(i), "blue", 2, 3));
         }
         List<String> arrays = new ArrayList<>();
--- a/src/test/java/io/quartzgw/app/StartsThatOutliveControllersTest.java
+++ b/src/test/java/io/quartzgw/app/OutstandingStartsAfterCrashesTest.java
@@ -26,50 +26,50 @@
  * Guards against {@code ran_twice}, where the task was placed anew, and against {@code ran_cancelled}, where nobody
  * fences the machine within {@code cancel_s}.
  */
-class StartsThatOutliveControllersTest {
+class OutstandingStartsAfterCrashesTest {
     private static final int CONTROLLERS = 3;
-    private static final long BACK_MS = 1_000;
-    private static final long BACK_LATE_MS = 4_000;
+    private static final long DOWNTIME_MS = 1_000;
+    private static final long LONG_DOWNTIME_MS = 4_000;
     private static final long CANCEL_MS = new AgentTiming(2_500, LEASE_MS, 36_000).cancelMs();
     private static final long RECOVERY_MS = 120_000;
-    private static final long LEFT_OUT_MS = 5_000;
+    private static final long PARTITION_MS = 5_000;
     private static final long OUTAGE_MS = 8_000;
     /** Machines are evacuated two at a time, for 26 s each. */
-    private static final long EVACUATION_OF_ALL_MS = 300_000;
+    private static final long FULL_EVACUATION_MS = 300_000;
 
     private ClusterSimulation simulation;
-    private StartsOnTheirWay starts;
+    private DelayedStartsScenario starts;
 
     static LongStream seeds() {
         return SeedRanges.range("outlive", 1, 4);
     }
 
-    private void beginCluster(long seed, int controllers) {
+    private void startCluster(long seed, int controllers) {
         simulation = clusterWithServices(new ClusterSimulation(seed, controllers));
-        starts = new StartsOnTheirWay(simulation);
+        starts = new DelayedStartsScenario(simulation);
         starts.fillMachines();
     }
 
-    private void sendStartsThatAreHeldUp(long seed) {
-        sendStartsThatAreHeldUp(seed, StartsOnTheirWay.tasks());
+    private void sendDelayedStarts(long seed) {
+        sendDelayedStarts(seed, DelayedStartsScenario.tasks());
     }
 
-    private void sendStartsThatAreHeldUp(long seed, ObjectNode job) {
-        beginCluster(seed, CONTROLLERS);
-        starts.send(job);
+    private void sendDelayedStarts(long seed, ObjectNode job) {
+        startCluster(seed, CONTROLLERS);
+        starts.sendDelayedStarts(job);
     }
 
-    private void sendStartsToMachinesThatAreCutOff(long seed, ObjectNode job) {
-        sendStartsThatAreHeldUp(seed, job);
-        starts.cutOffMachines();
+    private void sendStartsToPartitionedMachines(long seed, ObjectNode job) {
+        sendDelayedStarts(seed, job);
+        starts.partitionTargetMachines();
     }
 
     private void crash(int controller) {
-        crash(controller, BACK_MS);
+        crash(controller, DOWNTIME_MS);
     }
 
     private void crash(int controller, long backMs) {
-        starts.log("crash of controller " + controller);
+        starts.logStep("crash of controller " + controller);
         simulation.crash(controller, backMs);
     }
 
@@ -77,12 +77,12 @@
         IntStream.range(0, CONTROLLERS).forEach(this::crash);
     }
 
-    private void assertTasksRunOnceAndEnd() {
-        starts.runElsewhere();
+    private void assertTasksRunOnceAndComplete() {
+        starts.awaitTasksElsewhereAndHeal();
         starts.rebootAndDeliver();
         simulation.runChecked(RECOVERY_MS);
         starts.assertNoViolation();
-        assertAllDone(simulation, List.of(StartsOnTheirWay.JOB));
+        assertAllDone(simulation, List.of(DelayedStartsScenario.JOB));
         simulation.runChecked(RECOVERY_MS);
         assertHealthy(simulation);
     }
@@ -90,16 +90,16 @@
     // ---- nobody is left who knows: ran_twice
 
     /** The leader is cut off from a follower, and the others end; the one that lives was left out of the record. */
-    private int sendStartsThatOnlyAControllerOutOfSyncOutlives(long seed, long backMs) {
-        beginCluster(seed, CONTROLLERS);
+    private int sendStartsAndCrashAllButPartitionedController(long seed, long backMs) {
+        startCluster(seed, CONTROLLERS);
         int leader = simulation.leader();
         int outOfSync = (leader + 1 + (int) (seed % 2)) % CONTROLLERS;
-        starts.log("leader " + leader + " is cut off from controller " + outOfSync);
+        starts.logStep("leader " + leader + " is cut off from controller " + outOfSync);
         simulation.network().partition(Hosts.controller(leader), Hosts.controller(outOfSync));
-        simulation.runChecked(LEFT_OUT_MS);
+        simulation.runChecked(PARTITION_MS);
         assertEquals(leader, simulation.leader(), "the leader remains");
-        starts.send(StartsOnTheirWay.tasks());
-        starts.cutOffMachines();
+        starts.sendDelayedStarts(DelayedStartsScenario.tasks());
+        starts.partitionTargetMachines();
         IntStream.range(0, CONTROLLERS)
                 .filter(controller -> controller != outOfSync)
                 .forEach(controller -> crash(controller, backMs));
@@ -110,47 +110,47 @@
     // The controllers that are back have no replica, and that of the third is of no use.
     @ParameterizedTest
     @MethodSource("seeds")
-    void startRunsNowhereElseIfOnlyAControllerOutOfSyncOutlivesIt(long seed) {
-        sendStartsThatOnlyAControllerOutOfSyncOutlives(seed, BACK_MS);
-        assertTasksRunOnceAndEnd();
+    void tasksRunOnceWhenOnlyPartitionedControllerSurvives(long seed) {
+        sendStartsAndCrashAllButPartitionedController(seed, DOWNTIME_MS);
+        assertTasksRunOnceAndComplete();
     }
 
     // The controller out of sync leads before the others are back.
     @ParameterizedTest
     @MethodSource("seeds")
-    void startRunsNowhereElseIfAControllerOutOfSyncSucceedsItsLeader(long seed) {
-        int outOfSync = sendStartsThatOnlyAControllerOutOfSyncOutlives(seed, BACK_LATE_MS);
-        starts.runUntil(() -> simulation.leader() == outOfSync, BACK_LATE_MS);
+    void tasksRunOnceWhenPartitionedControllerBecomesLeader(long seed) {
+        int outOfSync = sendStartsAndCrashAllButPartitionedController(seed, LONG_DOWNTIME_MS);
+        starts.runUntil(() -> simulation.leader() == outOfSync, LONG_DOWNTIME_MS);
         assertEquals(outOfSync, simulation.leader(), "the controller out of sync leads");
-        assertTasksRunOnceAndEnd();
+        assertTasksRunOnceAndComplete();
     }
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void startRunsNowhereElseIfAllControllersCrashAtOnce(long seed) {
-        sendStartsToMachinesThatAreCutOff(seed, StartsOnTheirWay.tasks());
+    void tasksRunOnceWhenAllControllersCrashAtOnce(long seed) {
+        sendStartsToPartitionedMachines(seed, DelayedStartsScenario.tasks());
         crashAll();
-        assertTasksRunOnceAndEnd();
+        assertTasksRunOnceAndComplete();
     }
 
     // A gang's members share an attempt, and are placed anew together.
     @ParameterizedTest
     @MethodSource("seeds")
-    void gangsStartRunsNowhereElseIfAllControllersCrashAtOnce(long seed) {
-        sendStartsToMachinesThatAreCutOff(seed, StartsOnTheirWay.tasks().put("shape", "gang"));
+    void gangRunsOnceWhenAllControllersCrashAtOnce(long seed) {
+        sendStartsToPartitionedMachines(seed, DelayedStartsScenario.tasks().put("shape", "gang"));
         crashAll();
-        assertTasksRunOnceAndEnd();
+        assertTasksRunOnceAndComplete();
     }
 
     // What the first successor has learned must outlive it too.
     @ParameterizedTest
     @MethodSource("seeds")
-    void startRunsNowhereElseIfAllControllersCrashTwice(long seed) {
-        sendStartsToMachinesThatAreCutOff(seed, StartsOnTheirWay.tasks());
+    void tasksRunOnceWhenAllControllersCrashTwice(long seed) {
+        sendStartsToPartitionedMachines(seed, DelayedStartsScenario.tasks());
         crashAll();
         simulation.runChecked(5_000 + 250 * seed);
         crashAll();
-        assertTasksRunOnceAndEnd();
+        assertTasksRunOnceAndComplete();
     }
 
     private void crashAllWithin(long seed, int spreadMs) {
@@ -163,80 +163,80 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void startRunsNowhereElseIfAllControllersCrashWithinAMoment(long seed) {
-        sendStartsToMachinesThatAreCutOff(seed, StartsOnTheirWay.tasks());
+    void tasksRunOnceWhenAllControllersCrashWithinHalfASecond(long seed) {
+        sendStartsToPartitionedMachines(seed, DelayedStartsScenario.tasks());
         crashAllWithin(seed, 400);
-        assertTasksRunOnceAndEnd();
+        assertTasksRunOnceAndComplete();
     }
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void startRunsNowhereElseIfAllControllersCrashWithinSeconds(long seed) {
-        sendStartsToMachinesThatAreCutOff(seed, StartsOnTheirWay.tasks());
+    void tasksRunOnceWhenAllControllersCrashWithinSeconds(long seed) {
+        sendStartsToPartitionedMachines(seed, DelayedStartsScenario.tasks());
         crashAllWithin(seed, 4_000);
-        assertTasksRunOnceAndEnd();
+        assertTasksRunOnceAndComplete();
     }
 
     // Nothing can be written between the outage's beginning and the crash.
     @ParameterizedTest
     @MethodSource("seeds")
-    void startRunsNowhereElseIfAllControllersCrashAsAnOutageBegins(long seed) {
-        sendStartsToMachinesThatAreCutOff(seed, StartsOnTheirWay.tasks());
+    void tasksRunOnceWhenAllControllersCrashAsOutageBegins(long seed) {
+        sendStartsToPartitionedMachines(seed, DelayedStartsScenario.tasks());
         simulation.store().setOutage(true);
-        starts.log("outage begins");
+        starts.logStep("outage begins");
         simulation.schedule(
                 simulation.now() + OUTAGE_MS, () -> simulation.store().setOutage(false));
         simulation.runChecked(50);
         crashAll();
-        assertTasksRunOnceAndEnd();
+        assertTasksRunOnceAndComplete();
     }
 
     // Nobody else can hold what it knows.
     @ParameterizedTest
     @MethodSource("seeds")
-    void startRunsNowhereElseIfALoneControllerCrashes(long seed) {
-        beginCluster(seed, 1);
-        starts.send(StartsOnTheirWay.tasks());
-        starts.cutOffMachines();
+    void tasksRunOnceWhenSingleControllerCrashes(long seed) {
+        startCluster(seed, 1);
+        starts.sendDelayedStarts(DelayedStartsScenario.tasks());
+        starts.partitionTargetMachines();
         crash(0);
-        assertTasksRunOnceAndEnd();
+        assertTasksRunOnceAndComplete();
     }
 
     // A task ends during the outage, and the next one takes its place: its start must not leave in a call that nobody
     // will know of.
     @ParameterizedTest
     @MethodSource("seeds")
-    void startDecidedDuringAnOutageRunsNowhereElseIfAllControllersCrash(long seed) {
-        beginCluster(seed, CONTROLLERS);
+    void taskScheduledDuringOutageRunsOnceWhenAllControllersCrash(long seed) {
+        startCluster(seed, CONTROLLERS);
         // Without more machines, most tasks wait.
         simulation.cloud().setOutage(true);
-        simulation.users().submitUntilAccepted(StartsOnTheirWay.tasks(12, 20));
-        String first = StartsOnTheirWay.JOB + "/0";
+        simulation.users().submitUntilAccepted(DelayedStartsScenario.tasks(12, 20));
+        String first = DelayedStartsScenario.JOB + "/0";
         starts.runUntil(() -> simulation.invariants().runningTasks().contains(first), 10_000);
         starts.runUntil(() -> !simulation.invariants().runningTasks().contains(first), 30_000);
         simulation.store().setOutage(true);
-        starts.log("outage begins, " + first + " has ended");
-        starts.holdCommands(simulation.agents().machineIds());
-        starts.awaitHeldStart();
-        starts.cutOffMachines();
+        starts.logStep("outage begins, " + first + " has ended");
+        starts.delayCommands(simulation.agents().machineIds());
+        starts.awaitDelayedStart();
+        starts.partitionTargetMachines();
         crashAll();
         simulation.store().setOutage(false);
         simulation.cloud().setOutage(false);
-        assertTasksRunOnceAndEnd();
+        assertTasksRunOnceAndComplete();
     }
 
     // A page that can't be read may name any start; it must not be taken for empty, nor hold tasks back for ever.
     @ParameterizedTest
     @MethodSource("seeds")
-    void startRunsNowhereElseIfTheLogCannotBeRead(long seed) {
-        sendStartsToMachinesThatAreCutOff(seed, StartsOnTheirWay.tasks());
+    void tasksRunOnceWhenStartLogIsUnreadable(long seed) {
+        sendStartsToPartitionedMachines(seed, DelayedStartsScenario.tasks());
         simulation.store().setValue("sent/0", Json.object().put("damaged", true));
         crashAll();
-        starts.runElsewhere();
+        starts.awaitTasksElsewhereAndHeal();
         starts.rebootAndDeliver();
-        simulation.runChecked(EVACUATION_OF_ALL_MS);
+        simulation.runChecked(FULL_EVACUATION_MS);
         starts.assertNoViolation();
-        assertAllDone(simulation, List.of(StartsOnTheirWay.JOB));
+        assertAllDone(simulation, List.of(DelayedStartsScenario.JOB));
         simulation.runChecked(RECOVERY_MS);
         assertHealthy(simulation);
     }
@@ -253,8 +253,8 @@
     // Without a failover the leader fences the machine in time.
     @ParameterizedTest
     @MethodSource("seeds")
-    void startOfACancelledJobRunsNotUnderItsOwnLeader(long seed) {
-        sendStartsThatAreHeldUp(seed);
+    void cancelledStartIsNotExecutedUnderSameLeader(long seed) {
+        sendDelayedStarts(seed);
         starts.cancel();
         assertCancelledTasksNeverRun();
     }
@@ -262,8 +262,8 @@
     // The successor doesn't load the cancelled job, so it drops the start and never fences the machine.
     @ParameterizedTest
     @MethodSource("seeds")
-    void startOfACancelledJobRunsNotIfItsLeaderCrashes(long seed) {
-        sendStartsThatAreHeldUp(seed);
+    void cancelledStartIsNotExecutedWhenLeaderCrashes(long seed) {
+        sendDelayedStarts(seed);
         starts.cancel();
         crash(simulation.leader());
         assertCancelledTasksNeverRun();
@@ -271,8 +271,8 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void startOfACancelledJobRunsNotIfAllControllersCrash(long seed) {
-        sendStartsThatAreHeldUp(seed);
+    void cancelledStartIsNotExecutedWhenAllControllersCrash(long seed) {
+        sendDelayedStarts(seed);
         starts.cancel();
         crashAll();
         assertCancelledTasksNeverRun();
@@ -281,10 +281,10 @@
     // The job ends while its tasks are unaccounted: no allocation of theirs makes the successor fence the machine.
     @ParameterizedTest
     @MethodSource("seeds")
-    void startOfAJobThatIsCancelledAsItsTasksAreUnaccountedRunsNot(long seed) {
-        sendStartsThatAreHeldUp(seed);
+    void startIsNotExecutedWhenJobIsCancelledWithUnaccountedTasks(long seed) {
+        sendDelayedStarts(seed);
         String silent = simulation.agents().machineIds().stream()
-                .filter(machine -> !starts.machines().contains(machine))
+                .filter(machine -> !starts.targetMachines().contains(machine))
                 .findFirst()
                 .orElseThrow();
         // While this machine is silent, the tasks are unaccounted for.
@@ -300,8 +300,8 @@
     // As above, with every machine heard: the cancellation comes before or just after the successor has read the jobs.
     @ParameterizedTest
     @MethodSource("seeds")
-    void startOfAJobThatIsCancelledAsANewLeaderBeginsRunsNot(long seed) {
-        sendStartsThatAreHeldUp(seed);
+    void startIsNotExecutedWhenJobIsCancelledDuringFailover(long seed) {
+        sendDelayedStarts(seed);
         crash(simulation.leader());
         starts.awaitLeader();
         simulation.runChecked(50 * (seed - 1));
@@ -314,21 +314,21 @@
     // All machines are in use, so that only two of them are evacuated and deleted within the limit.
     @ParameterizedTest
     @MethodSource("seeds")
-    void startsOfCancelledJobsRunNotOnMoreMachinesThanMayBeEvacuated(long seed) {
-        simulation = HeldUpStartsTest.clusterInUse(seed);
-        starts = new StartsOnTheirWay(simulation);
+    void cancelledStartsAreNotExecutedBeyondEvacuationLimit(long seed) {
+        simulation = LongCommandDelaysTest.clusterWithServiceOnEveryMachine(seed);
+        starts = new DelayedStartsScenario(simulation);
         List<String> machines = simulation.agents().machineIds();
         machines.forEach(simulation.network()::holdCommands);
-        HeldUpStartsTest.submitAndCancel(simulation);
-        simulation.runChecked(HeldUpStartsTest.CANCELLED_AFTER_MS
-                + HeldUpStartsTest.TIMING.cancelMs()
-                + HeldUpStartsTest.TIMING.heartbeatMs());
+        LongCommandDelaysTest.submitAndCancel(simulation);
+        simulation.runChecked(LongCommandDelaysTest.CANCEL_AFTER_MS
+                + LongCommandDelaysTest.TIMING.cancelMs()
+                + LongCommandDelaysTest.TIMING.heartbeatMs());
         assertTrue(simulation.counter("orders.unanswered") > 0, "calls had no answer");
-        starts.log("reboot of " + machines + ", calls arrive; up are "
+        starts.logStep("reboot of " + machines + ", calls arrive; up are "
                 + simulation.agents().machineIds());
         machines.forEach(machine -> simulation.agents().reboot(machine, false));
         machines.forEach(simulation.network()::deliverHeldCommands);
-        starts.log("violations " + simulation.invariants().violations());
+        starts.logStep("violations " + simulation.invariants().violations());
         simulation.runChecked(RECOVERY_MS);
         assertHealthy(simulation);
     }
--- a/src/test/java/io/quartzgw/app/FormerLeadersStartsTest.java
+++ b/src/test/java/io/quartzgw/app/PreviousLeaderStartsTest.java
@@ -21,12 +21,12 @@
  * A leader's direct call with a start is held up, the leader ends, and the machines start again before the call reaches
  * them. Guards against {@code ran_twice}: a successor that did not know the start gave the task to another machine.
  */
-class FormerLeadersStartsTest {
+class PreviousLeaderStartsTest {
     private static final int CONTROLLERS = 3;
-    private static final long LONGEST_FAILOVER_MS = 60_000;
+    private static final long FAILOVER_TIMEOUT_MS = 60_000;
     private static final long RECOVERY_MS = 120_000;
-    private static final long BACK_MS = 1_000;
-    private static final long BACK_AT_ONCE_MS = 100;
+    private static final long DOWNTIME_MS = 1_000;
+    private static final long SHORT_DOWNTIME_MS = 100;
     private static final long CANCEL_MS = new AgentTiming(2_500, LEASE_MS, 36_000).cancelMs();
     private static final double TASK_CPUS = 2;
     private static final int TASKS = 2;
@@ -40,7 +40,7 @@
     }
 
     /** Fills most machines, and submits a job whose starts are held up wherever they go. */
-    private void sendStartsThatAreHeldUp(long seed, ObjectNode job) {
+    private void sendDelayedStarts(long seed, ObjectNode job) {
         simulation = clusterWithServices(seed);
         simulation.users().submitUntilAccepted(JobRequests.array("j-000700", "blue", 4, 4, 90));
         simulation.runChecked(30_000);
@@ -61,22 +61,22 @@
     }
 
     private void runUntilTasksRun() {
-        long end = simulation.now() + LONGEST_FAILOVER_MS;
+        long end = simulation.now() + FAILOVER_TIMEOUT_MS;
         while (simulation.now() < end && !simulation.invariants().runningTasks().contains(JOB + "/0")) {
             simulation.runChecked(500);
         }
     }
 
-    private void rebootAndDeliverHeldCommands() {
+    private void rebootAndDeliverDelayedCommands() {
         machines.forEach(machine -> {
             simulation.agents().reboot(machine, false);
             simulation.network().deliverHeldCommands(machine);
         });
     }
 
-    private void assertTasksRunOnceAndEnd() {
+    private void assertTasksRunOnceAndComplete() {
         runUntilTasksRun();
-        rebootAndDeliverHeldCommands();
+        rebootAndDeliverDelayedCommands();
         simulation.runChecked(RECOVERY_MS);
         assertEquals(List.of(), simulation.invariants().violations());
         assertAllDone(simulation, List.of(JOB));
@@ -86,71 +86,71 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void startRunsNowhereElseAfterItsLeaderHasCrashed(long seed) {
-        sendStartsThatAreHeldUp(seed, tasks());
-        crashLeader(BACK_MS);
-        assertTasksRunOnceAndEnd();
+    void tasksRunOnceAfterLeaderCrash(long seed) {
+        sendDelayedStarts(seed, tasks());
+        crashLeader(DOWNTIME_MS);
+        assertTasksRunOnceAndComplete();
     }
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void startRunsNowhereElseIfItsMachineWasSilentSinceTheCrash(long seed) {
-        sendStartsThatAreHeldUp(seed, tasks());
-        crashLeader(BACK_MS);
+    void tasksRunOnceWhenMachineIsUnresponsiveSinceCrash(long seed) {
+        sendDelayedStarts(seed, tasks());
+        crashLeader(DOWNTIME_MS);
         machines.forEach(machine -> simulation.network().partition(machine, Hosts.ALL));
         runUntilTasksRun();
         machines.forEach(machine -> simulation.network().heal(machine, Hosts.ALL));
-        assertTasksRunOnceAndEnd();
+        assertTasksRunOnceAndComplete();
     }
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void startRunsNowhereElseIfItsLeaderIsBackAtOnce(long seed) {
-        sendStartsThatAreHeldUp(seed, tasks());
-        crashLeader(BACK_AT_ONCE_MS);
-        assertTasksRunOnceAndEnd();
+    void tasksRunOnceWhenLeaderRestartsImmediately(long seed) {
+        sendDelayedStarts(seed, tasks());
+        crashLeader(SHORT_DOWNTIME_MS);
+        assertTasksRunOnceAndComplete();
     }
 
     // The controllers that are back have forgotten what they held; the third has it.
     @ParameterizedTest
     @MethodSource("seeds")
-    void startRunsNowhereElseIfAnotherControllerCrashesWithTheLeader(long seed) {
-        sendStartsThatAreHeldUp(seed, tasks());
+    void tasksRunOnceWhenLeaderAndAnotherControllerCrash(long seed) {
+        sendDelayedStarts(seed, tasks());
         int leader = simulation.leader();
-        simulation.crash(leader, BACK_AT_ONCE_MS);
-        simulation.crash((leader + 1 + (int) (seed % 2)) % CONTROLLERS, BACK_AT_ONCE_MS);
-        assertTasksRunOnceAndEnd();
+        simulation.crash(leader, SHORT_DOWNTIME_MS);
+        simulation.crash((leader + 1 + (int) (seed % 2)) % CONTROLLERS, SHORT_DOWNTIME_MS);
+        assertTasksRunOnceAndComplete();
     }
 
     // The new leader waits for the controller that knows, and meanwhile places nothing that may run.
     @ParameterizedTest
     @MethodSource("seeds")
-    void startRunsNowhereElseIfTheOnlyControllerThatKnowsIsReachedLate(long seed) {
-        sendStartsThatAreHeldUp(seed, tasks());
+    void tasksRunOnceWhenSurvivingControllerIsPartitioned(long seed) {
+        sendDelayedStarts(seed, tasks());
         int leader = simulation.leader();
         String knowing = Hosts.controller((leader + 1) % CONTROLLERS);
         simulation.network().partition(knowing, Hosts.ALL);
-        simulation.crash(leader, BACK_AT_ONCE_MS);
-        simulation.crash((leader + 2) % CONTROLLERS, BACK_AT_ONCE_MS);
+        simulation.crash(leader, SHORT_DOWNTIME_MS);
+        simulation.crash((leader + 2) % CONTROLLERS, SHORT_DOWNTIME_MS);
         simulation.runChecked(10_000);
         simulation.network().heal(knowing, Hosts.ALL);
-        assertTasksRunOnceAndEnd();
+        assertTasksRunOnceAndComplete();
     }
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void startRunsNowhereElseAfterASecondFailover(long seed) {
-        sendStartsThatAreHeldUp(seed, tasks());
-        crashLeader(BACK_MS);
+    void tasksRunOnceAfterSecondFailover(long seed) {
+        sendDelayedStarts(seed, tasks());
+        crashLeader(DOWNTIME_MS);
         simulation.runChecked(5_000 + 250 * seed);
-        crashLeader(BACK_MS);
-        assertTasksRunOnceAndEnd();
+        crashLeader(DOWNTIME_MS);
+        assertTasksRunOnceAndComplete();
     }
 
     // One follower is out of sync: the leader has gone on without its acknowledgements.
     @ParameterizedTest
     @MethodSource("seeds")
-    void startRunsNowhereElseIfAFollowerWasCutOffFromTheLeader(long seed) {
+    void tasksRunOnceWhenFollowerWasPartitionedFromLeader(long seed) {
         simulation = clusterWithServices(seed);
         String leader = Hosts.controller(simulation.leader());
         String follower = Hosts.controller((simulation.leader() + 1 + (int) (seed % 2)) % CONTROLLERS);
@@ -162,28 +162,28 @@
         machines.forEach(simulation.network()::holdCommands);
         simulation.users().submitUntilAccepted(tasks());
         simulation.runChecked(1_000);
-        crashLeader(BACK_MS);
+        crashLeader(DOWNTIME_MS);
         simulation.network().heal(leader, follower);
-        assertTasksRunOnceAndEnd();
+        assertTasksRunOnceAndComplete();
     }
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void gangsStartRunsNowhereElse(long seed) {
-        sendStartsThatAreHeldUp(seed, tasks().put("shape", "gang"));
-        crashLeader(BACK_MS);
-        assertTasksRunOnceAndEnd();
+    void gangRunsOnceAfterLeaderCrash(long seed) {
+        sendDelayedStarts(seed, tasks().put("shape", "gang"));
+        crashLeader(DOWNTIME_MS);
+        assertTasksRunOnceAndComplete();
     }
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void startOfAJobThatIsCancelledAfterwardsRunsNot(long seed) {
-        sendStartsThatAreHeldUp(seed, tasks());
-        crashLeader(BACK_MS);
+    void startIsNotExecutedWhenJobIsCancelledAfterFailover(long seed) {
+        sendDelayedStarts(seed, tasks());
+        crashLeader(DOWNTIME_MS);
         runUntilTasksRun();
         simulation.users().cancelJob(simulation.leaderOrFirst(), JOB, reply -> {});
         simulation.runChecked(CANCEL_MS + LEASE_MS);
-        rebootAndDeliverHeldCommands();
+        rebootAndDeliverDelayedCommands();
         simulation.runChecked(RECOVERY_MS);
         assertHealthy(simulation);
     }
@@ -191,9 +191,9 @@
     // Nobody is left who knows of the start.
     @ParameterizedTest
     @MethodSource("seeds")
-    void startRunsNowhereElseAfterAllControllersHaveCrashed(long seed) {
-        sendStartsThatAreHeldUp(seed, tasks());
-        IntStream.range(0, CONTROLLERS).forEach(controller -> simulation.crash(controller, BACK_MS));
-        assertTasksRunOnceAndEnd();
+    void tasksRunOnceAfterAllControllersCrash(long seed) {
+        sendDelayedStarts(seed, tasks());
+        IntStream.range(0, CONTROLLERS).forEach(controller -> simulation.crash(controller, DOWNTIME_MS));
+        assertTasksRunOnceAndComplete();
     }
 }
--- a/src/test/java/io/quartzgw/app/RebootedMachineTest.java
+++ b/src/test/java/io/quartzgw/app/RebootedMachineTest.java
@@ -26,9 +26,9 @@
  * released" and "task allocated" on another machine, and seconds later by "orphaned attempt found" on the first one.
  */
 class RebootedMachineTest {
-    private static final long LONGEST_FAILOVER_MS = 60_000;
+    private static final long FAILOVER_TIMEOUT_MS = 60_000;
     private static final long CANCEL_MS = new AgentTiming(2_500, LEASE_MS, 36_000).cancelMs();
-    private static final String TASKS_JOB = "j-000701";
+    private static final String JOB = "j-000701";
 
     private ClusterSimulation simulation;
     private String machine;
@@ -46,69 +46,69 @@
     /** Submits an array of two tasks, of which the machine gets both while calls to it are held up. */
     private void submitTasks() {
         // Without an image to fetch, a task runs as soon as its start arrives.
-        ObjectNode tasks = JobRequests.array(TASKS_JOB, "blue", 2, 2, 60).put("pull_gb", 0.0);
+        ObjectNode tasks = JobRequests.array(JOB, "blue", 2, 2, 60).put("pull_gb", 0.0);
         simulation.users().submitUntilAccepted(tasks);
     }
 
-    private void rebootAndDeliverHeldCommands() {
+    private void rebootAndDeliverDelayedCommands() {
         simulation.agents().reboot(machine, false);
         simulation.network().deliverHeldCommands(machine);
     }
 
     private void runUntilTasksRunElsewhere(long limitMs) {
         long end = simulation.now() + limitMs;
-        while (simulation.now() < end && !simulation.invariants().runningTasks().contains(TASKS_JOB + "/0")) {
+        while (simulation.now() < end && !simulation.invariants().runningTasks().contains(JOB + "/0")) {
             simulation.runChecked(500);
         }
     }
 
     // The new leader gives up a machine that it has never heard; its predecessor's start may still be on its way there.
     @Test
-    void startOfAFormerLeaderRunsOnNoMachineThatWasSilentSinceItsEnd() {
+    void previousLeaderStartIsNotExecutedOnUnresponsiveMachine() {
         simulation.network().holdCommands(machine);
         submitTasks();
         simulation.runChecked(1_000);
         simulation.crash(simulation.leader(), 1_000);
         simulation.network().partition(machine, Hosts.ALL);
-        runUntilTasksRunElsewhere(LONGEST_FAILOVER_MS);
+        runUntilTasksRunElsewhere(FAILOVER_TIMEOUT_MS);
         simulation.network().heal(machine, Hosts.ALL);
-        rebootAndDeliverHeldCommands();
+        rebootAndDeliverDelayedCommands();
         simulation.runChecked(120_000);
         assertEquals(List.of(), simulation.invariants().violations());
-        assertAllDone(simulation, List.of(TASKS_JOB));
+        assertAllDone(simulation, List.of(JOB));
     }
 
     // The machine has answered the new leader, which knows nothing of the start of its predecessor.
     @Test
-    void startOfAFormerLeaderRunsOnNoMachineThatItsSuccessorHasVerified() {
+    void previousLeaderStartIsNotExecutedOnVerifiedMachine() {
         simulation.network().holdCommands(machine);
         submitTasks();
         simulation.runChecked(1_000);
         simulation.crash(simulation.leader(), 1_000);
-        runUntilTasksRunElsewhere(LONGEST_FAILOVER_MS);
-        rebootAndDeliverHeldCommands();
+        runUntilTasksRunElsewhere(FAILOVER_TIMEOUT_MS);
+        rebootAndDeliverDelayedCommands();
         simulation.runChecked(120_000);
         assertEquals(List.of(), simulation.invariants().violations());
-        assertAllDone(simulation, List.of(TASKS_JOB));
+        assertAllDone(simulation, List.of(JOB));
     }
 
     // The agent that knew the attempt as ended is gone when the start arrives.
     @Test
-    void startOfACancelledJobRunsOnNoRebootedMachine() {
+    void cancelledStartIsNotExecutedAfterReboot() {
         simulation.network().holdCommands(machine);
         submitTasks();
         simulation.runChecked(10_000);
-        assertTrue(simulation.invariants().runningTasks().contains(TASKS_JOB + "/0"), "started by a response");
-        simulation.users().cancelJob(0, TASKS_JOB, reply -> {});
+        assertTrue(simulation.invariants().runningTasks().contains(JOB + "/0"), "started by a response");
+        simulation.users().cancelJob(0, JOB, reply -> {});
         simulation.runChecked(CANCEL_MS + LEASE_MS);
-        rebootAndDeliverHeldCommands();
+        rebootAndDeliverDelayedCommands();
         simulation.runChecked(30_000);
         assertEquals(List.of(), simulation.invariants().violations());
     }
 
     // A machine can't be deleted while the cloud is away; its tasks run there once it hears again.
     @Test
-    void tasksOfADeafMachineAreDoneThoughTheCloudIsAway() {
+    void tasksCompleteAfterInboundBlockDuringCloudOutage() {
         simulation.network().setInboundBlocked(machine, true);
         submitTasks();
         simulation.runChecked(1_000);
@@ -116,7 +116,7 @@
         simulation.runChecked(2 * LEASE_MS);
         simulation.network().setInboundBlocked(machine, false);
         simulation.runChecked(120_000);
-        assertAllDone(simulation, List.of(TASKS_JOB));
+        assertAllDone(simulation, List.of(JOB));
         simulation.cloud().setOutage(false);
         simulation.runChecked(120_000);
         assertHealthy(simulation);
--- a/src/test/java/io/quartzgw/app/UnfencedStartsTest.java
+++ b/src/test/java/io/quartzgw/app/UnfencedStartsTest.java
@@ -22,8 +22,8 @@
  */
 class UnfencedStartsTest {
     private static final long MAX_COMMAND_DELAY_MS = 16_000;
-    private static final long FAULTS_END = 150_000;
-    private static final long END = 330_000;
+    private static final long FAULTS_END_MS = 150_000;
+    private static final long END_MS = 330_000;
     private static final int MACHINES = 12;
     private static final int JOBS = 24;
     private static final int CONTROLLERS = 3;
@@ -53,7 +53,7 @@
     @MethodSource("seedsWithPauses")
     void invariantsHoldWhileLeadersPause(long seed) {
         ClusterSimulation simulation = newSimulation(seed, CONTROLLERS);
-        LeaderPauses.scheduleAll(simulation, seed, FAULTS_END);
+        LeaderPauses.scheduleAll(simulation, seed, FAULTS_END_MS);
         run(simulation, seed, Fault.LEADER_CRASH);
     }
 
@@ -63,9 +63,9 @@
 
     @ParameterizedTest
     @MethodSource("seedsWithHeldUpCalls")
-    void invariantsHoldWhileCallsAreHeldUpForMinutes(long seed) {
+    void invariantsHoldWhileCallsAreDelayedForMinutes(long seed) {
         ClusterSimulation simulation = newSimulation(seed, CONTROLLERS);
-        HeldUpCalls.scheduleAll(simulation, seed, FAULTS_END);
+        HeldUpCalls.scheduleAll(simulation, seed, FAULTS_END_MS);
         run(simulation, seed, Fault.LEADER_CRASH);
     }
 
@@ -76,9 +76,9 @@
     /** Guards against ran_twice: a successor has to know the starts that its predecessor had sent. */
     @ParameterizedTest
     @MethodSource("seedsWithCrashes")
-    void invariantsHoldWhileLeadersCrashWithStartsHeldUp(long seed) {
+    void invariantsHoldWhenLeadersCrashWithDelayedStarts(long seed) {
         ClusterSimulation simulation = newSimulation(seed, CONTROLLERS);
-        CrashesWithHeldUpStarts.scheduleAll(simulation, seed, FAULTS_END);
+        CrashesWithHeldUpStarts.scheduleAll(simulation, seed, FAULTS_END_MS);
         run(simulation, seed, Fault.REBOOT);
     }
 
@@ -89,9 +89,9 @@
     /** Guards against ran_twice and ran_cancelled: starts outlive the controllers that know of them. */
     @ParameterizedTest
     @MethodSource("seedsWithTotalLoss")
-    void invariantsHoldWhileAllControllersCrashWithStartsHeldUp(long seed) {
+    void invariantsHoldWhenAllControllersCrashWithDelayedStarts(long seed) {
         ClusterSimulation simulation = newSimulation(seed, CONTROLLERS);
-        CrashesOfAllControllers.scheduleAll(simulation, seed, ClusterFixtures.CANCEL_MS, FAULTS_END);
+        CrashesOfAllControllers.scheduleAll(simulation, seed, ClusterFixtures.CANCEL_MS, FAULTS_END_MS);
         run(simulation, seed, Fault.REBOOT);
     }
 
@@ -135,21 +135,21 @@
     private static void run(ClusterSimulation simulation, long seed, Fault special) {
         SplittableRandom random = new SplittableRandom(seed);
         simulation.network().delayCommandsUpTo(MAX_COMMAND_DELAY_MS);
-        List<String> arrays = load(simulation, random);
+        List<String> arrays = submitJobs(simulation, random);
         List<Fault> faults = new ArrayList<>(List.of(Fault.values()));
         faults.remove(special == Fault.REBOOT ? Fault.LEADER_CRASH : Fault.REBOOT);
         faults.add(special);
-        for (long at = 20_000; at < FAULTS_END - 45_000; at += 1_000 + random.nextInt(6_000)) {
+        for (long at = 20_000; at < FAULTS_END_MS - 45_000; at += 1_000 + random.nextInt(6_000)) {
             Fault fault = faults.get(random.nextInt(faults.size()));
             int pick = random.nextInt(1_000);
-            simulation.schedule(at, () -> cause(simulation, fault, pick));
+            simulation.schedule(at, () -> injectFault(simulation, fault, pick));
         }
-        simulation.runChecked(FAULTS_END);
+        simulation.runChecked(FAULTS_END_MS);
         simulation.network().delayCommandsUpTo(0);
-        assertRecovers(simulation, arrays, END);
+        assertRecovers(simulation, arrays, END_MS);
     }
 
-    private static List<String> load(ClusterSimulation simulation, SplittableRandom random) {
+    private static List<String> submitJobs(ClusterSimulation simulation, SplittableRandom random) {
         List<String> arrays = new ArrayList<>();
         for (int i = 0; i < JOBS; i++) {
             String id = JobRequests.id(4000 + i);
@@ -173,7 +173,7 @@
         return arrays;
     }
 
-    private static void cause(ClusterSimulation simulation, Fault fault, int pick) {
+    private static void injectFault(ClusterSimulation simulation, Fault fault, int pick) {
         List<String> machines = simulation.agents().machineIds();
         if (machines.isEmpty()) {
             return;
--- a/src/test/java/io/quartzgw/startlog/StartLogFixture.java
+++ b/src/test/java/io/quartzgw/startlog/StartLogFixture.java
@@ -26,25 +26,25 @@
 final class StartLogFixture {
     static final long HEARTBEAT_MS = 2_500;
     private static final int STEP_MS = 10;
-    private static final long LONGER_THAN_THE_LEASE_MS = 60_000;
-    private static final Endpoint STATE = new Endpoint("10.2.0.1", 1);
+    private static final long AFTER_LEASE_EXPIRY_MS = 60_000;
+    private static final Endpoint STATE_SERVICE = new Endpoint("10.2.0.1", 1);
 
     /** What becomes of a transaction. */
     enum Delivery {
         ANSWERED,
         LOST,
         ANSWER_LOST,
-        /** It has no answer, and is kept to be applied by {@link #applyLate}. */
+        /** It has no answer, and is kept to be applied by {@link #applyDelayedTransactions}. */
         LATE
     }
 
     final SimulatedStore stateService = new SimulatedStore();
     private final StoreLimits limits;
-    private final List<Call> late = new ArrayList<>();
-    private Function<Call, Delivery> deliveries = transaction -> Delivery.ANSWERED;
+    private final List<Call> delayedCalls = new ArrayList<>();
+    private Function<Call, Delivery> deliveryPolicy = transaction -> Delivery.ANSWERED;
     private Leader leader;
-    private long now;
-    private int transactions;
+    private long nowMs;
+    private int transactionCount;
 
     /** One process that leads. */
     private static final class Leader {
@@ -52,10 +52,10 @@
         private final StoreClient store;
         private final Leadership leadership;
         private StartLog log;
-        private FormerStarts formerStarts;
+        private FormerStarts loadedStarts;
 
         Leader(StoreLimits limits) {
-            store = new StoreClient(eventLoop, STATE, limits);
+            store = new StoreClient(eventLoop, STATE_SERVICE, limits);
             leadership = Elections.candidate(eventLoop, store);
         }
     }
@@ -70,19 +70,19 @@
 
     /** Ends the leader's process without notice, elects another one, and returns what that reads of the log. */
     FormerStarts replaceLeader() {
-        now += LONGER_THAN_THE_LEASE_MS;
-        stateService.advanceTo(now);
+        nowMs += AFTER_LEASE_EXPIRY_MS;
+        stateService.advanceTo(nowMs);
         leader = new Leader(limits);
-        Elections.elect(leader.leadership, this::pass);
+        Elections.elect(leader.leadership, this::advance);
         leader.log = new StartLog(leader.eventLoop, leader.store, new LeaderTerm(leader.leadership), HEARTBEAT_MS);
         leader.store.listPrefix(StartLog.PREFIX, result -> {
             List<KeyValue> pages = ((ListResult.Listed) result).listing().entries();
-            leader.formerStarts = leader.log.load(pages);
+            leader.loadedStarts = leader.log.load(pages);
         });
-        pass(1);
+        advance(1);
         leader.eventLoop.onBatchEnd(leader.log::flush);
-        pass(STEP_MS);
-        return leader.formerStarts;
+        advance(STEP_MS);
+        return leader.loadedStarts;
     }
 
     StartLog log() {
@@ -95,65 +95,65 @@
     }
 
     /** Sets what becomes of transactions. */
-    void deliver(Function<Call, Delivery> by) {
-        deliveries = by;
+    void setDeliveryPolicy(Function<Call, Delivery> by) {
+        deliveryPolicy = by;
     }
 
     /** How many transactions have been sent. */
-    int transactions() {
-        return transactions;
+    int transactionCount() {
+        return transactionCount;
     }
 
     /** Applies the transactions that were late; their answers are lost. */
-    void applyLate() {
-        List<Call> arriving = List.copyOf(late);
-        late.clear();
-        arriving.forEach(call -> stateService.handle(call, now, reply -> {}));
+    void applyDelayedTransactions() {
+        List<Call> arriving = List.copyOf(delayedCalls);
+        delayedCalls.clear();
+        arriving.forEach(call -> stateService.handle(call, nowMs, reply -> {}));
     }
 
     /** Lets time pass; a call without an answer ends with its time. */
-    void pass(long ms) {
-        for (long end = now + ms; now < end; ) {
-            now += Math.min(STEP_MS, end - now);
-            stateService.advanceTo(now);
-            deliver(leader.eventLoop.processBatch(List.of(), time()));
+    void advance(long ms) {
+        for (long end = nowMs + ms; nowMs < end; ) {
+            nowMs += Math.min(STEP_MS, end - nowMs);
+            stateService.advanceTo(nowMs);
+            processEffects(leader.eventLoop.processBatch(List.of(), clockReading()));
         }
     }
 
     /** Runs an action as part of a batch, and delivers what it sends. */
-    void run(Runnable action) {
+    void runInBatch(Runnable action) {
         leader.eventLoop.afterCommands(action);
-        deliver(leader.eventLoop.processBatch(List.of(), time()));
+        processEffects(leader.eventLoop.processBatch(List.of(), clockReading()));
     }
 
-    private ClockReading time() {
-        return new ClockReading(now, now);
+    private ClockReading clockReading() {
+        return new ClockReading(nowMs, nowMs);
     }
 
-    private void deliver(List<Effect> initial) {
+    private void processEffects(List<Effect> initial) {
         List<Effect> effects = initial;
         while (!effects.isEmpty()) {
             List<Command> replies = new ArrayList<>();
             for (Effect effect : effects) {
                 Effect.Send send = (Effect.Send) effect;
-                serve(send.request(), reply -> replies.add(new Command.CallEnded(send.call(), reply)));
+                handleCall(send.request(), reply -> replies.add(new Command.CallEnded(send.call(), reply)));
             }
-            effects = replies.isEmpty() ? List.of() : leader.eventLoop.processBatch(replies, time());
+            effects = replies.isEmpty() ? List.of() : leader.eventLoop.processBatch(replies, clockReading());
         }
     }
 
-    private void serve(Call call, Consumer<Reply> onReply) {
-        Delivery delivery = call.path().equals("/multi") ? deliveries.apply(call) : Delivery.ANSWERED;
-        transactions += call.path().equals("/multi") ? 1 : 0;
+    private void handleCall(Call call, Consumer<Reply> onReply) {
+        Delivery delivery = call.path().equals("/multi") ? deliveryPolicy.apply(call) : Delivery.ANSWERED;
+        transactionCount += call.path().equals("/multi") ? 1 : 0;
         switch (delivery) {
-            case ANSWERED -> stateService.handle(call, now, onReply);
+            case ANSWERED -> stateService.handle(call, nowMs, onReply);
             case LOST -> onReply.accept(Reply.lost());
             case ANSWER_LOST -> {
-                stateService.handle(call, now, reply -> {});
+                stateService.handle(call, nowMs, reply -> {});
                 onReply.accept(Reply.lost());
             }
             default -> {
-                late.add(call);
+                delayedCalls.add(call);
                 onReply.accept(Reply.lost());
             }
         }
