--- a/src/main/java/io/quartzgw/startlog/FormerStarts.java
+++ b/src/main/java/io/quartzgw/startlog/FormerStarts.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * What the log tells a new leader of the starts of former leaders.
+ * The outstanding starts of previous leaders, as a new leader reads them from the log.
  *
- * @param machines the machines that starts may be on their way to
- * @param unreadablePages how many pages can't be read: each may name any start to any machine
+ * @param machines the machines that have outstanding starts
+ * @param unreadablePages the number of pages that can't be decoded; each may contain any start for any machine
  */
 public record FormerStarts(List<MachineStarts> machines, int unreadablePages) {
 
-    /** Returns how many starts the readable pages name. */
+    /** Returns the number of starts in the readable pages. */
     public int count() {
         return machines.stream().mapToInt(machine -> machine.starts().size()).sum();
     }
--- a/src/main/java/io/quartzgw/startlog/LegacyReplicas.java
+++ b/src/main/java/io/quartzgw/startlog/LegacyReplicas.java
@@ -9,9 +9,10 @@
 import io.quartzgw.store.TransactionOutcome;
 
 /**
- * The replicas of starts that controllers of an earlier version hold in memory. That version takes the starts of former
- * leaders from a replica which the key {@code starts/insync} covers. A leader of this version tells no replica of its
- * starts, so before its first one leaves it records that no replica of its term or an earlier one covers them.
+ * Invalidates the in-memory replicas of starts that controllers of an earlier version keep. After a failover, that
+ * version reads the starts of previous leaders from a replica listed as in sync under the key {@code starts/insync}. A
+ * leader of this version replicates no starts in memory. Before it sends its first start, it therefore records that no
+ * replica of its own or an earlier term is in sync.
  */
 final class LegacyReplicas {
     private static final String KEY = "starts/insync";
@@ -29,18 +30,18 @@
         this.term = term;
     }
 
-    /** Returns whether it is recorded that no replica covers the starts of this leader. */
+    /** Returns whether the state service has recorded that no replica is in sync with this leader's starts. */
     boolean areInvalidated() {
         return invalidated;
     }
 
-    /** Records it, once in a term. */
+    /** Records that no replica is in sync, once per term. */
     void invalidate() {
         if (invalidated || writeInFlight) {
             return;
         }
         writeInFlight = true;
-        // A late copy is applied in this term only, and says the same.
+        // A delayed duplicate is applied only within this term and writes the same value.
         Transaction transaction = new Transaction()
                 .require(Leadership.TERM_KEY, term.termRevision())
                 .put(KEY, LegacyReplicasCodec.encode(term.number()));
--- a/src/main/java/io/quartzgw/startlog/LogEntry.java
+++ b/src/main/java/io/quartzgw/startlog/LogEntry.java
@@ -2,7 +2,7 @@
 
 import io.quartzgw.model.Attempt;
 
-/** A start in the log; one that is withdrawn and announced again is another entry. */
+/** A start in the log. A start that is dropped and announced again gets a new entry. */
 final class LogEntry {
     private final String machine;
     private final Attempt start;
@@ -15,27 +15,27 @@
         this.announcedAtMs = announcedAtMs;
     }
 
-    /** Returns the ID of the machine that the start is sent to. */
+    /** Returns the ID of the target machine. */
     String machine() {
         return machine;
     }
 
-    /** Returns the attempt that is started. */
+    /** Returns the attempt to be started. */
     Attempt start() {
         return start;
     }
 
-    /** Returns when the start was announced. */
+    /** Returns the time at which the start was announced, in event loop time. */
     long announcedAtMs() {
         return announcedAtMs;
     }
 
-    /** Returns whether the state service has the entry. */
+    /** Returns whether the state service has acknowledged the entry. */
     boolean isStored() {
         return stored;
     }
 
-    /** Records that the state service has the entry. */
+    /** Records that the state service has acknowledged the entry. */
     void markStored() {
         stored = true;
     }
--- a/src/main/java/io/quartzgw/startlog/LogWriteMonitor.java
+++ b/src/main/java/io/quartzgw/startlog/LogWriteMonitor.java
@@ -6,13 +6,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Reports when the log of starts can't be written, and when it is written again. */
+/** Logs and counts when writes of the start log begin to fail, and logs when they succeed again. */
 final class LogWriteMonitor {
     private static final Logger LOG = LoggerFactory.getLogger(LogWriteMonitor.class);
 
     private final EventLoop eventLoop;
     private final LeaderTerm term;
-    /** When the first of the writes that have failed was begun, unless the last one has succeeded. */
+    /** Start time of the first write in the current series of failures; empty after a successful write. */
     private Optional<Long> failingSinceMs = Optional.empty();
 
     LogWriteMonitor(EventLoop eventLoop, LeaderTerm term) {
@@ -20,10 +20,14 @@
         this.term = term;
     }
 
-    /** Handles a write that failed or had no answer, while some starts wait to be stored. */
-    void onWriteFailed(long begunAtMs, int waitingStarts) {
+    /**
+     * Handles a write that failed or got no response.
+     *
+     * @param waitingStarts the number of starts that are not stored yet
+     */
+    void onWriteFailed(long startedAtMs, int waitingStarts) {
         if (failingSinceMs.isEmpty()) {
-            failingSinceMs = Optional.of(begunAtMs);
+            failingSinceMs = Optional.of(startedAtMs);
             eventLoop.increment("startlog.stalls", 1);
             LOG.atInfo()
                     .addKeyValue("term", term.number())
@@ -32,7 +36,7 @@
         }
     }
 
-    /** Handles a write that was answered. */
+    /** Handles a successful write. */
     void onWriteSucceeded() {
         failingSinceMs.ifPresent(since -> LOG.atInfo()
                 .addKeyValue("term", term.number())
--- a/src/main/java/io/quartzgw/startlog/MachineStarts.java
+++ b/src/main/java/io/quartzgw/startlog/MachineStarts.java
@@ -4,9 +4,9 @@
 import java.util.Set;
 
 /**
- * The starts that direct calls of former leaders may still carry to one machine.
+ * The outstanding starts that previous leaders sent to one machine in direct calls.
  *
  * @param machine the machine's ID
- * @param starts the starts
+ * @param starts the attempts that these starts begin
  */
 public record MachineStarts(String machine, Set<Attempt> starts) {}
--- a/src/main/java/io/quartzgw/startlog/StartLog.java
+++ b/src/main/java/io/quartzgw/startlog/StartLog.java
@@ -23,30 +23,33 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The starts that direct calls may carry, by machine, recorded in the state service during one term.
+ * Records in the state service, during one term, the starts that direct calls may carry, by machine.
  *
- * <p>A start leaves in a direct call only once it is stored here, so whichever controller leads next knows every start
- * that may still be on its way, even if all controllers have ended. One write stores all starts that wait. While the
- * write budget is short or the state service does not answer, starts leave in responses to heartbeats instead, which
- * are never executed late. A start that can't be on its way any more is dropped with the next write of its page.
+ * <p>A start is sent in a direct call only after it is stored here. The next leader can therefore read every
+ * outstanding start, even if all controllers crash. One write stores all waiting starts. While the write budget is
+ * exhausted or the state service does not respond, starts are sent only in heartbeat responses, which agents never
+ * execute late. A start that is no longer outstanding is removed with the next write of its page.
  *
- * <p>Every write requires this term and the revision of its page: the write of a leader that was deposed fails, or its
- * successor has read it, and a late copy changes nothing.
+ * <p>Every write is conditional on this term and on the revision of its page. A write of a deposed leader either fails
+ * or was applied before its successor read the log, and a delayed duplicate has no effect.
  */
 public final class StartLog {
-    /** Prefix of the pages of the log. */
+    /** Key prefix of the log's pages. */
     public static final String PREFIX = "sent/";
 
     private static final Logger LOG = LoggerFactory.getLogger(StartLog.class);
-    /** The fraction of this controller's write budget that the log may take while starts wait. */
+    /** Fraction of this controller's write budget that the log may use while starts wait to be stored. */
     private static final double WRITE_FRACTION = 0.5;
-    /** The fraction of it that may be spent on dropping starts which are void. */
+    /** Fraction of the write budget for writes that only remove dropped starts. */
     private static final double CLEANUP_FRACTION = 0.1;
-    /** How long a stored start that is void may stay in the log while no other start is written, in heartbeats. */
+    /** Delay before dropped starts are removed if no other start is written, in heartbeat intervals. */
     private static final double CLEANUP_DELAY_HEARTBEATS = 2;
-    /** The pause after a failed write, in heartbeats. */
+    /** Delay after a failed write, in heartbeat intervals. */
     private static final double RETRY_DELAY_HEARTBEATS = 0.1;
-    /** Further starts leave in responses only: a new leader has to read the log before it does anything else. */
+    /**
+     * Maximum number of starts in the log; further starts are sent only in heartbeat responses. The size is limited
+     * because a new leader has to read the log before it does anything else.
+     */
     private static final int MAX_STARTS = 20_000;
 
     private final EventLoop eventLoop;
@@ -58,11 +61,11 @@
     private final CoalescedTask flushLater;
     private final long cleanupDelayMs;
     private final long retryDelayMs;
-    /** Keys with the prefix that are no pages. */
+    /** Keys that have the log's prefix but are not page keys. */
     private final List<String> nonPageKeys = new ArrayList<>();
 
     private final Map<String, Map<Attempt, LogEntry>> entriesByMachine = new HashMap<>();
-    /** The starts that are not stored yet. */
+    /** Entries that are not stored yet, in the order of their announcement. */
     private final Set<LogEntry> waiting = new LinkedHashSet<>();
 
     private Consumer<String> onStored = machine -> {};
@@ -70,7 +73,7 @@
     private boolean loaded;
     private boolean writeInFlight;
     private long nextWriteAtMs;
-    /** When pages that hold void starts are to be written, unless a start is written before. */
+    /** Time at which pages with dropped starts are due to be rewritten, if a rewrite is scheduled. */
     private Optional<Long> cleanupAtMs = Optional.empty();
 
     /**
@@ -94,14 +97,14 @@
         return new Transaction().require(Leadership.TERM_KEY, term.termRevision());
     }
 
-    /** Sets who is told of each machine some of whose starts have been stored. */
+    /** Sets the listener that receives the ID of a machine whenever one of its starts has been stored. */
     public void onStored(Consumer<String> listener) {
         this.onStored = listener;
     }
 
-    // ---- former leaders
+    // ---- starts of previous leaders
 
-    /** Takes over the log of former leaders, as it was read from the state service. */
+    /** Loads the log of previous leaders from pages read from the state service. */
     public FormerStarts load(List<KeyValue> pages) {
         List<KeyValue> readable = new ArrayList<>();
         int unreadable = 0;
@@ -142,11 +145,11 @@
                 .log("start log unreadable");
     }
 
-    /** Drops the pages that can't be read, since no machine is left that they may name. */
+    /** Drops the unreadable pages; called once no machine is left that they may refer to. */
     public void dropUnreadablePages() {
         records.dropUnreadable();
         scheduleCleanup();
-        // Where that fails, the next leader finds them again.
+        // If a deletion fails, the next leader reads the key and deletes it.
         nonPageKeys.forEach(
                 key -> store.commit(fencedTransaction().delete(key), RequestUrgency.BACKGROUND, outcome -> {}));
         nonPageKeys.clear();
@@ -161,15 +164,15 @@
 
     // ---- this leader's starts
 
-    /** Sets all starts that direct calls may carry to a machine from now on, or may still carry. */
+    /** Sets the complete set of starts that direct calls to a machine may carry, now or from earlier calls. */
     public void announce(String machine, Set<Attempt> starts) {
-        Map<Attempt, LogEntry> known = entriesByMachine.getOrDefault(machine, Map.of());
-        known.values().stream()
+        Map<Attempt, LogEntry> current = entriesByMachine.getOrDefault(machine, Map.of());
+        current.values().stream()
                 .filter(entry -> !starts.contains(entry.start()))
                 .toList()
                 .forEach(this::drop);
         for (Attempt start : starts) {
-            if (!known.containsKey(start) && size < MAX_STARTS) {
+            if (!current.containsKey(start) && size < MAX_STARTS) {
                 add(new LogEntry(machine, start, eventLoop.nowMs()));
             }
         }
@@ -187,9 +190,9 @@
     }
 
     private void drop(LogEntry entry) {
-        Map<Attempt, LogEntry> ofMachine = entriesByMachine.get(entry.machine());
-        ofMachine.remove(entry.start());
-        if (ofMachine.isEmpty()) {
+        Map<Attempt, LogEntry> machineEntries = entriesByMachine.get(entry.machine());
+        machineEntries.remove(entry.start());
+        if (machineEntries.isEmpty()) {
             entriesByMachine.remove(entry.machine());
         }
         size--;
@@ -204,7 +207,7 @@
         }
     }
 
-    /** Returns whether a start that was announced is stored, so that a direct call may carry it. */
+    /** Returns whether an announced start is stored, so that a direct call may carry it. */
     public boolean isStored(String machine, Attempt start) {
         LogEntry entry = entriesByMachine.getOrDefault(machine, Map.of()).get(start);
         return entry != null && entry.isStored() && legacyReplicas.areInvalidated();
@@ -212,7 +215,7 @@
 
     // ---- writes
 
-    /** Writes what has been announced, one write at a time; called at the end of every batch. */
+    /** Writes pending changes, one write at a time; called at the end of every event loop batch. */
     public void flush() {
         if (!loaded || writeInFlight || !term.isConfirmed()) {
             return;
@@ -239,14 +242,14 @@
         List<LogEntry> written = List.copyOf(waiting);
         RequestUrgency urgency = written.isEmpty() ? RequestUrgency.BACKGROUND : RequestUrgency.NORMAL;
         double fraction = written.isEmpty() ? CLEANUP_FRACTION : WRITE_FRACTION;
-        long begunAtMs = eventLoop.nowMs();
-        nextWriteAtMs = begunAtMs + store.pauseMsAfter(records.dirtyPageCount(), fraction);
+        long startedAtMs = eventLoop.nowMs();
+        nextWriteAtMs = startedAtMs + store.pauseMsAfter(records.dirtyPageCount(), fraction);
         writeInFlight = true;
         eventLoop.increment("startlog.pages_written", records.dirtyPageCount());
-        records.write(urgency, success -> onWritten(written, success, begunAtMs));
+        records.write(urgency, success -> onWritten(written, success, startedAtMs));
     }
 
-    private void onWritten(List<LogEntry> written, boolean success, long begunAtMs) {
+    private void onWritten(List<LogEntry> written, boolean success, long startedAtMs) {
         writeInFlight = false;
         if (!term.isCurrent()) {
             return;
@@ -255,14 +258,14 @@
             writeMonitor.onWriteSucceeded();
             written.forEach(this::markStored);
         } else {
-            writeMonitor.onWriteFailed(begunAtMs, waiting.size());
+            writeMonitor.onWriteFailed(startedAtMs, waiting.size());
             nextWriteAtMs = eventLoop.nowMs() + retryDelayMs;
             scheduleCleanup();
         }
     }
 
     private void markStored(LogEntry entry) {
-        // One that was dropped meanwhile may have been stored or not, and would be announced as another entry.
+        // An entry dropped during the write must not count as stored; announcing its start again creates a new entry.
         if (waiting.remove(entry)) {
             entry.markStored();
             eventLoop.increment("startlog.starts", 1);
@@ -271,9 +274,9 @@
         }
     }
 
-    // ---- what operators see
+    // ---- metrics
 
-    /** Publishes the size of the log and how long starts wait for it; called regularly. */
+    /** Publishes the size of the log and the age of the oldest waiting start; called regularly. */
     public void report() {
         long oldestMs = waiting.stream()
                 .findFirst()
--- a/src/main/java/io/quartzgw/startlog/StartRecordCodec.java
+++ b/src/main/java/io/quartzgw/startlog/StartRecordCodec.java
@@ -7,7 +7,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Encodes and decodes the records of the log: the name of a record is the attempt, its value the machine's ID. */
+/** Encodes and decodes log records. A record's name is the attempt and its value is the machine's ID. */
 final class StartRecordCodec {
     private static final Pattern NAME = Pattern.compile("(.+)/(\\d{1,9})/(\\d{1,19})");
 
@@ -38,7 +38,7 @@
         return Optional.of(value).filter(JsonNode::isTextual).map(JsonNode::asText);
     }
 
-    /** Returns whether a stored page has nothing but records that can be decoded. */
+    /** Returns whether all records of a stored page can be decoded. */
     static boolean isReadable(JsonNode page) {
         return page.isObject()
                 && page.properties().stream()
--- a/src/main/java/io/quartzgw/startlog/package-info.java
+++ b/src/main/java/io/quartzgw/startlog/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The log of the starts that a leader's direct calls may carry, in the state service. A direct call may be executed
- * minutes late, and may outlive every controller that knew of it; the log tells whichever leads next.
+ * The start log: a record in the state service of all starts that a leader may send in direct calls. An agent may
+ * execute a direct call minutes late, when every controller that tracked it has already crashed. The next leader reads
+ * the outstanding starts from the log.
  */
 package io.quartzgw.startlog;
--- a/src/test/java/io/quartzgw/app/CancelledStartsAndOutagesTest.java
+++ b/src/test/java/io/quartzgw/app/CancelledStartsAndOutagesTest.java
@@ -16,9 +16,9 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * A start of a cancelled job is on its way in a direct call while the state service is out. The machine is started
- * again just after {@code cancel_s}, and the call reaches its new agent. Guards against {@code ran_cancelled}, where
- * the machine is not deleted by then although the cloud deletes machines all the time.
+ * A start of a cancelled job is outstanding in a direct call during an outage of the state service. The machine reboots
+ * just after {@code cancel_s}, and the call reaches its new agent. Guards against {@code ran_cancelled}, where the
+ * machine is not deleted by then although the cloud's delete API is available throughout.
  */
 class CancelledStartsAndOutagesTest {
     private static final int CONTROLLERS = 3;
@@ -51,9 +51,9 @@
 
     private void beginOutage(long durationMs) {
         simulation.store().setOutage(true);
-        starts.logStep("outage begins");
+        starts.logStep("state service outage begins");
         simulation.schedule(simulation.now() + durationMs, () -> {
-            starts.logStep("outage ends");
+            starts.logStep("state service outage ends");
             simulation.store().setOutage(false);
         });
     }
@@ -68,7 +68,7 @@
                 () -> simulation.invariants().violations().toString());
     }
 
-    // The leader is not confirmed during the outage, and deletes no machine.
+    // Guards against a leader that deletes no machine during the outage because it is not confirmed.
     @ParameterizedTest
     @MethodSource("seeds")
     void machineIsDeletedWithinCancelLimitDuringStateServiceOutage(long seed) {
@@ -77,14 +77,14 @@
         assertNothingStartsAfterCancelLimit();
     }
 
-    // A task that is done is not started elsewhere, but its late start is one of a cancelled job.
+    // A completed task is not started elsewhere, but its outstanding start still belongs to a cancelled job.
     @ParameterizedTest
     @MethodSource("seeds")
     void unansweredStartOfCompletedTaskIsNotExecutedAfterCancellation(long seed) {
         simulation = clusterWithServices(new ClusterSimulation(seed, CONTROLLERS));
         starts = new DelayedStartsScenario(simulation);
         fillMachines();
-        // Without more machines, most tasks wait.
+        // The cloud outage prevents scale-out, so most tasks wait.
         simulation.cloud().setOutage(true);
         starts.sendDelayedStarts(DelayedStartsScenario.tasks(60, 20));
         simulation.runChecked(TASKS_COMPLETE_MS);
@@ -95,14 +95,16 @@
                             .heldStarts(DelayedStartsScenario.JOB)
                             .get(machine)
                             .contains(task)),
-                    "the tasks are done");
+                    "the tasks have completed");
         }
         simulation.cloud().setOutage(false);
         starts.cancel();
         assertNothingStartsAfterCancelLimit();
     }
 
-    // No machine has run a task, so the page names none that exists: it must not cost the fleet at a later failover.
+    // No machine has run a task, so the page refers to no existing machine. It must be dropped: otherwise a later
+    // leader
+    // would delete all machines in use.
     @ParameterizedTest
     @MethodSource("seeds")
     void unreadablePageIsDroppedWhenNoMachineHasRunTasks(long seed) {
@@ -111,6 +113,6 @@
         clusterWithServices(empty);
         empty.runChecked(RECOVERY_MS);
         JsonNode page = empty.store().value("sent/0");
-        assertFalse(page != null && page.has("no attempt"), "the next leader would delete every machine in use");
+        assertFalse(page != null && page.has("no attempt"), "the unreadable page is dropped");
     }
 }
--- a/src/test/java/io/quartzgw/app/CrashesOfAllControllers.java
+++ b/src/test/java/io/quartzgw/app/CrashesOfAllControllers.java
@@ -9,10 +9,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Crashes of one, two and all controllers within seconds of each other while starts are on their way, laid over the
- * other faults of a random cluster. In some a controller is cut off from the leader before, or the state service is
- * away for a moment. Jobs are cancelled around the crashes. Calls to some machines are held back until these have been
- * started again: once the tasks may be elsewhere, or once a cancellation has to be carried out.
+ * Adds crashes of one, two or all controllers within seconds of each other to the other faults of a random simulation,
+ * while starts are outstanding. In some rounds a controller is partitioned from the leader before, or the state service
+ * has a short outage. Jobs are cancelled around the crashes. Direct calls to some machines are delayed until these
+ * reboot, either after the tasks may have been placed elsewhere or after the cancellation limit.
  */
 final class CrashesOfAllControllers {
     private static final int CONTROLLERS = 3;
@@ -39,7 +39,7 @@
     private static final int MAX_REBOOTS = 5;
     private static final int MIN_REBOOT_DELAY_MS = 3_000;
     private static final int REBOOT_DELAY_SPREAD_MS = 22_000;
-    /** Within such a time the agent of a machine that was started again has often not been answered yet. */
+    /** Within this time, the agent of a rebooted machine has often not received its first heartbeat response. */
     private static final int MAX_DELIVERY_DELAY_MS = 200;
 
     private final ClusterSimulation simulation;
@@ -57,9 +57,9 @@
     /**
      * Schedules the crashes of a run.
      *
-     * @param seed of the run; the crashes have a random source of their own, so that the other faults stay as they are
-     * @param cancelMs how long the tasks of a cancelled job may stay
-     * @param end when all of it is over
+     * @param seed the seed of the run; the crashes use their own random source, which leaves the other faults unchanged
+     * @param cancelMs the time within which the tasks of a cancelled job must be stopped
+     * @param end the time by which all of these faults have ended
      */
     static void scheduleAll(ClusterSimulation simulation, long seed, long cancelMs, long end) {
         new CrashesOfAllControllers(simulation, seed, cancelMs, end).scheduleRounds();
@@ -104,43 +104,42 @@
         simulation.schedule(at, () -> simulation.users().submitUntilAccepted(job, cancelAt));
     }
 
-    /**
-     * The leader goes on without the controller that is cut off from it, and may end before that hears of its starts.
-     */
+    /** Partitions another controller from the leader, which may crash before that controller receives its starts. */
     private void schedulePartition(long roundAt, long crashAt) {
-        long cutAt = roundAt - random.nextInt(MAX_PARTITION_BEFORE_ROUND_MS);
+        long partitionAt = roundAt - random.nextInt(MAX_PARTITION_BEFORE_ROUND_MS);
         long healAt = crashAt + random.nextInt(MAX_PARTITION_AFTER_CRASH_MS);
-        int other = 1 + random.nextInt(CONTROLLERS - 1);
-        simulation.schedule(cutAt, () -> {
+        int offset = 1 + random.nextInt(CONTROLLERS - 1);
+        simulation.schedule(partitionAt, () -> {
             int leader = simulation.leaderOrFirst();
-            String one = Hosts.controller(leader);
-            String cutOff = Hosts.controller((leader + other) % CONTROLLERS);
-            simulation.network().partition(one, cutOff);
-            simulation.schedule(healAt, () -> simulation.network().heal(one, cutOff));
+            String leaderHost = Hosts.controller(leader);
+            String otherHost = Hosts.controller((leader + offset) % CONTROLLERS);
+            simulation.network().partition(leaderHost, otherHost);
+            simulation.schedule(healAt, () -> simulation.network().heal(leaderHost, otherHost));
         });
     }
 
-    /** One, two or all controllers end, at once or within seconds, the leader of the beginning first. */
+    /** Crashes one, two or all controllers, at once or within seconds, starting with the current leader. */
     private void scheduleCrashes(long crashAt) {
         int crashes = 1 + random.nextInt(CONTROLLERS);
         int direction = 1 + random.nextInt(CONTROLLERS - 1);
-        int withinMs = random.nextBoolean() ? 1 : MAX_BURST_MS;
+        int spreadMs = random.nextBoolean() ? 1 : MAX_BURST_MS;
         long[] delaysMs = new long[crashes];
-        long[] downMs = new long[crashes];
+        long[] downtimesMs = new long[crashes];
         for (int i = 0; i < crashes; i++) {
-            delaysMs[i] = i == 0 ? 0 : random.nextInt(withinMs);
-            downMs[i] = MIN_DOWNTIME_MS + random.nextInt(DOWNTIME_SPREAD_MS);
+            delaysMs[i] = i == 0 ? 0 : random.nextInt(spreadMs);
+            downtimesMs[i] = MIN_DOWNTIME_MS + random.nextInt(DOWNTIME_SPREAD_MS);
         }
         simulation.schedule(crashAt, () -> {
             int leader = simulation.leaderOrFirst();
-            LoggerFactory.getLogger(CrashesOfAllControllers.class).info("{} crashes, {} first", crashes, leader);
+            LoggerFactory.getLogger(CrashesOfAllControllers.class)
+                    .info("{} controllers crash, controller {} first", crashes, leader);
             for (int i = 0; i < crashes; i++) {
                 int controller = (leader + i * direction) % CONTROLLERS;
-                long forMs = downMs[i];
-                simulation.schedule(crashAt + delaysMs[i], () -> simulation.crash(controller, forMs));
+                long downtimeMs = downtimesMs[i];
+                simulation.schedule(crashAt + delaysMs[i], () -> simulation.crash(controller, downtimeMs));
             }
         });
-        simulation.schedule(crashAt + withinMs, () -> simulation.network().holdUpCommandShare(0, 0));
+        simulation.schedule(crashAt + spreadMs, () -> simulation.network().holdUpCommandShare(0, 0));
     }
 
     private void scheduleOutage(long at) {
@@ -149,27 +148,27 @@
                 at + 1 + random.nextInt(MAX_OUTAGE_MS), () -> simulation.store().setOutage(false));
     }
 
-    /** Calls to a machine are held back from the beginning of the round until it has been started again. */
+    /** Delays the direct calls to a machine from the beginning of the round until shortly after its reboot. */
     private void scheduleReboot(long roundAt, long crashAt) {
-        int pick = random.nextInt(Integer.MAX_VALUE);
+        int machineChoice = random.nextInt(Integer.MAX_VALUE);
         boolean epochKept = random.nextInt(4) == 0;
-        long soonMs = (long) MIN_REBOOT_DELAY_MS + random.nextInt(REBOOT_DELAY_SPREAD_MS);
-        boolean late = random.nextBoolean() && crashAt + MAX_BURST_MS + cancelMs + soonMs < end;
-        long rebootAt = crashAt + soonMs + (late ? MAX_BURST_MS + cancelMs : 0);
-        long deliveryMs = random.nextInt(MAX_DELIVERY_DELAY_MS);
+        long rebootDelayMs = (long) MIN_REBOOT_DELAY_MS + random.nextInt(REBOOT_DELAY_SPREAD_MS);
+        boolean afterCancelLimit = random.nextBoolean() && crashAt + MAX_BURST_MS + cancelMs + rebootDelayMs < end;
+        long rebootAt = crashAt + rebootDelayMs + (afterCancelLimit ? MAX_BURST_MS + cancelMs : 0);
+        long deliveryDelayMs = random.nextInt(MAX_DELIVERY_DELAY_MS);
         simulation.schedule(roundAt, () -> {
             List<String> machines = simulation.agents().machineIds();
             if (machines.isEmpty()) {
                 return;
             }
-            String machine = machines.get(pick % machines.size());
+            String machine = machines.get(machineChoice % machines.size());
             if (simulation.network().holdsCommands(machine)) {
                 return;
             }
             simulation.network().holdCommands(machine);
             simulation.schedule(rebootAt, () -> simulation.agents().reboot(machine, epochKept));
             simulation.schedule(
-                    rebootAt + deliveryMs, () -> simulation.network().deliverHeldCommands(machine));
+                    rebootAt + deliveryDelayMs, () -> simulation.network().deliverHeldCommands(machine));
         });
     }
 }
--- a/src/test/java/io/quartzgw/app/CrashesWithHeldUpStarts.java
+++ b/src/test/java/io/quartzgw/app/CrashesWithHeldUpStarts.java
@@ -7,8 +7,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Crashes of the leader, or of the leader and another controller, while its direct calls are held up, laid over the
- * other faults of a random cluster. Some machines are started again before the calls reach them.
+ * Adds crashes of the leader, alone or together with another controller, to the other faults of a random simulation.
+ * The leader's direct calls are delayed when it crashes, and some machines reboot before the calls reach them.
  */
 final class CrashesWithHeldUpStarts {
     private static final int CONTROLLERS = 3;
@@ -33,8 +33,8 @@
     /**
      * Schedules the crashes of a run.
      *
-     * @param seed of the run; the crashes have a random source of their own, so that the other faults stay as they are
-     * @param end when the last machine has been started again
+     * @param seed the seed of the run; the crashes use their own random source, which leaves the other faults unchanged
+     * @param end the time by which the last machine has rebooted
      */
     static void scheduleAll(ClusterSimulation simulation, long seed, long end) {
         SplittableRandom random = new SplittableRandom(~seed);
@@ -56,43 +56,44 @@
                     at + random.nextInt(MAX_BURST_MS), () -> simulation.users().submitUntilAccepted(job));
         }
         long crashAt = at + 1 + random.nextInt(MAX_BURST_MS);
-        long downMs = MIN_DOWNTIME_MS + random.nextInt(DOWNTIME_SPREAD_MS);
-        int others = random.nextInt(CONTROLLERS);
-        simulation.schedule(crashAt, () -> crash(simulation, downMs, others));
+        long downtimeMs = MIN_DOWNTIME_MS + random.nextInt(DOWNTIME_SPREAD_MS);
+        int offset = random.nextInt(CONTROLLERS);
+        simulation.schedule(crashAt, () -> crash(simulation, downtimeMs, offset));
         int reboots = random.nextInt(MAX_REBOOTS + 1);
         for (int i = 0; i < reboots; i++) {
-            int pick = random.nextInt(Integer.MAX_VALUE);
+            int machineChoice = random.nextInt(Integer.MAX_VALUE);
             boolean epochKept = random.nextBoolean();
             simulation.schedule(
-                    crashAt + random.nextInt(MAX_REBOOT_DELAY_MS), () -> reboot(simulation, pick, epochKept));
+                    crashAt + random.nextInt(MAX_REBOOT_DELAY_MS), () -> reboot(simulation, machineChoice, epochKept));
         }
     }
 
-    /** Holds most direct calls up from now on. */
+    /** Delays most direct calls from now on. */
     static void delayMostCalls(ClusterSimulation simulation) {
         simulation.network().holdUpCommandShare(DELAYED_CALL_SHARE, MAX_CALL_DELAY_MS);
     }
 
-    /** A job whose tasks run as soon as their starts arrive. */
+    /** Returns a job without an image to fetch, so that its tasks run as soon as their starts arrive. */
     static ObjectNode job(int number, int tasks) {
         return JobRequests.array(JobRequests.id(number), "blue", tasks, 1, 10).put("pull_gb", 0.0);
     }
 
-    /** @param other how far from the leader the other controller is that crashes with it; 0 for none */
-    private static void crash(ClusterSimulation simulation, long downMs, int other) {
+    /** @param offset from the leader to the other controller that crashes with it; 0 if only the leader crashes */
+    private static void crash(ClusterSimulation simulation, long downtimeMs, int offset) {
         int leader = simulation.leaderOrFirst();
-        LoggerFactory.getLogger(CrashesWithHeldUpStarts.class).info("crash of {} and {} others", leader, other);
+        LoggerFactory.getLogger(CrashesWithHeldUpStarts.class)
+                .info("crashing controller {}, offset to the second: {}", leader, offset);
         simulation.network().holdUpCommandShare(0, 0);
-        simulation.crash(leader, downMs);
-        if (other > 0) {
-            simulation.crash((leader + other) % CONTROLLERS, downMs / 2);
+        simulation.crash(leader, downtimeMs);
+        if (offset > 0) {
+            simulation.crash((leader + offset) % CONTROLLERS, downtimeMs / 2);
         }
     }
 
-    private static void reboot(ClusterSimulation simulation, int pick, boolean epochKept) {
+    private static void reboot(ClusterSimulation simulation, int machineChoice, boolean epochKept) {
         List<String> machines = simulation.agents().machineIds();
         if (!machines.isEmpty()) {
-            simulation.agents().reboot(machines.get(pick % machines.size()), epochKept);
+            simulation.agents().reboot(machines.get(machineChoice % machines.size()), epochKept);
         }
     }
 }
--- a/src/test/java/io/quartzgw/app/DelayedCommandsTest.java
+++ b/src/test/java/io/quartzgw/app/DelayedCommandsTest.java
@@ -20,30 +20,29 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Every direct command is delayed, by up to most of a lease, while the same starts are also sent in the responses to
- * heartbeats, tasks are stopped soon after they began, and leaders change: every invariant has to hold.
+ * Random simulations in which every direct call is delayed by up to most of an agent's lease. Meanwhile the same starts
+ * are also sent in heartbeat responses, tasks are stopped shortly after their start, and leaders change. Every
+ * invariant has to hold.
  */
 class DelayedCommandsTest {
     private static final long MAX_COMMAND_DELAY_MS = 16_000;
     private static final int MAX_BATCH_DELAY_MS = 400;
-    /** How long a heartbeat, a command or a response to either takes at most. */
+    /** Maximum one-way delay of heartbeats, direct calls and their responses. */
     private static final int MAX_LINK_DELAY_MS = 1_500;
-    /** The share of heartbeats that arrive again, late. */
+    /** Share of heartbeats that are duplicated; the duplicate arrives later. */
     private static final double DUPLICATE_SHARE = 0.02;
 
     private static final long FAULTS_END_MS = 120_000;
     private static final long END_MS = 230_000;
     private static final int MACHINES = 8;
-    /** The heartbeat period is short beside the timeout of direct commands, as it is in effect when tasks change. */
+    /** The heartbeat interval is short compared to the direct call timeout, as it effectively is when tasks change. */
     private static final AgentTiming TIMING = new AgentTiming(5_000, 26_500, 56_500);
 
     static LongStream seeds() {
         return SeedRanges.range("late", 1, 120);
     }
 
-    /**
-     * Seeds in which a task ran twice, or a machine rejected it for ever, before removals waited for every duplicate.
-     */
+    /** With these seeds a task ran twice, or a machine rejected it forever, before removals waited for duplicates. */
     @ParameterizedTest
     @ValueSource(longs = {11, 306, 318, 415, 440, 476, 491, 492})
     void invariantsHoldForRegressionSeeds(long seed) {
@@ -72,7 +71,7 @@
         return SeedRanges.range("lateCrashes", 1, 30);
     }
 
-    /** Guards against ran_twice: a successor has to know the starts that its predecessor had sent. */
+    /** Guards against ran_twice: a new leader has to load the outstanding starts of the previous one. */
     @ParameterizedTest
     @MethodSource("seedsWithCrashes")
     void invariantsHoldWhenLeadersCrashWithDelayedStarts(long seed) {
@@ -85,7 +84,9 @@
         return SeedRanges.range("lateTotalLoss", 1, 15);
     }
 
-    /** Guards against ran_twice and ran_cancelled: starts outlive the controllers that know of them. */
+    /**
+     * Guards against ran_twice and ran_cancelled: starts are outstanding when the controllers that track them crash.
+     */
     @ParameterizedTest
     @MethodSource("seedsWithTotalLoss")
     void invariantsHoldWhenAllControllersCrashWithDelayedStarts(long seed) {
@@ -94,7 +95,7 @@
         run(simulation, seed, true);
     }
 
-    /** Commands may reach an agent that has replaced the one they were sent to. */
+    /** Commands may reach the agent that replaced their original target. */
     @ParameterizedTest
     @MethodSource("seeds")
     void invariantsHoldWhileMachinesAlsoReboot(long seed) {
@@ -102,7 +103,7 @@
     }
 
     /**
-     * A start reaches an agent whose predecessor had ended the attempt: the new one does not know that it has ended.
+     * A start reaches a replacement agent after the previous agent has ended the attempt, which the new one can't know.
      */
     @ParameterizedTest
     @ValueSource(longs = {245})
@@ -111,8 +112,9 @@
     }
 
     /**
-     * A leader crashes or resigns ("leadership acquired" in the log) while its start is on its way to a machine that
-     * reboots. The new leader knows nothing of the start, and has allocated the task to another machine.
+     * A leader crashes or resigns ("leadership acquired" in the log) while its start to a rebooting machine is
+     * outstanding. Guards against a new leader that has no record of the start and allocates the task to another
+     * machine.
      */
     @ParameterizedTest
     @ValueSource(longs = {10151, 10152, 11367, 11428, 11636})
@@ -121,9 +123,10 @@
     }
 
     /**
-     * A start leaves in the response to a heartbeat of a new agent, and "agent replaced" follows in the same batch:
-     * starts in responses then count as void, as if that heartbeat had been the former agent's. The allocation is
-     * released, and the task is started elsewhere while the new agent executes the response.
+     * A start is sent in the response to a new agent's heartbeat, and "agent replaced" follows in the same batch.
+     * Guards against treating starts in responses as no longer executable then, as if the heartbeat came from the
+     * previous agent: the allocation was released, and the task started elsewhere while the new agent executed the
+     * response.
      */
     @ParameterizedTest
     @ValueSource(longs = 11078)
@@ -131,12 +134,12 @@
         run(seed, true);
     }
 
-    /** A machine receives nothing until its epoch ends, then reboots, and counts its epochs from the first. */
+    /** A machine's inbound traffic is blocked until its epoch ends; then it reboots and restarts its epoch count. */
     @Test
     void startOfEarlierEpochIsNotExecutedAfterEpochReset() {
         ClusterSimulation simulation = clusterWithServices();
-        ObjectNode filling = JobRequests.array("j-000700", "blue", 4, 4, 90);
-        simulation.users().submitUntilAccepted(filling);
+        ObjectNode filler = JobRequests.array("j-000700", "blue", 4, 4, 90);
+        simulation.users().submitUntilAccepted(filler);
         simulation.runChecked(30_000);
         String machine = simulation
                 .agents()
@@ -173,7 +176,7 @@
         assertRecovers(simulation, arrays, END_MS);
     }
 
-    /** Low-priority jobs that urgent ones preempt, jobs that fail at their start until cancelled, and cancellations. */
+    /** Submits jobs that are preempted by urgent ones, jobs that fail at start until cancelled, and cancels some. */
     private static List<String> submitJobs(ClusterSimulation simulation, SplittableRandom random) {
         List<String> arrays = new ArrayList<>();
         for (int i = 0; i < 24; i++) {
@@ -203,29 +206,29 @@
     private static void scheduleFaults(ClusterSimulation simulation, SplittableRandom random, boolean reboots) {
         for (long at = 15_000; at < FAULTS_END_MS - 20_000; at += 1_000 + random.nextInt(6_000)) {
             int kind = random.nextInt(10);
-            int pick = random.nextInt(1_000);
+            int choice = random.nextInt(1_000);
             simulation.schedule(at, () -> {
                 List<String> machines = simulation.agents().machineIds();
                 if (kind == 0 || machines.isEmpty()) {
-                    simulation.crash(simulation.leaderOrFirst(), 200 + 5L * pick);
+                    simulation.crash(simulation.leaderOrFirst(), 200 + 5L * choice);
                     return;
                 }
-                String machine = machines.get(pick % machines.size());
+                String machine = machines.get(choice % machines.size());
                 switch (kind) {
                     case 1 -> simulation.users().cancelRunningJobs(1);
                     case 2 -> simulation.cloud().fail(machine, simulation.now());
                     case 3 -> {
                         if (reboots) {
-                            simulation.agents().reboot(machine, pick % 2 == 0);
+                            simulation.agents().reboot(machine, choice % 2 == 0);
                         }
                     }
                     case 4 -> {
                         simulation.agents().setHanging(machine, true);
                         simulation.schedule(
-                                simulation.now() + 5L * pick,
+                                simulation.now() + 5L * choice,
                                 () -> simulation.agents().setHanging(machine, false));
                     }
-                    default -> simulation.agents().reclaim(machine, 4_000 + 12L * pick);
+                    default -> simulation.agents().reclaim(machine, 4_000 + 12L * choice);
                 }
             });
         }
--- a/src/test/java/io/quartzgw/app/DelayedStartsScenario.java
+++ b/src/test/java/io/quartzgw/app/DelayedStartsScenario.java
@@ -15,8 +15,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A simulated cluster in which a job's starts are held up in direct calls, and what happens to the machines that the
- * calls go to. Each step is logged with the simulated time.
+ * A simulated cluster in which direct calls with the starts of one job are delayed, and faults of the machines that the
+ * calls are sent to. Each step is logged with the simulated time.
  */
 final class DelayedStartsScenario {
     static final String JOB = "j-000701";
@@ -35,7 +35,7 @@
 
     private final ClusterSimulation simulation;
     private List<String> machinesWithDelayedCommands = List.of();
-    /** By machine, the tasks whose starts are on their way there. */
+    /** Tasks whose starts are delayed, by target machine. */
     private Map<String, Set<String>> delayedStarts = Map.of();
 
     /** @param simulation a cluster in which services run */
@@ -43,49 +43,51 @@
         this.simulation = simulation;
     }
 
-    /** Logs what the test does next. */
-    void logStep(String what) {
-        LOG.info("{} ms: {}", simulation.now(), what);
+    /** Logs a step of the test. */
+    void logStep(String step) {
+        LOG.info("{} ms: {}", simulation.now(), step);
     }
 
-    /** Two independent tasks. */
+    /** Returns an array of two independent tasks. */
     static ObjectNode tasks() {
         return tasks(TASKS, RUN_S);
     }
 
-    /** Independent tasks; without an image to fetch, a task runs as soon as its start arrives. */
+    /**
+     * Returns an array of independent tasks. They have no image to fetch, so each runs as soon as its start arrives.
+     */
     static ObjectNode tasks(int count, double runS) {
         return JobRequests.array(JOB, "blue", count, TASK_CPUS, runS).put("pull_gb", 0.0);
     }
 
-    /** Fills most machines. */
+    /** Submits a job that fills most machines. */
     void fillMachines() {
         simulation.users().submitUntilAccepted(JobRequests.array(FILLER_JOB, "blue", 4, 4, 90));
         simulation.runChecked(FILLER_STARTUP_MS);
     }
 
-    /** Submits a job, and returns as soon as a start of it has left in a direct call that is held up. */
+    /** Submits a job and runs until one of its starts is sent in a delayed direct call. */
     void sendDelayedStarts(ObjectNode job) {
         delayCommands(simulation.agents().machinesWithRoom(TASK_CPUS));
         simulation.users().submitUntilAccepted(job);
         awaitDelayedStart();
-        assertFalse(delayedStarts.isEmpty(), "a start is on its way");
+        assertFalse(delayedStarts.isEmpty(), "a start is delayed");
     }
 
-    /** Holds up the direct calls to some machines from now on. */
+    /** Delays all direct calls to the given machines until {@link #rebootAndDeliver}. */
     void delayCommands(List<String> machines) {
         machinesWithDelayedCommands = machines;
         machines.forEach(simulation.network()::holdCommands);
     }
 
-    /** Runs until a start of the job has left in a direct call that is held up, for a limited time. */
+    /** Runs until a start of the job is sent in a delayed direct call, or the timeout expires. */
     void awaitDelayedStart() {
         runUntil(() -> !simulation.network().heldStarts(JOB).isEmpty(), SEND_TIMEOUT_MS);
         delayedStarts = simulation.network().heldStarts(JOB);
-        logStep("starts on their way: " + delayedStarts + ", running " + runningTasks());
+        logStep("delayed starts: " + delayedStarts + ", running " + runningTasks());
     }
 
-    /** The machines that starts are on their way to. */
+    /** Returns the machines that delayed starts are sent to. */
     Set<String> targetMachines() {
         return delayedStarts.keySet();
     }
@@ -99,21 +101,21 @@
                 .toList();
     }
 
-    /** Runs in small steps until something holds, for a limited time. */
-    void runUntil(BooleanSupplier reachedState, long limitMs) {
-        for (long end = simulation.now() + limitMs; simulation.now() < end && !reachedState.getAsBoolean(); ) {
+    /** Runs in small steps until a condition holds or the timeout expires. */
+    void runUntil(BooleanSupplier condition, long timeoutMs) {
+        for (long end = simulation.now() + timeoutMs; simulation.now() < end && !condition.getAsBoolean(); ) {
             simulation.runChecked(STEP_MS);
         }
     }
 
-    /** Runs until a controller leads. */
+    /** Runs until there is a leader. */
     void awaitLeader() {
         runUntil(simulation::hasLeader, FAILOVER_TIMEOUT_MS);
-        assertTrue(simulation.hasLeader(), "a controller leads");
-        logStep("controller " + simulation.leader() + " leads");
+        assertTrue(simulation.hasLeader(), "there is a leader");
+        logStep("controller " + simulation.leader() + " is the leader");
     }
 
-    /** Cancels the job, and returns as soon as its user was told. */
+    /** Cancels the job and runs until the cancellation is acknowledged. */
     void cancel() {
         for (long end = simulation.now() + CANCEL_TIMEOUT_MS;
                 simulation.now() < end
@@ -121,16 +123,16 @@
             simulation.users().cancelJob(simulation.leaderOrFirst(), JOB, reply -> {});
             runUntil(() -> simulation.invariants().finalPhase(JOB).isPresent(), CANCEL_RETRY_MS);
         }
-        assertTrue(simulation.invariants().hasEndedIn("withdrawn", JOB), "the user was told of the cancellation");
-        logStep("user told that the job is cancelled");
+        assertTrue(simulation.invariants().hasEndedIn("withdrawn", JOB), "cancellation is acknowledged");
+        logStep("cancellation acknowledged");
     }
 
-    /** Cuts the machines off that starts are on their way to, so that the tasks run elsewhere if anywhere. */
+    /** Partitions the target machines of the delayed starts, so that the tasks can only run on other machines. */
     void partitionTargetMachines() {
         targetMachines().forEach(machine -> simulation.network().partition(machine, Hosts.ALL));
     }
 
-    /** Runs until the tasks run, for a limited time, and ends the cut. */
+    /** Runs until the tasks run on other machines or the timeout expires, then heals the partition. */
     void awaitTasksElsewhereAndHeal() {
         List<String> tasks =
                 delayedStarts.values().stream().flatMap(Set::stream).toList();
@@ -139,16 +141,16 @@
         logStep("running " + runningTasks());
     }
 
-    /** The machines are started again, and the starts reach them. */
+    /** Reboots the target machines and delivers the delayed direct calls to their new agents. */
     void rebootAndDeliver() {
-        logStep("reboot of " + targetMachines() + ", calls arrive; up are "
+        logStep("rebooting " + targetMachines() + " and delivering delayed calls; running machines: "
                 + simulation.agents().machineIds());
         targetMachines().forEach(machine -> simulation.agents().reboot(machine, false));
         machinesWithDelayedCommands.forEach(simulation.network()::deliverHeldCommands);
         logStep("violations " + simulation.invariants().violations());
     }
 
-    /** Asserts that no rule was broken so far. */
+    /** Asserts that no invariant was violated so far. */
     void assertNoViolation() {
         assertEquals(List.of(), simulation.invariants().violations());
     }
--- a/src/test/java/io/quartzgw/app/HeldUpCalls.java
+++ b/src/test/java/io/quartzgw/app/HeldUpCalls.java
@@ -7,11 +7,12 @@
 import java.util.SplittableRandom;
 
 /**
- * Bursts in which direct calls are held up for seconds to minutes, laid over the other faults of a random cluster: on
- * more machines at a time than may be evacuated, while jobs are cancelled as soon as their starts have left.
+ * Adds bursts of delayed direct calls to the other faults of a random simulation. Calls are delayed for seconds to
+ * minutes, on more machines than may be evacuated at the same time, while jobs are cancelled right after their starts
+ * are sent.
  */
 final class HeldUpCalls {
-    /** The longest time for which a call is held up. */
+    /** Maximum delay of a call. */
     static final long LONGEST_MS = 150_000;
 
     private static final long MAX_SHORT_DELAY_MS = LONGEST_MS / 10;
@@ -31,8 +32,8 @@
     /**
      * Schedules the bursts of a run.
      *
-     * @param seed of the run; the bursts have a random source of their own, so that the other faults stay as they are
-     * @param end when the last burst is over, though calls are held up for longer
+     * @param seed the seed of the run; the bursts use their own random source, which leaves the other faults unchanged
+     * @param end the time at which the last burst ends; calls may still be delayed after it
      */
     static void scheduleAll(ClusterSimulation simulation, long seed, long end) {
         SplittableRandom random = new SplittableRandom(~seed);
--- a/src/test/java/io/quartzgw/app/LongCommandDelaysTest.java
+++ b/src/test/java/io/quartzgw/app/LongCommandDelaysTest.java
@@ -18,15 +18,15 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Direct calls are held up for longer than a cancellation may take, on more machines at a time than may be evacuated:
- * nothing of a cancelled job is started when they arrive.
+ * Direct calls are delayed for longer than the cancellation limit, on more machines than may be evacuated at the same
+ * time. No task of a cancelled job may start when the calls arrive.
  */
 class LongCommandDelaysTest {
     private static final int CONTROLLERS = 3;
     static final AgentTiming TIMING = new AgentTiming(5_000, 26_500, 56_500);
 
     private static final int SERVICES = 12;
-    /** Each service takes a large machine or two small ones; as many are left to move them to. */
+    /** Each service takes one large or two small machines; the other half leaves room to move the services. */
     private static final int CAPACITY = 4 * SERVICES;
 
     private static final int CANCELLED_JOBS = 12;
@@ -54,14 +54,14 @@
         machines.forEach(simulation.network()::holdCommands);
         submitAndCancel(simulation);
         simulation.runChecked(CANCEL_AFTER_MS + TIMING.cancelMs() + TIMING.heartbeatMs());
-        assertTrue(simulation.counter("orders.unanswered") > 0, "calls had no answer");
+        assertTrue(simulation.counter("orders.unanswered") > 0, "direct calls are unanswered");
         machines.forEach(simulation.network()::deliverHeldCommands);
         simulation.runChecked(RECOVERY_MS);
         assertEquals(List.of(), simulation.invariants().violations());
         assertHealthy(simulation);
     }
 
-    /** A cluster in which a service runs on every machine, with room for one more task on each. */
+    /** Creates a cluster in which a service runs on every machine, with room for one more task on each. */
     static ClusterSimulation clusterWithServiceOnEveryMachine(long seed) {
         ClusterSimulation simulation = newSimulation(seed, CAPACITY);
         for (int i = 0; i < SERVICES; i++) {
@@ -112,11 +112,13 @@
         return SeedRanges.range("heldUpTotalLoss", 1, 15);
     }
 
-    /** Guards against ran_twice and ran_cancelled: starts outlive the controllers that know of them. */
+    /**
+     * Guards against ran_twice and ran_cancelled: starts are outstanding when the controllers that track them crash.
+     */
     @ParameterizedTest
     @MethodSource("seedsOfTotalLoss")
     void invariantsHoldWhenAllControllersCrashWithDelayedStarts(long seed) {
-        // With fewer machines, small ones that are kept by services leave no room for the others.
+        // With fewer machines, small ones that stay occupied by services leave no room for the other jobs.
         ClusterSimulation simulation = newSimulation(seed, MIN_MACHINES + MACHINE_SPREAD);
         List<String> arrays = submitJobs(simulation, new SplittableRandom(seed));
         CrashesOfAllControllers.scheduleAll(simulation, seed, TIMING.cancelMs(), FAULTS_END_MS);
@@ -124,7 +126,7 @@
         assertRecovers(simulation, arrays, END_MS);
     }
 
-    /** Services and arrays, of which half are cancelled soon after they were submitted. */
+    /** Submits services and arrays, half of which are cancelled shortly afterwards, and returns the arrays' IDs. */
     private static List<String> submitJobs(ClusterSimulation simulation, SplittableRandom random) {
         for (int i = 0; i < BACKGROUND_SERVICES; i++) {
             simulation.users().submitUntilAccepted(JobRequests.service(JobRequests.id(i), "blue", 2, 3));
--- a/src/test/java/io/quartzgw/app/OutstandingStartsAfterCrashesTest.java
+++ b/src/test/java/io/quartzgw/app/OutstandingStartsAfterCrashesTest.java
@@ -21,10 +21,10 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * A direct call with a start outlives every controller that knows of it, or its job's cancellation does not reach the
- * controllers that follow. Then the machine is started again, and the call reaches its new agent, which knows no token.
- * Guards against {@code ran_twice}, where the task was placed anew, and against {@code ran_cancelled}, where nobody
- * fences the machine within {@code cancel_s}.
+ * Controllers crash while a start is outstanding in a delayed direct call, or a later leader does not learn that its
+ * job was cancelled. The target machine then reboots, and the call reaches its new agent, which has no fencing token.
+ * Guards against {@code ran_twice}, where the task was also started on another machine, and against
+ * {@code ran_cancelled}, where no leader fences the machine within {@code cancel_s}.
  */
 class OutstandingStartsAfterCrashesTest {
     private static final int CONTROLLERS = 3;
@@ -34,7 +34,7 @@
     private static final long RECOVERY_MS = 120_000;
     private static final long PARTITION_MS = 5_000;
     private static final long OUTAGE_MS = 8_000;
-    /** Machines are evacuated two at a time, for 26 s each. */
+    /** Time to evacuate all machines: two at a time, 26 s each. */
     private static final long FULL_EVACUATION_MS = 300_000;
 
     private ClusterSimulation simulation;
@@ -68,9 +68,9 @@
         crash(controller, DOWNTIME_MS);
     }
 
-    private void crash(int controller, long backMs) {
-        starts.logStep("crash of controller " + controller);
-        simulation.crash(controller, backMs);
+    private void crash(int controller, long downtimeMs) {
+        starts.logStep("crashing controller " + controller);
+        simulation.crash(controller, downtimeMs);
     }
 
     private void crashAll() {
@@ -87,27 +87,32 @@
         assertHealthy(simulation);
     }
 
-    // ---- nobody is left who knows: ran_twice
+    // ---- no controller that tracked the start survives: ran_twice
 
-    /** The leader is cut off from a follower, and the others end; the one that lives was left out of the record. */
-    private int sendStartsAndCrashAllButPartitionedController(long seed, long backMs) {
+    /**
+     * Partitions the leader from one follower, sends starts and crashes all other controllers. The surviving follower
+     * has not received the starts.
+     *
+     * @return the surviving follower
+     */
+    private int sendStartsAndCrashAllButPartitionedController(long seed, long downtimeMs) {
         startCluster(seed, CONTROLLERS);
         int leader = simulation.leader();
-        int outOfSync = (leader + 1 + (int) (seed % 2)) % CONTROLLERS;
-        starts.logStep("leader " + leader + " is cut off from controller " + outOfSync);
-        simulation.network().partition(Hosts.controller(leader), Hosts.controller(outOfSync));
+        int partitioned = (leader + 1 + (int) (seed % 2)) % CONTROLLERS;
+        starts.logStep("leader " + leader + " is partitioned from controller " + partitioned);
+        simulation.network().partition(Hosts.controller(leader), Hosts.controller(partitioned));
         simulation.runChecked(PARTITION_MS);
-        assertEquals(leader, simulation.leader(), "the leader remains");
+        assertEquals(leader, simulation.leader(), "leadership is unchanged");
         starts.sendDelayedStarts(DelayedStartsScenario.tasks());
         starts.partitionTargetMachines();
         IntStream.range(0, CONTROLLERS)
-                .filter(controller -> controller != outOfSync)
-                .forEach(controller -> crash(controller, backMs));
-        simulation.network().heal(Hosts.controller(leader), Hosts.controller(outOfSync));
-        return outOfSync;
+                .filter(controller -> controller != partitioned)
+                .forEach(controller -> crash(controller, downtimeMs));
+        simulation.network().heal(Hosts.controller(leader), Hosts.controller(partitioned));
+        return partitioned;
     }
 
-    // The controllers that are back have no replica, and that of the third is of no use.
+    // The restarted controllers have lost their memory, and the surviving one never received the starts.
     @ParameterizedTest
     @MethodSource("seeds")
     void tasksRunOnceWhenOnlyPartitionedControllerSurvives(long seed) {
@@ -115,13 +120,13 @@
         assertTasksRunOnceAndComplete();
     }
 
-    // The controller out of sync leads before the others are back.
+    // The surviving controller becomes leader before the others restart.
     @ParameterizedTest
     @MethodSource("seeds")
     void tasksRunOnceWhenPartitionedControllerBecomesLeader(long seed) {
-        int outOfSync = sendStartsAndCrashAllButPartitionedController(seed, LONG_DOWNTIME_MS);
-        starts.runUntil(() -> simulation.leader() == outOfSync, LONG_DOWNTIME_MS);
-        assertEquals(outOfSync, simulation.leader(), "the controller out of sync leads");
+        int partitioned = sendStartsAndCrashAllButPartitionedController(seed, LONG_DOWNTIME_MS);
+        starts.runUntil(() -> simulation.leader() == partitioned, LONG_DOWNTIME_MS);
+        assertEquals(partitioned, simulation.leader(), "the partitioned controller is the leader");
         assertTasksRunOnceAndComplete();
     }
 
@@ -133,7 +138,7 @@
         assertTasksRunOnceAndComplete();
     }
 
-    // A gang's members share an attempt, and are placed anew together.
+    // Members of a gang share an attempt number and are rescheduled together.
     @ParameterizedTest
     @MethodSource("seeds")
     void gangRunsOnceWhenAllControllersCrashAtOnce(long seed) {
@@ -142,7 +147,7 @@
         assertTasksRunOnceAndComplete();
     }
 
-    // What the first successor has learned must outlive it too.
+    // The starts that the first successor has loaded must also survive the second crash.
     @ParameterizedTest
     @MethodSource("seeds")
     void tasksRunOnceWhenAllControllersCrashTwice(long seed) {
@@ -177,13 +182,13 @@
         assertTasksRunOnceAndComplete();
     }
 
-    // Nothing can be written between the outage's beginning and the crash.
+    // Nothing can be written between the start of the outage and the crash.
     @ParameterizedTest
     @MethodSource("seeds")
     void tasksRunOnceWhenAllControllersCrashAsOutageBegins(long seed) {
         sendStartsToPartitionedMachines(seed, DelayedStartsScenario.tasks());
         simulation.store().setOutage(true);
-        starts.logStep("outage begins");
+        starts.logStep("state service outage begins");
         simulation.schedule(
                 simulation.now() + OUTAGE_MS, () -> simulation.store().setOutage(false));
         simulation.runChecked(50);
@@ -191,7 +196,7 @@
         assertTasksRunOnceAndComplete();
     }
 
-    // Nobody else can hold what it knows.
+    // There is no other controller that could have a replica of its state.
     @ParameterizedTest
     @MethodSource("seeds")
     void tasksRunOnceWhenSingleControllerCrashes(long seed) {
@@ -202,20 +207,21 @@
         assertTasksRunOnceAndComplete();
     }
 
-    // A task ends during the outage, and the next one takes its place: its start must not leave in a call that nobody
-    // will know of.
+    // A task completes as the outage begins, and the next one takes its place. Its start can't be stored, so it must
+    // not be
+    // sent in a direct call that no successor could find.
     @ParameterizedTest
     @MethodSource("seeds")
     void taskScheduledDuringOutageRunsOnceWhenAllControllersCrash(long seed) {
         startCluster(seed, CONTROLLERS);
-        // Without more machines, most tasks wait.
+        // The cloud outage prevents scale-out, so most tasks wait.
         simulation.cloud().setOutage(true);
         simulation.users().submitUntilAccepted(DelayedStartsScenario.tasks(12, 20));
         String first = DelayedStartsScenario.JOB + "/0";
         starts.runUntil(() -> simulation.invariants().runningTasks().contains(first), 10_000);
         starts.runUntil(() -> !simulation.invariants().runningTasks().contains(first), 30_000);
         simulation.store().setOutage(true);
-        starts.logStep("outage begins, " + first + " has ended");
+        starts.logStep("state service outage begins; " + first + " has completed");
         starts.delayCommands(simulation.agents().machineIds());
         starts.awaitDelayedStart();
         starts.partitionTargetMachines();
@@ -225,7 +231,7 @@
         assertTasksRunOnceAndComplete();
     }
 
-    // A page that can't be read may name any start; it must not be taken for empty, nor hold tasks back for ever.
+    // An unreadable page may contain any start: it must not be treated as empty, nor block tasks forever.
     @ParameterizedTest
     @MethodSource("seeds")
     void tasksRunOnceWhenStartLogIsUnreadable(long seed) {
@@ -241,7 +247,7 @@
         assertHealthy(simulation);
     }
 
-    // ---- the cancellation is not known with the start: ran_cancelled
+    // ---- the start is inherited without the cancellation: ran_cancelled
 
     private void assertCancelledTasksNeverRun() {
         simulation.runChecked(CANCEL_MS + LEASE_MS);
@@ -250,7 +256,7 @@
         assertHealthy(simulation);
     }
 
-    // Without a failover the leader fences the machine in time.
+    // Without a failover, the leader fences the machine within the limit.
     @ParameterizedTest
     @MethodSource("seeds")
     void cancelledStartIsNotExecutedUnderSameLeader(long seed) {
@@ -259,7 +265,7 @@
         assertCancelledTasksNeverRun();
     }
 
-    // The successor doesn't load the cancelled job, so it drops the start and never fences the machine.
+    // Guards against a successor that does not load the cancelled job, drops the start and never fences the machine.
     @ParameterizedTest
     @MethodSource("seeds")
     void cancelledStartIsNotExecutedWhenLeaderCrashes(long seed) {
@@ -278,26 +284,26 @@
         assertCancelledTasksNeverRun();
     }
 
-    // The job ends while its tasks are unaccounted: no allocation of theirs makes the successor fence the machine.
+    // The job is cancelled while its tasks are unaccounted for, so no allocation makes the successor fence the machine.
     @ParameterizedTest
     @MethodSource("seeds")
     void startIsNotExecutedWhenJobIsCancelledWithUnaccountedTasks(long seed) {
         sendDelayedStarts(seed);
-        String silent = simulation.agents().machineIds().stream()
+        String unresponsive = simulation.agents().machineIds().stream()
                 .filter(machine -> !starts.targetMachines().contains(machine))
                 .findFirst()
                 .orElseThrow();
-        // While this machine is silent, the tasks are unaccounted for.
-        simulation.network().partition(silent, Hosts.ALL);
+        // The tasks remain unaccounted for while this machine is unresponsive.
+        simulation.network().partition(unresponsive, Hosts.ALL);
         crash(simulation.leader());
         starts.awaitLeader();
         simulation.runChecked(500 * seed);
         starts.cancel();
-        simulation.network().heal(silent, Hosts.ALL);
+        simulation.network().heal(unresponsive, Hosts.ALL);
         assertCancelledTasksNeverRun();
     }
 
-    // As above, with every machine heard: the cancellation comes before or just after the successor has read the jobs.
+    // All machines respond. The cancellation arrives shortly before or after the successor reads the jobs.
     @ParameterizedTest
     @MethodSource("seeds")
     void startIsNotExecutedWhenJobIsCancelledDuringFailover(long seed) {
@@ -309,9 +315,9 @@
         assertCancelledTasksNeverRun();
     }
 
-    // ---- more machines than may be evacuated at a time: ran_cancelled
+    // ---- more machines than may be evacuated at the same time: ran_cancelled
 
-    // All machines are in use, so that only two of them are evacuated and deleted within the limit.
+    // All machines are in use, so only two of them are evacuated and deleted within the cancellation limit.
     @ParameterizedTest
     @MethodSource("seeds")
     void cancelledStartsAreNotExecutedBeyondEvacuationLimit(long seed) {
@@ -323,8 +329,8 @@
         simulation.runChecked(LongCommandDelaysTest.CANCEL_AFTER_MS
                 + LongCommandDelaysTest.TIMING.cancelMs()
                 + LongCommandDelaysTest.TIMING.heartbeatMs());
-        assertTrue(simulation.counter("orders.unanswered") > 0, "calls had no answer");
-        starts.logStep("reboot of " + machines + ", calls arrive; up are "
+        assertTrue(simulation.counter("orders.unanswered") > 0, "direct calls are unanswered");
+        starts.logStep("rebooting " + machines + " and delivering delayed calls; running machines: "
                 + simulation.agents().machineIds());
         machines.forEach(machine -> simulation.agents().reboot(machine, false));
         machines.forEach(simulation.network()::deliverHeldCommands);
--- a/src/test/java/io/quartzgw/app/PreviousLeaderStartsTest.java
+++ b/src/test/java/io/quartzgw/app/PreviousLeaderStartsTest.java
@@ -18,8 +18,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * A leader's direct call with a start is held up, the leader ends, and the machines start again before the call reaches
- * them. Guards against {@code ran_twice}: a successor that did not know the start gave the task to another machine.
+ * A direct call with a start is delayed, its leader crashes, and the target machine reboots before the call arrives.
+ * Guards against {@code ran_twice}: a successor that had not loaded the start placed the task on another machine.
  */
 class PreviousLeaderStartsTest {
     private static final int CONTROLLERS = 3;
@@ -39,7 +39,7 @@
         return LongStream.rangeClosed(1, 12);
     }
 
-    /** Fills most machines, and submits a job whose starts are held up wherever they go. */
+    /** Fills most machines and submits a job whose starts are delayed on every machine with room for it. */
     private void sendDelayedStarts(long seed, ObjectNode job) {
         simulation = clusterWithServices(seed);
         simulation.users().submitUntilAccepted(JobRequests.array("j-000700", "blue", 4, 4, 90));
@@ -51,13 +51,13 @@
         simulation.runChecked(1_000);
     }
 
-    /** Without an image to fetch, a task runs as soon as its start arrives. */
+    /** Returns tasks without an image to fetch, so that each runs as soon as its start arrives. */
     private static ObjectNode tasks() {
         return JobRequests.array(JOB, "blue", TASKS, TASK_CPUS, 60).put("pull_gb", 0.0);
     }
 
-    private void crashLeader(long backMs) {
-        simulation.crash(simulation.leader(), backMs);
+    private void crashLeader(long downtimeMs) {
+        simulation.crash(simulation.leader(), downtimeMs);
     }
 
     private void runUntilTasksRun() {
@@ -111,7 +111,7 @@
         assertTasksRunOnceAndComplete();
     }
 
-    // The controllers that are back have forgotten what they held; the third has it.
+    // The two restarted controllers have lost their memory; the third one has kept running.
     @ParameterizedTest
     @MethodSource("seeds")
     void tasksRunOnceWhenLeaderAndAnotherControllerCrash(long seed) {
@@ -122,18 +122,18 @@
         assertTasksRunOnceAndComplete();
     }
 
-    // The new leader waits for the controller that knows, and meanwhile places nothing that may run.
+    // The only controller that has not crashed is unreachable at first, so the new leader has only the start log.
     @ParameterizedTest
     @MethodSource("seeds")
     void tasksRunOnceWhenSurvivingControllerIsPartitioned(long seed) {
         sendDelayedStarts(seed, tasks());
         int leader = simulation.leader();
-        String knowing = Hosts.controller((leader + 1) % CONTROLLERS);
-        simulation.network().partition(knowing, Hosts.ALL);
+        String survivor = Hosts.controller((leader + 1) % CONTROLLERS);
+        simulation.network().partition(survivor, Hosts.ALL);
         simulation.crash(leader, SHORT_DOWNTIME_MS);
         simulation.crash((leader + 2) % CONTROLLERS, SHORT_DOWNTIME_MS);
         simulation.runChecked(10_000);
-        simulation.network().heal(knowing, Hosts.ALL);
+        simulation.network().heal(survivor, Hosts.ALL);
         assertTasksRunOnceAndComplete();
     }
 
@@ -147,7 +147,7 @@
         assertTasksRunOnceAndComplete();
     }
 
-    // One follower is out of sync: the leader has gone on without its acknowledgements.
+    // The partitioned follower has received nothing from the leader since before the starts were sent.
     @ParameterizedTest
     @MethodSource("seeds")
     void tasksRunOnceWhenFollowerWasPartitionedFromLeader(long seed) {
@@ -188,7 +188,7 @@
         assertHealthy(simulation);
     }
 
-    // Nobody is left who knows of the start.
+    // No controller that tracked the start survives.
     @ParameterizedTest
     @MethodSource("seeds")
     void tasksRunOnceAfterAllControllersCrash(long seed) {
--- a/src/test/java/io/quartzgw/app/RebootedMachineTest.java
+++ b/src/test/java/io/quartzgw/app/RebootedMachineTest.java
@@ -16,14 +16,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A direct call with a start is held up on its way to a machine. Meanwhile its task ends there, or the machine falls
- * silent, or the leader changes; then the machine is started again and is at once sent what was held up. Its new agent
- * knows no fencing token and counts its epochs from the first, so neither voids the start: the task must not run
- * elsewhere by then.
+ * A direct call with a start to a machine is delayed. Meanwhile its task ends there, the machine becomes unresponsive,
+ * or the leader changes. Then the machine reboots and receives the delayed call at once. Its new agent has no fencing
+ * token and restarts its epoch count, so neither rejects the start. The task must not run elsewhere by then.
  *
- * <p>Such a start showed itself as {@code ran_twice} in random simulations with reboots (seeds 245 and 3749 of
- * {@link DelayedCommandsTest}): "agent epoch changed" or the report of the attempt's exit was followed by "allocation
- * released" and "task allocated" on another machine, and seconds later by "orphaned attempt found" on the first one.
+ * <p>Such starts caused {@code ran_twice} in random simulations with reboots (seeds 245 and 3749 of
+ * {@link DelayedCommandsTest}). In the log, "agent epoch changed" or the report of the attempt's exit was followed by
+ * "allocation released" and "task allocated" on another machine, and seconds later by "orphaned attempt found" on the
+ * first one.
  */
 class RebootedMachineTest {
     private static final long FAILOVER_TIMEOUT_MS = 60_000;
@@ -33,7 +33,7 @@
     private ClusterSimulation simulation;
     private String machine;
 
-    /** Fills the machines, so that further tasks go to the one that has room. */
+    /** Fills all machines but one, so that further tasks are placed on that one. */
     @BeforeEach
     void fillAllMachinesButOne() {
         simulation = clusterWithServices();
@@ -43,9 +43,9 @@
         machine = machines.get(machines.size() - 1);
     }
 
-    /** Submits an array of two tasks, of which the machine gets both while calls to it are held up. */
+    /** Submits an array of two tasks, both of which are placed on the machine with room. */
     private void submitTasks() {
-        // Without an image to fetch, a task runs as soon as its start arrives.
+        // The tasks have no image to fetch, so each runs as soon as its start arrives.
         ObjectNode tasks = JobRequests.array(JOB, "blue", 2, 2, 60).put("pull_gb", 0.0);
         simulation.users().submitUntilAccepted(tasks);
     }
@@ -55,14 +55,14 @@
         simulation.network().deliverHeldCommands(machine);
     }
 
-    private void runUntilTasksRunElsewhere(long limitMs) {
-        long end = simulation.now() + limitMs;
+    private void runUntilTasksRunElsewhere(long timeoutMs) {
+        long end = simulation.now() + timeoutMs;
         while (simulation.now() < end && !simulation.invariants().runningTasks().contains(JOB + "/0")) {
             simulation.runChecked(500);
         }
     }
 
-    // The new leader gives up a machine that it has never heard; its predecessor's start may still be on its way there.
+    // The new leader gives up on a machine without heartbeats while the previous leader's start is still outstanding.
     @Test
     void previousLeaderStartIsNotExecutedOnUnresponsiveMachine() {
         simulation.network().holdCommands(machine);
@@ -78,7 +78,7 @@
         assertAllDone(simulation, List.of(JOB));
     }
 
-    // The machine has answered the new leader, which knows nothing of the start of its predecessor.
+    // Guards against a new leader that has verified the machine but has no record of the previous leader's start.
     @Test
     void previousLeaderStartIsNotExecutedOnVerifiedMachine() {
         simulation.network().holdCommands(machine);
@@ -92,13 +92,13 @@
         assertAllDone(simulation, List.of(JOB));
     }
 
-    // The agent that knew the attempt as ended is gone when the start arrives.
+    // The agent that recorded the end of the attempt has been replaced when the start arrives.
     @Test
     void cancelledStartIsNotExecutedAfterReboot() {
         simulation.network().holdCommands(machine);
         submitTasks();
         simulation.runChecked(10_000);
-        assertTrue(simulation.invariants().runningTasks().contains(JOB + "/0"), "started by a response");
+        assertTrue(simulation.invariants().runningTasks().contains(JOB + "/0"), "started by a heartbeat response");
         simulation.users().cancelJob(0, JOB, reply -> {});
         simulation.runChecked(CANCEL_MS + LEASE_MS);
         rebootAndDeliverDelayedCommands();
@@ -106,7 +106,7 @@
         assertEquals(List.of(), simulation.invariants().violations());
     }
 
-    // A machine can't be deleted while the cloud is away; its tasks run there once it hears again.
+    // The machine can't be deleted during the cloud outage; its tasks run there once its inbound traffic is unblocked.
     @Test
     void tasksCompleteAfterInboundBlockDuringCloudOutage() {
         simulation.network().setInboundBlocked(machine, true);
--- a/src/test/java/io/quartzgw/app/UnfencedStartsTest.java
+++ b/src/test/java/io/quartzgw/app/UnfencedStartsTest.java
@@ -16,9 +16,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Starts reach machines late or not at all while gangs, spread services and arrays run, are preempted, cancelled and
- * moved, machines are deaf, mute, cut off, hang or reboot, and the cloud is away for a while: every invariant holds,
- * and no job waits for ever for a machine to be fenced.
+ * Random simulations in which starts arrive late or never, while gangs, spread services and arrays are preempted,
+ * cancelled and moved. Machines hang, reboot, are partitioned or have their inbound or outbound traffic blocked, and
+ * the cloud API has outages. Every invariant has to hold, and no job may wait forever for a machine to be fenced.
  */
 class UnfencedStartsTest {
     private static final long MAX_COMMAND_DELAY_MS = 16_000;
@@ -32,7 +32,7 @@
         return SeedRanges.range("unfenced", 1, 40);
     }
 
-    /** A single controller leads throughout, whatever it reaches. */
+    /** A single controller remains the leader, whichever machines it can reach. */
     @ParameterizedTest
     @MethodSource("seeds")
     void invariantsHoldWhileMachinesReboot(long seed) {
@@ -73,7 +73,7 @@
         return SeedRanges.range("unfencedCrashes", 1, 25);
     }
 
-    /** Guards against ran_twice: a successor has to know the starts that its predecessor had sent. */
+    /** Guards against ran_twice: a new leader has to load the outstanding starts of the previous one. */
     @ParameterizedTest
     @MethodSource("seedsWithCrashes")
     void invariantsHoldWhenLeadersCrashWithDelayedStarts(long seed) {
@@ -86,7 +86,9 @@
         return SeedRanges.range("unfencedTotalLoss", 1, 15);
     }
 
-    /** Guards against ran_twice and ran_cancelled: starts outlive the controllers that know of them. */
+    /**
+     * Guards against ran_twice and ran_cancelled: starts are outstanding when the controllers that track them crash.
+     */
     @ParameterizedTest
     @MethodSource("seedsWithTotalLoss")
     void invariantsHoldWhenAllControllersCrashWithDelayedStarts(long seed) {
@@ -96,9 +98,9 @@
     }
 
     /**
-     * The leader resigns, since it does not reach a deaf machine; its start, "direct call ended outcome=unknown
-     * term_current=false" in the log, reaches that machine after a reboot. The new leader, which knows nothing of the
-     * call, has verified the machine before and started the task on another one.
+     * The leader resigns because it can't reach a machine whose inbound traffic is blocked. Its start ("direct call
+     * ended outcome=unknown term_current=false" in the log) reaches that machine after a reboot. Guards against a new
+     * leader that has no record of the call, verifies the machine before the reboot and starts the task on another one.
      */
     @ParameterizedTest
     @ValueSource(longs = 35)
@@ -106,7 +108,7 @@
         run(seed, CONTROLLERS, Fault.REBOOT);
     }
 
-    /** What may happen to a machine or to the controllers. */
+    /** Faults of a machine, the controllers or the cloud. DEAF blocks inbound traffic, MUTE blocks heartbeats. */
     private enum Fault {
         REBOOT,
         LEADER_CRASH,
@@ -120,7 +122,7 @@
         CANCELLATION
     }
 
-    /** @param special the one of reboots and crashes of leaders that takes place */
+    /** @param special either REBOOT or LEADER_CRASH; the other one does not occur */
     private static void run(long seed, int controllers, Fault special) {
         run(newSimulation(seed, controllers), seed, special);
     }
@@ -141,8 +143,8 @@
         faults.add(special);
         for (long at = 20_000; at < FAULTS_END_MS - 45_000; at += 1_000 + random.nextInt(6_000)) {
             Fault fault = faults.get(random.nextInt(faults.size()));
-            int pick = random.nextInt(1_000);
-            simulation.schedule(at, () -> injectFault(simulation, fault, pick));
+            int choice = random.nextInt(1_000);
+            simulation.schedule(at, () -> injectFault(simulation, fault, choice));
         }
         simulation.runChecked(FAULTS_END_MS);
         simulation.network().delayCommandsUpTo(0);
@@ -173,16 +175,16 @@
         return arrays;
     }
 
-    private static void injectFault(ClusterSimulation simulation, Fault fault, int pick) {
+    private static void injectFault(ClusterSimulation simulation, Fault fault, int choice) {
         List<String> machines = simulation.agents().machineIds();
         if (machines.isEmpty()) {
             return;
         }
-        String machine = machines.get(pick % machines.size());
-        long durationMs = 4_000 + 36L * pick;
+        String machine = machines.get(choice % machines.size());
+        long durationMs = 4_000 + 36L * choice;
         switch (fault) {
-            case REBOOT -> simulation.agents().reboot(machine, pick % 3 == 0);
-            case LEADER_CRASH -> simulation.crash(simulation.leaderOrFirst(), 200 + 5L * pick);
+            case REBOOT -> simulation.agents().reboot(machine, choice % 3 == 0);
+            case LEADER_CRASH -> simulation.crash(simulation.leaderOrFirst(), 200 + 5L * choice);
             case DEAF -> {
                 simulation.network().setInboundBlocked(machine, true);
                 after(simulation, durationMs, () -> simulation.network().setInboundBlocked(machine, false));
--- a/src/test/java/io/quartzgw/startlog/StartLogFixture.java
+++ b/src/test/java/io/quartzgw/startlog/StartLogFixture.java
@@ -21,7 +21,7 @@
 import java.util.function.Function;
 
 /**
- * Leaders with a log of starts each, one after the other, on one state service whose transactions may be lost or late.
+ * Successive leaders, each with its own start log, that share one state service. Transactions can be lost or delayed.
  */
 final class StartLogFixture {
     static final long HEARTBEAT_MS = 2_500;
@@ -29,12 +29,12 @@
     private static final long AFTER_LEASE_EXPIRY_MS = 60_000;
     private static final Endpoint STATE_SERVICE = new Endpoint("10.2.0.1", 1);
 
-    /** What becomes of a transaction. */
+    /** How a transaction is delivered. */
     enum Delivery {
         ANSWERED,
         LOST,
         ANSWER_LOST,
-        /** It has no answer, and is kept to be applied by {@link #applyDelayedTransactions}. */
+        /** Gets no response; {@link #applyDelayedTransactions} applies it. */
         LATE
     }
 
@@ -46,7 +46,7 @@
     private long nowMs;
     private int transactionCount;
 
-    /** One process that leads. */
+    /** The process of one leader. */
     private static final class Leader {
         private final EventLoop eventLoop = new EventLoop(1);
         private final StoreClient store;
@@ -68,7 +68,7 @@
         this.limits = limits;
     }
 
-    /** Ends the leader's process without notice, elects another one, and returns what that reads of the log. */
+    /** Kills the leader's process, elects a new leader and returns the starts that it loads from the log. */
     FormerStarts replaceLeader() {
         nowMs += AFTER_LEASE_EXPIRY_MS;
         stateService.advanceTo(nowMs);
@@ -89,29 +89,29 @@
         return leader.log;
     }
 
-    /** The value of a counter or gauge of the leader. */
+    /** Returns the value of a counter or gauge of the leader. */
     long counter(String name) {
         return leader.eventLoop.counters().getOrDefault(name, 0L);
     }
 
-    /** Sets what becomes of transactions. */
-    void setDeliveryPolicy(Function<Call, Delivery> by) {
-        deliveryPolicy = by;
+    /** Sets how each transaction is delivered. */
+    void setDeliveryPolicy(Function<Call, Delivery> policy) {
+        deliveryPolicy = policy;
     }
 
-    /** How many transactions have been sent. */
+    /** Returns the number of transactions sent. */
     int transactionCount() {
         return transactionCount;
     }
 
-    /** Applies the transactions that were late; their answers are lost. */
+    /** Applies the delayed transactions; their responses are lost. */
     void applyDelayedTransactions() {
         List<Call> arriving = List.copyOf(delayedCalls);
         delayedCalls.clear();
         arriving.forEach(call -> stateService.handle(call, nowMs, reply -> {}));
     }
 
-    /** Lets time pass; a call without an answer ends with its time. */
+    /** Advances the time; unanswered calls end at their timeout. */
     void advance(long ms) {
         for (long end = nowMs + ms; nowMs < end; ) {
             nowMs += Math.min(STEP_MS, end - nowMs);
@@ -120,7 +120,7 @@
         }
     }
 
-    /** Runs an action as part of a batch, and delivers what it sends. */
+    /** Runs an action as part of an event loop batch and delivers the requests that it sends. */
     void runInBatch(Runnable action) {
         leader.eventLoop.afterCommands(action);
         processEffects(leader.eventLoop.processBatch(List.of(), clockReading()));
--- a/src/test/java/io/quartzgw/startlog/StartLogTest.java
+++ b/src/test/java/io/quartzgw/startlog/StartLogTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** When a start counts as stored, and what the next leader reads of the log. */
+/** Tests when a start counts as stored and which starts the next leader loads from the log. */
 class StartLogTest {
     private static final String MACHINE = "i-1";
     private static final Attempt START = new Attempt("j-000001", 0, (4096L << 32) + 7);
@@ -64,12 +64,12 @@
                 .anyMatch(key -> key.startsWith(StartLog.PREFIX));
     }
 
-    // Guards against a start that leaves before the state service has it: nobody would know of it.
+    // Guards against a start that is sent before it is stored: no successor could find it.
     @Test
     void startIsStoredOnlyAfterWriteIsAcknowledged() {
         fixture.setDeliveryPolicy(call -> writesLog(call) ? Delivery.ANSWER_LOST : Delivery.ANSWERED);
         announce(START);
-        assertFalse(isStored(START), "the answer was lost");
+        assertFalse(isStored(START), "the response was lost");
         assertEquals(List.of(), machinesWithStoredStarts);
         fixture.setDeliveryPolicy(call -> Delivery.ANSWERED);
         fixture.advance(SETTLE_MS);
@@ -88,14 +88,14 @@
 
     @Test
     void writesAllWaitingStartsInOneTransaction() {
-        int before = fixture.transactionCount();
+        int countBefore = fixture.transactionCount();
         fixture.runInBatch(() -> IntStream.range(0, 100)
                 .forEach(i -> fixture.log().announce("i-" + i, Set.of(new Attempt("j-000002", i, 9)))));
         assertTrue(fixture.log().isStored("i-99", new Attempt("j-000002", 99, 9)));
-        assertEquals(before + 1, fixture.transactionCount());
+        assertEquals(countBefore + 1, fixture.transactionCount());
     }
 
-    // Each start is released in the end: neither pages nor successors keep it for ever.
+    // Dropped starts must be removed eventually, so that neither the pages nor later leaders keep them.
     @Test
     void removesDroppedStartWithoutFurtherStarts() {
         announce(START, OTHER_START);
@@ -105,7 +105,7 @@
         assertEquals(Set.of(OTHER_START), startsOf(MACHINE, fixture.replaceLeader()));
     }
 
-    // Guards against a start that counts as stored by a write from before it was withdrawn and announced again.
+    // Guards against a start that counts as stored because of a write sent before it was dropped and announced again.
     @Test
     void reannouncedStartRequiresNewWrite() {
         fixture.setDeliveryPolicy(call -> writesLog(call) ? Delivery.LATE : Delivery.ANSWERED);
@@ -119,7 +119,7 @@
         assertTrue(isStored(START));
     }
 
-    // Guards against a deposed leader's start that its successor has not read.
+    // Guards against a deposed leader's start that is stored after its successor loaded the log.
     @Test
     void rejectsDelayedWriteOfDeposedLeader() {
         fixture.setDeliveryPolicy(call -> writesLog(call) ? Delivery.LATE : Delivery.ANSWERED);
@@ -131,7 +131,7 @@
         assertEquals(Set.of(OTHER_START), startsOf(MACHINE, fixture.replaceLeader()));
     }
 
-    // Guards against an earlier write of the same leader that arrives after a later one.
+    // Guards against an earlier write of the same leader that arrives after a later one and overwrites it.
     @Test
     void rejectsDelayedEarlierWriteOfSameLeader() {
         fixture.setDeliveryPolicy(call -> writesLog(call) ? Delivery.LATE : Delivery.ANSWERED);
@@ -159,24 +159,24 @@
         assertTrue(isStored(START));
     }
 
-    // Guards against users who wait for the state service behind the log.
+    // Guards against user requests that are delayed because the log uses up the write budget.
     @Test
     void usesAtMostHalfOfWriteBudget() {
         fixture = new StartLogFixture(TIGHT_LIMITS);
         fixture.replaceLeader();
         int seconds = 20;
-        int before = fixture.transactionCount();
+        int countBefore = fixture.transactionCount();
         for (int i = 0; i < 100 * seconds; i++) {
             Attempt start = new Attempt("j-000001", i, i + 1);
             fixture.runInBatch(() -> fixture.log().announce(MACHINE, Set.of(start)));
             fixture.advance(10);
         }
-        int writes = fixture.transactionCount() - before;
+        int writes = fixture.transactionCount() - countBefore;
         assertTrue(writes <= seconds * TIGHT_LIMITS.writesPerS() / 2 + 1, writes + " writes");
-        assertTrue(fixture.counter("startlog.starts") > 0, "starts are stored all the same");
+        assertTrue(fixture.counter("startlog.starts") > 0, "starts are stored within the budget");
     }
 
-    // Guards against a page that the state service rejects: it would hold up all starts.
+    // Guards against a page that the state service rejects as too large: it would block all starts.
     @Test
     void storesBurstWithinSmallestStoreLimits() {
         fixture = new StartLogFixture(TIGHT_LIMITS);
@@ -188,7 +188,7 @@
         assertEquals(400, fixture.replaceLeader().count());
     }
 
-    // No limit breaks a rule: what the log does not take is never stored, and leaves in responses.
+    // Starts beyond the limit are never stored, so they are sent only in heartbeat responses.
     @Test
     void storesAtMostMaxStarts() {
         fixture.runInBatch(() -> IntStream.range(0, 30_000)
@@ -202,7 +202,7 @@
         assertTrue(fixture.log().isStored("i-29999", new Attempt("j-000412", 29_999, 30_000)));
     }
 
-    // Guards against a page that is taken for empty: it may name any start.
+    // Guards against treating an unreadable page as empty: it may contain any start.
     @Test
     void reportsAndKeepsUnreadablePageUntilDropped() {
         announce(START);
@@ -212,10 +212,10 @@
         assertEquals(1, fixture.counter("startlog.unreadable_pages"));
         announce(OTHER_START);
         fixture.advance(SETTLE_MS);
-        assertEquals(damaged, fixture.stateService.value(PAGE), "another leader has to hear of it");
-        FormerStarts read = fixture.replaceLeader();
-        assertEquals(1, read.unreadablePages());
-        assertEquals(Set.of(OTHER_START), startsOf(MACHINE, read));
+        assertEquals(damaged, fixture.stateService.value(PAGE), "the next leader still finds the damaged page");
+        FormerStarts loaded = fixture.replaceLeader();
+        assertEquals(1, loaded.unreadablePages());
+        assertEquals(Set.of(OTHER_START), startsOf(MACHINE, loaded));
         fixture.runInBatch(() -> fixture.log().dropUnreadablePages());
         fixture.advance(SETTLE_MS);
         assertEquals(0, fixture.replaceLeader().unreadablePages());
@@ -229,7 +229,7 @@
         assertEquals(0, fixture.replaceLeader().unreadablePages());
     }
 
-    // Guards against a controller of an earlier version that trusts a replica which lacks this leader's starts.
+    // Guards against a controller of an earlier version that relies on a replica without this leader's starts.
     @Test
     void startWaitsUntilLegacyReplicasAreInvalidated() {
         fixture.setDeliveryPolicy(call ->
@@ -250,7 +250,7 @@
         return LongStream.rangeClosed(1, 40);
     }
 
-    /** Leaders in turn, with transactions that are lost, late, or lose their answers, against a plain map. */
+    /** Compares successive leaders with a plain map while transactions or their responses are lost or delayed. */
     @ParameterizedTest
     @MethodSource("seeds")
     void nextLeaderLoadsEveryStoredStart(long seed) {
@@ -274,29 +274,29 @@
         }
         fixture.setDeliveryPolicy(call -> Delivery.ANSWERED);
         fixture.advance(4 * SETTLE_MS);
-        FormerStarts read = fixture.replaceLeader();
-        announced.forEach((machine, starts) -> assertEquals(starts, startsOf(machine, read)));
+        FormerStarts loaded = fixture.replaceLeader();
+        announced.forEach((machine, starts) -> assertEquals(starts, startsOf(machine, loaded)));
     }
 
-    /** Replaces the leader; the next one goes on with what it reads. */
+    /** Replaces the leader; the test continues with the starts that the new leader loads. */
     private void assertNextLeaderLoads(Map<String, Set<Attempt>> announced) {
-        StartLog before = fixture.log();
-        FormerStarts read = fixture.replaceLeader();
+        StartLog previousLog = fixture.log();
+        FormerStarts loaded = fixture.replaceLeader();
         announced.forEach((machine, starts) -> starts.stream()
-                .filter(start -> before.isStored(machine, start))
-                .forEach(start -> assertTrue(startsOf(machine, read).contains(start), machine + " " + start)));
+                .filter(start -> previousLog.isStored(machine, start))
+                .forEach(start -> assertTrue(startsOf(machine, loaded).contains(start), machine + " " + start)));
         announced.clear();
-        read.machines().forEach(machine -> announced.put(machine.machine(), machine.starts()));
+        loaded.machines().forEach(machine -> announced.put(machine.machine(), machine.starts()));
     }
 
     private static Delivery randomDelivery(SplittableRandom random) {
         return Delivery.values()[Math.max(0, random.nextInt(6) - 2)];
     }
 
-    /** Keeps some of a machine's starts and adds new ones; attempts of a task are never the same on two machines. */
-    private static Set<Attempt> randomStarts(SplittableRandom random, int step, Set<Attempt> before) {
+    /** Keeps some of a machine's starts and adds new ones; no attempt is started on two machines. */
+    private static Set<Attempt> randomStarts(SplittableRandom random, int step, Set<Attempt> previous) {
         Set<Attempt> starts = new TreeSet<>((one, other) -> Long.compare(one.number(), other.number()));
-        before.stream().filter(start -> random.nextInt(3) > 0).forEach(starts::add);
+        previous.stream().filter(start -> random.nextInt(3) > 0).forEach(starts::add);
         IntStream.range(0, random.nextInt(3))
                 .forEach(i -> starts.add(new Attempt("j-000001", random.nextInt(5), 10L * step + i + 1)));
         return new LinkedHashSet<>(starts);
--- a/src/test/java/io/quartzgw/startlog/package-info.java
+++ b/src/test/java/io/quartzgw/startlog/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the log of starts. */
+/** Tests of the start log. */
 package io.quartzgw.startlog;
