--- a/src/main/java/io/quartzgw/startlog/LogWrites.java
+++ b/src/main/java/io/quartzgw/startlog/LogWriteMonitor.java
@@ -6,24 +6,28 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Reports when the log of starts can't be written, and when it is written again. */
-final class LogWrites {
-    private static final Logger LOG = LoggerFactory.getLogger(LogWrites.class);
+/** Logs and counts when writes of the start log begin to fail, and logs when they succeed again. */
+final class LogWriteMonitor {
+    private static final Logger LOG = LoggerFactory.getLogger(LogWriteMonitor.class);
 
     private final EventLoop eventLoop;
     private final LeaderTerm term;
-    /** When the first of the writes that have failed was begun, unless the last one has succeeded. */
+    /** Start time of the first write in the current series of failures; empty after a successful write. */
     private Optional<Long> failingSinceMs = Optional.empty();
 
-    LogWrites(EventLoop eventLoop, LeaderTerm term) {
+    LogWriteMonitor(EventLoop eventLoop, LeaderTerm term) {
         this.eventLoop = eventLoop;
         this.term = term;
     }
 
-    /** Handles a write that failed or had no answer, while some starts wait to be stored. */
-    void failed(long begunAtMs, int waitingStarts) {
+    /**
+     * Handles a write that failed or got no response.
+     *
+     * @param waitingStarts the number of starts that are not stored yet
+     */
+    void onWriteFailed(long startedAtMs, int waitingStarts) {
         if (failingSinceMs.isEmpty()) {
-            failingSinceMs = Optional.of(begunAtMs);
+            failingSinceMs = Optional.of(startedAtMs);
             eventLoop.increment("startlog.stalls", 1);
             LOG.atInfo()
                     .addKeyValue("term", term.number())
@@ -32,8 +36,8 @@
         }
     }
 
-    /** Handles a write that was answered. */
-    void succeeded() {
+    /** Handles a successful write. */
+    void onWriteSucceeded() {
         failingSinceMs.ifPresent(since -> LOG.atInfo()
                 .addKeyValue("term", term.number())
                 .addKeyValue("stalled_ms", eventLoop.nowMs() - since)
--- a/src/test/java/io/quartzgw/app/FormerLeadersStartsTest.java
+++ b/src/test/java/io/quartzgw/app/PreviousLeaderStartsTest.java
@@ -18,15 +18,15 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * A leader's direct call with a start is held up, the leader ends, and the machines start again before the call reaches
- * them. Guards against {@code ran_twice}: a successor that did not know the start gave the task to another machine.
+ * A direct call with a start is delayed, its leader crashes, and the target machine reboots before the call arrives.
+ * Guards against {@code ran_twice}: a successor that had not loaded the start placed the task on another machine.
  */
-class FormerLeadersStartsTest {
+class PreviousLeaderStartsTest {
     private static final int CONTROLLERS = 3;
-    private static final long LONGEST_FAILOVER_MS = 60_000;
+    private static final long FAILOVER_TIMEOUT_MS = 60_000;
     private static final long RECOVERY_MS = 120_000;
-    private static final long BACK_MS = 1_000;
-    private static final long BACK_AT_ONCE_MS = 100;
+    private static final long DOWNTIME_MS = 1_000;
+    private static final long SHORT_DOWNTIME_MS = 100;
     private static final long CANCEL_MS = new AgentTiming(2_500, LEASE_MS, 36_000).cancelMs();
     private static final double TASK_CPUS = 2;
     private static final int TASKS = 2;
@@ -39,8 +39,8 @@
         return LongStream.rangeClosed(1, 12);
     }
 
-    /** Fills most machines, and submits a job whose starts are held up wherever they go. */
-    private void sendStartsThatAreHeldUp(long seed, ObjectNode job) {
+    /** Fills most machines and submits a job whose starts are delayed on every machine with room for it. */
+    private void sendDelayedStarts(long seed, ObjectNode job) {
         simulation = clusterWithServices(seed);
         simulation.users().submitUntilAccepted(JobRequests.array("j-000700", "blue", 4, 4, 90));
         simulation.runChecked(30_000);
@@ -51,32 +51,32 @@
         simulation.runChecked(1_000);
     }
 
-    /** Without an image to fetch, a task runs as soon as its start arrives. */
+    /** Returns tasks without an image to fetch, so that each runs as soon as its start arrives. */
     private static ObjectNode tasks() {
         return JobRequests.array(JOB, "blue", TASKS, TASK_CPUS, 60).put("pull_gb", 0.0);
     }
 
-    private void crashLeader(long backMs) {
-        simulation.crash(simulation.leader(), backMs);
+    private void crashLeader(long downtimeMs) {
+        simulation.crash(simulation.leader(), downtimeMs);
     }
 
     private void runUntilTasksRun() {
-        long end = simulation.now() + LONGEST_FAILOVER_MS;
+        long end = simulation.now() + FAILOVER_TIMEOUT_MS;
         while (simulation.now() < end && !simulation.invariants().runningTasks().contains(JOB + "/0")) {
             simulation.runChecked(500);
         }
     }
 
-    private void rebootAndDeliverHeldCommands() {
+    private void rebootAndDeliverDelayedCommands() {
         machines.forEach(machine -> {
             simulation.agents().reboot(machine, false);
             simulation.network().deliverHeldCommands(machine);
         });
     }
 
-    private void assertTasksRunOnceAndEnd() {
+    private void assertTasksRunOnceAndComplete() {
         runUntilTasksRun();
-        rebootAndDeliverHeldCommands();
+        rebootAndDeliverDelayedCommands();
         simulation.runChecked(RECOVERY_MS);
         assertEquals(List.of(), simulation.invariants().violations());
         assertAllDone(simulation, List.of(JOB));
@@ -86,71 +86,71 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void startRunsNowhereElseAfterItsLeaderHasCrashed(long seed) {
-        sendStartsThatAreHeldUp(seed, tasks());
-        crashLeader(BACK_MS);
-        assertTasksRunOnceAndEnd();
+    void tasksRunOnceAfterLeaderCrash(long seed) {
+        sendDelayedStarts(seed, tasks());
+        crashLeader(DOWNTIME_MS);
+        assertTasksRunOnceAndComplete();
     }
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void startRunsNowhereElseIfItsMachineWasSilentSinceTheCrash(long seed) {
-        sendStartsThatAreHeldUp(seed, tasks());
-        crashLeader(BACK_MS);
+    void tasksRunOnceWhenMachineIsUnresponsiveSinceCrash(long seed) {
+        sendDelayedStarts(seed, tasks());
+        crashLeader(DOWNTIME_MS);
         machines.forEach(machine -> simulation.network().partition(machine, Hosts.ALL));
         runUntilTasksRun();
         machines.forEach(machine -> simulation.network().heal(machine, Hosts.ALL));
-        assertTasksRunOnceAndEnd();
+        assertTasksRunOnceAndComplete();
     }
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void startRunsNowhereElseIfItsLeaderIsBackAtOnce(long seed) {
-        sendStartsThatAreHeldUp(seed, tasks());
-        crashLeader(BACK_AT_ONCE_MS);
-        assertTasksRunOnceAndEnd();
+    void tasksRunOnceWhenLeaderRestartsImmediately(long seed) {
+        sendDelayedStarts(seed, tasks());
+        crashLeader(SHORT_DOWNTIME_MS);
+        assertTasksRunOnceAndComplete();
     }
 
-    // The controllers that are back have forgotten what they held; the third has it.
+    // The two restarted controllers have lost their memory; the third one has kept running.
     @ParameterizedTest
     @MethodSource("seeds")
-    void startRunsNowhereElseIfAnotherControllerCrashesWithTheLeader(long seed) {
-        sendStartsThatAreHeldUp(seed, tasks());
+    void tasksRunOnceWhenLeaderAndAnotherControllerCrash(long seed) {
+        sendDelayedStarts(seed, tasks());
         int leader = simulation.leader();
-        simulation.crash(leader, BACK_AT_ONCE_MS);
-        simulation.crash((leader + 1 + (int) (seed % 2)) % CONTROLLERS, BACK_AT_ONCE_MS);
-        assertTasksRunOnceAndEnd();
+        simulation.crash(leader, SHORT_DOWNTIME_MS);
+        simulation.crash((leader + 1 + (int) (seed % 2)) % CONTROLLERS, SHORT_DOWNTIME_MS);
+        assertTasksRunOnceAndComplete();
     }
 
-    // The new leader waits for the controller that knows, and meanwhile places nothing that may run.
+    // The only controller that has not crashed is unreachable at first, so the new leader has only the start log.
     @ParameterizedTest
     @MethodSource("seeds")
-    void startRunsNowhereElseIfTheOnlyControllerThatKnowsIsReachedLate(long seed) {
-        sendStartsThatAreHeldUp(seed, tasks());
+    void tasksRunOnceWhenSurvivingControllerIsPartitioned(long seed) {
+        sendDelayedStarts(seed, tasks());
         int leader = simulation.leader();
-        String knowing = Hosts.controller((leader + 1) % CONTROLLERS);
-        simulation.network().partition(knowing, Hosts.ALL);
-        simulation.crash(leader, BACK_AT_ONCE_MS);
-        simulation.crash((leader + 2) % CONTROLLERS, BACK_AT_ONCE_MS);
+        String survivor = Hosts.controller((leader + 1) % CONTROLLERS);
+        simulation.network().partition(survivor, Hosts.ALL);
+        simulation.crash(leader, SHORT_DOWNTIME_MS);
+        simulation.crash((leader + 2) % CONTROLLERS, SHORT_DOWNTIME_MS);
         simulation.runChecked(10_000);
-        simulation.network().heal(knowing, Hosts.ALL);
-        assertTasksRunOnceAndEnd();
+        simulation.network().heal(survivor, Hosts.ALL);
+        assertTasksRunOnceAndComplete();
     }
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void startRunsNowhereElseAfterASecondFailover(long seed) {
-        sendStartsThatAreHeldUp(seed, tasks());
-        crashLeader(BACK_MS);
+    void tasksRunOnceAfterSecondFailover(long seed) {
+        sendDelayedStarts(seed, tasks());
+        crashLeader(DOWNTIME_MS);
         simulation.runChecked(5_000 + 250 * seed);
-        crashLeader(BACK_MS);
-        assertTasksRunOnceAndEnd();
+        crashLeader(DOWNTIME_MS);
+        assertTasksRunOnceAndComplete();
     }
 
-    // One follower is out of sync: the leader has gone on without its acknowledgements.
+    // The partitioned follower has received nothing from the leader since before the starts were sent.
     @ParameterizedTest
     @MethodSource("seeds")
-    void startRunsNowhereElseIfAFollowerWasCutOffFromTheLeader(long seed) {
+    void tasksRunOnceWhenFollowerWasPartitionedFromLeader(long seed) {
         simulation = clusterWithServices(seed);
         String leader = Hosts.controller(simulation.leader());
         String follower = Hosts.controller((simulation.leader() + 1 + (int) (seed % 2)) % CONTROLLERS);
@@ -162,38 +162,38 @@
         machines.forEach(simulation.network()::holdCommands);
         simulation.users().submitUntilAccepted(tasks());
         simulation.runChecked(1_000);
-        crashLeader(BACK_MS);
+        crashLeader(DOWNTIME_MS);
         simulation.network().heal(leader, follower);
-        assertTasksRunOnceAndEnd();
+        assertTasksRunOnceAndComplete();
     }
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void gangsStartRunsNowhereElse(long seed) {
-        sendStartsThatAreHeldUp(seed, tasks().put("shape", "gang"));
-        crashLeader(BACK_MS);
-        assertTasksRunOnceAndEnd();
+    void gangRunsOnceAfterLeaderCrash(long seed) {
+        sendDelayedStarts(seed, tasks().put("shape", "gang"));
+        crashLeader(DOWNTIME_MS);
+        assertTasksRunOnceAndComplete();
     }
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void startOfAJobThatIsCancelledAfterwardsRunsNot(long seed) {
-        sendStartsThatAreHeldUp(seed, tasks());
-        crashLeader(BACK_MS);
+    void startIsNotExecutedWhenJobIsCancelledAfterFailover(long seed) {
+        sendDelayedStarts(seed, tasks());
+        crashLeader(DOWNTIME_MS);
         runUntilTasksRun();
         simulation.users().cancelJob(simulation.leaderOrFirst(), JOB, reply -> {});
         simulation.runChecked(CANCEL_MS + LEASE_MS);
-        rebootAndDeliverHeldCommands();
+        rebootAndDeliverDelayedCommands();
         simulation.runChecked(RECOVERY_MS);
         assertHealthy(simulation);
     }
 
-    // Nobody is left who knows of the start.
+    // No controller that tracked the start survives.
     @ParameterizedTest
     @MethodSource("seeds")
-    void startRunsNowhereElseAfterAllControllersHaveCrashed(long seed) {
-        sendStartsThatAreHeldUp(seed, tasks());
-        IntStream.range(0, CONTROLLERS).forEach(controller -> simulation.crash(controller, BACK_MS));
-        assertTasksRunOnceAndEnd();
+    void tasksRunOnceAfterAllControllersCrash(long seed) {
+        sendDelayedStarts(seed, tasks());
+        IntStream.range(0, CONTROLLERS).forEach(controller -> simulation.crash(controller, DOWNTIME_MS));
+        assertTasksRunOnceAndComplete();
     }
 }
