--- a/src/test/java/io/quartzgw/app/CancellationTest.java
+++ b/src/test/java/io/quartzgw/app/CancellationTest.java
@@ -28,11 +28,11 @@
 
     private final List<Reply> userReplies = new ArrayList<>();
 
-    private void assertUserToldOfCancellation() {
-        assertTrue(isUserToldOfCancellation(), "a user was told");
+    private void assertCancellationAcknowledged() {
+        assertTrue(isCancellationAcknowledged(), "a user was told");
     }
 
-    private boolean isUserToldOfCancellation() {
+    private boolean isCancellationAcknowledged() {
         return userReplies.stream()
                 .anyMatch(reply ->
                         reply.ok() && reply.json().path("phase").asText().equals("withdrawn"));
@@ -48,7 +48,7 @@
         assertEquals(0, simulation.failedCommands());
     }
 
-    private static int other(int controller, int offset) {
+    private static int peerOf(int controller, int offset) {
         return (controller + offset) % 3;
     }
 
@@ -67,7 +67,7 @@
 
     private void assertCancelledThroughOutage(ClusterSimulation simulation, int leader) {
         simulation.runChecked(OUTAGE_MS);
-        assertUserToldOfCancellation();
+        assertCancellationAcknowledged();
         assertNoTaskRuns(simulation);
         simulation.setStoreRejects(leader, false);
         simulation.store().setOutage(false);
@@ -77,16 +77,16 @@
     }
 
     @Test
-    void cancellationByAFollowerBeforeAnOutageStopsTheTasks() {
+    void stopsTasksCancelledAtFollowerBeforeStoreOutage() {
         ClusterSimulation simulation = cancelBeforeOutage(
-                2_000, (cluster, leader) -> cluster.users().cancelJob(other(leader, 1), JOB, userReplies::add));
+                2_000, (cluster, leader) -> cluster.users().cancelJob(peerOf(leader, 1), JOB, userReplies::add));
         assertCancelledThroughOutage(simulation, simulation.leader());
     }
 
     // Times around the lease, the grace and the cancellation limit, machines that hang or receive nothing, messages
     // between controllers that are duplicated, and two timings: cancellation limit less lease is 20 and 30 s.
     @Test
-    void cancellationAtRandomTimesAroundRejectionAndOutageStopsTheTasks() {
+    void stopsTasksCancelledAtRandomTimesAroundRejectionAndOutage() {
         List<AgentTiming> timings =
                 List.of(new AgentTiming(2_500, 16_000, 36_000), new AgentTiming(2_500, 18_000, 48_000));
         SplittableRandom random = new SplittableRandom(4);
@@ -104,7 +104,7 @@
             simulation.schedule(outageEnds + random.nextInt(4_000), () -> simulation.setStoreRejects(leader, false));
             for (int job = 0; job < 4; job++) {
                 String id = JobRequests.id(job);
-                int controller = other(leader, 1 + job % 2);
+                int controller = peerOf(leader, 1 + job % 2);
                 simulation.schedule(
                         simulation.now() + random.nextInt(5_000),
                         () -> simulation.users().cancelJob(controller, id, userReplies::add));
@@ -122,7 +122,7 @@
     /** Schedules a fault of machines, of a controller or of the network, each of its own kind by its number. */
     private static void scheduleFault(ClusterSimulation simulation, int kind, long from, long until) {
         int leader = simulation.leader();
-        int follower = other(leader, 1);
+        int follower = peerOf(leader, 1);
         List<String> machines = simulation.agents().machineIds().subList(0, 2);
         switch (kind) {
             case 0 ->
@@ -152,16 +152,16 @@
     // Responses that arrive after their timeout: to the cancellation, to the leader's renewals, to its watch.
     @ParameterizedTest
     @ValueSource(longs = {1_000L, 2_500L, 5_000L})
-    void cancellationWithASlowStoreThatThenRejectsTheLeaderStopsTheTasks(long maxDelayMs) {
+    void stopsTasksCancelledWithSlowStoreThatThenRejectsLeader(long maxDelayMs) {
         userReplies.clear();
         // Whether a user is told in time depends on the delays; where none is, the next seed shows nothing less.
-        for (long seed = FIRST_SEED; !isUserToldOfCancellation() && seed < FIRST_SEED + MAX_SEEDS; seed++) {
-            cancelWithASlowStoreThatThenRejectsTheLeader(clusterWithServices(seed), maxDelayMs);
+        for (long seed = FIRST_SEED; !isCancellationAcknowledged() && seed < FIRST_SEED + MAX_SEEDS; seed++) {
+            cancelWithSlowStoreThenRejectLeader(clusterWithServices(seed), maxDelayMs);
         }
-        assertUserToldOfCancellation();
+        assertCancellationAcknowledged();
     }
 
-    private void cancelWithASlowStoreThatThenRejectsTheLeader(ClusterSimulation simulation, long maxDelayMs) {
+    private void cancelWithSlowStoreThenRejectLeader(ClusterSimulation simulation, long maxDelayMs) {
         simulation.network().delayStoreUpTo(maxDelayMs);
         for (int second = 0; second < 12; second++) {
             for (int controller = 0; controller < 3; controller++) {
@@ -174,7 +174,7 @@
         }
         int leader = simulation.leaderOrFirst();
         simulation.setStoreRejects(leader, true);
-        simulation.users().cancelJob(other(leader, 1), "j-000002", userReplies::add);
+        simulation.users().cancelJob(peerOf(leader, 1), "j-000002", userReplies::add);
         simulation.runChecked(2_000);
         simulation.store().setOutage(true);
         simulation.runChecked(OUTAGE_MS);
@@ -190,7 +190,7 @@
     // The transaction was carried out, its response got lost, and the user is told of the end by
     // another controller, in the response to a repeated cancellation, a query, or a repeated submission.
     @Test
-    void cancellationToldByAnotherResponseThanTheLostOneStopsTheTasks() {
+    void stopsTasksWhenCancellationIsAcknowledgedAfterLostTransactionResponse() {
         List<BiConsumer<ClusterSimulation, Integer>> requests = List.of(
                 (cluster, controller) -> cluster.users().cancelJob(controller, JOB, userReplies::add),
                 (cluster, controller) -> cluster.users().queryJob(controller, JOB, userReplies::add),
@@ -203,10 +203,10 @@
                 userReplies.clear();
                 ClusterSimulation simulation = cancelBeforeOutage(1_500, (cluster, leader) -> {
                     cluster.network().loseTransactionResponses(1);
-                    cluster.users().cancelJob(other(leader, 1), JOB, reply -> {});
+                    cluster.users().cancelJob(peerOf(leader, 1), JOB, reply -> {});
                     cluster.runChecked(300);
                     cluster.network().loseTransactionResponses(0);
-                    request.accept(cluster, other(leader, receiver));
+                    request.accept(cluster, peerOf(leader, receiver));
                 });
                 assertCancelledThroughOutage(simulation, simulation.leader());
             }
@@ -215,25 +215,25 @@
 
     // What a process told between its last response to a peer and its crash, also where a second restart follows.
     @Test
-    void cancellationToldByAControllerThatRestartsStopsTheTasks() {
+    void stopsTasksWhenAcknowledgingControllerRestarts() {
         for (int restarts = 1; restarts <= 2; restarts++) {
             userReplies.clear();
             ClusterSimulation simulation = cancelBeforeOutage(2_000, (cluster, leader) -> {
                 // Nothing that this controller sends reaches the others before it crashes.
-                cluster.network().partition(Hosts.controller(other(leader, 1)), Hosts.controller(leader));
-                cluster.network().partition(Hosts.controller(other(leader, 1)), Hosts.controller(other(leader, 2)));
-                cluster.users().cancelJob(other(leader, 1), JOB, userReplies::add);
+                cluster.network().partition(Hosts.controller(peerOf(leader, 1)), Hosts.controller(leader));
+                cluster.network().partition(Hosts.controller(peerOf(leader, 1)), Hosts.controller(peerOf(leader, 2)));
+                cluster.users().cancelJob(peerOf(leader, 1), JOB, userReplies::add);
                 cluster.runChecked(300);
-                cluster.crash(other(leader, 1));
-                cluster.network().healDroppingPackets(Hosts.controller(other(leader, 1)), Hosts.controller(leader));
+                cluster.crash(peerOf(leader, 1));
+                cluster.network().healDroppingPackets(Hosts.controller(peerOf(leader, 1)), Hosts.controller(leader));
                 cluster.network()
-                        .healDroppingPackets(Hosts.controller(other(leader, 1)), Hosts.controller(other(leader, 2)));
+                        .healDroppingPackets(Hosts.controller(peerOf(leader, 1)), Hosts.controller(peerOf(leader, 2)));
             });
             int leader = simulation.leader();
             for (int i = 0; i < restarts; i++) {
-                simulation.crash(other(leader, 1));
+                simulation.crash(peerOf(leader, 1));
                 simulation.runChecked(200);
-                simulation.start(other(leader, 1));
+                simulation.start(peerOf(leader, 1));
                 simulation.runChecked(2_500);
             }
             assertCancelledThroughOutage(simulation, leader);
@@ -243,19 +243,20 @@
     // The leader is partitioned from the controller that told the user for longer than the grace, and connected again
     // just before its agents' leases would expire.
     @Test
-    void cancellationThatReachesTheLeaderAfterItsGraceStopsTheTasks() {
+    void stopsTasksWhenLeaderReceivesCancellationAfterGracePeriod() {
         for (long silentMs = 28_000; silentMs <= 30_400; silentMs += 200) {
             userReplies.clear();
             long cutMs = silentMs;
             ClusterSimulation simulation = cancelBeforeOutage(2_000, (cluster, leader) -> {
-                cluster.network().partition(Hosts.controller(other(leader, 1)), Hosts.controller(leader));
-                cluster.network().partition(Hosts.controller(other(leader, 1)), Hosts.controller(other(leader, 2)));
-                cluster.users().cancelJob(other(leader, 1), JOB, userReplies::add);
+                cluster.network().partition(Hosts.controller(peerOf(leader, 1)), Hosts.controller(leader));
+                cluster.network().partition(Hosts.controller(peerOf(leader, 1)), Hosts.controller(peerOf(leader, 2)));
+                cluster.users().cancelJob(peerOf(leader, 1), JOB, userReplies::add);
                 cluster.schedule(cluster.now() + cutMs, () -> {
-                    cluster.network().healDroppingPackets(Hosts.controller(other(leader, 1)), Hosts.controller(leader));
+                    cluster.network()
+                            .healDroppingPackets(Hosts.controller(peerOf(leader, 1)), Hosts.controller(leader));
                     cluster.network()
                             .healDroppingPackets(
-                                    Hosts.controller(other(leader, 1)), Hosts.controller(other(leader, 2)));
+                                    Hosts.controller(peerOf(leader, 1)), Hosts.controller(peerOf(leader, 2)));
                 });
             });
             assertCancelledThroughOutage(simulation, simulation.leader());
@@ -264,38 +265,38 @@
 
     // A new leader that can't read the state service renews leases without knowing which jobs are open.
     @Test
-    void cancellationUnknownToANewLeaderInAnOutageStopsTheTasks() {
+    void stopsTasksWhenNewLeaderCannotReadCancellationDuringOutage() {
         for (long seed = 5; seed < 13; seed++) {
             userReplies.clear();
             ClusterSimulation simulation = clusterWithServices(seed);
             int former = simulation.leader();
-            simulation.network().partition(Hosts.controller(former), Hosts.controller(other(former, 1)));
+            simulation.network().partition(Hosts.controller(former), Hosts.controller(peerOf(former, 1)));
             if (seed % 2 == 0) {
                 // Nothing reaches the former leader, which would stop the tasks: it is connected again once it is
                 // deposed.
-                simulation.network().partition(Hosts.controller(former), Hosts.controller(other(former, 2)));
+                simulation.network().partition(Hosts.controller(former), Hosts.controller(peerOf(former, 2)));
             }
             simulation.setStoreRejects(former, true);
             simulation.runChecked(200);
-            simulation.users().cancelJob(other(former, 1), JOB, userReplies::add);
+            simulation.users().cancelJob(peerOf(former, 1), JOB, userReplies::add);
             simulation.runUntil(simulation.now() + 1_000);
             while (simulation.leader() == former || !simulation.hasLeader()) {
                 simulation.runUntil(simulation.now() + 1);
             }
             simulation.store().setOutage(true);
-            simulation.network().healDroppingPackets(Hosts.controller(former), Hosts.controller(other(former, 1)));
-            simulation.network().healDroppingPackets(Hosts.controller(former), Hosts.controller(other(former, 2)));
+            simulation.network().healDroppingPackets(Hosts.controller(former), Hosts.controller(peerOf(former, 1)));
+            simulation.network().healDroppingPackets(Hosts.controller(former), Hosts.controller(peerOf(former, 2)));
             assertCancelledThroughOutage(simulation, former);
         }
     }
 
     // Several leaders in turn, none of which reads the state service: each renews leases with its first responses.
     @Test
-    void cancellationUnknownToSeveralLeadersInTurnStopsTheTasks() {
+    void stopsTasksWhenSuccessiveLeadersCannotReadCancellation() {
         ClusterSimulation simulation = clusterWithServices();
         int first = simulation.leader();
         simulation.crash(first);
-        simulation.users().cancelJob(other(first, 1), JOB, userReplies::add);
+        simulation.users().cancelJob(peerOf(first, 1), JOB, userReplies::add);
         simulation.runChecked(500);
         simulation.start(first);
         for (int change = 0; change < 10; change++) {
@@ -311,18 +312,18 @@
             simulation.start(leader);
         }
         simulation.runChecked(60_000);
-        assertUserToldOfCancellation();
+        assertCancellationAcknowledged();
         assertNoTaskRuns(simulation);
     }
 
     // The notice of a submission is delayed and arrives after that of the cancellation, while watches are paused.
     @Test
-    void submissionNoticeThatArrivesAfterTheCancellationStartsNothing() {
+    void startsNothingWhenSubmissionNoticeArrivesAfterCancellation() {
         for (long seed = 5; seed < 13; seed++) {
             userReplies.clear();
             ClusterSimulation simulation = clusterWithServices(seed);
             int leader = simulation.leader();
-            int receiver = other(leader, 1);
+            int receiver = peerOf(leader, 1);
             simulation.store().setWatchesPaused(true);
             simulation.network().partition(Hosts.controller(receiver), Hosts.controller(leader));
             simulation.users().submitOnce(receiver, JobRequests.service("j-000070", "blue", 2, 2), reply -> {});
@@ -335,7 +336,7 @@
             simulation.runChecked(10_000);
             simulation.store().setWatchesPaused(false);
             simulation.runChecked(30_000);
-            assertUserToldOfCancellation();
+            assertCancellationAcknowledged();
             assertEquals(before, simulation.invariants().startCount(), "nothing starts after the confirmation");
             assertNoTaskRuns(simulation, "j-000070");
         }
--- a/src/test/java/io/quartzgw/app/ClusterFixtures.java
+++ b/src/test/java/io/quartzgw/app/ClusterFixtures.java
@@ -23,9 +23,9 @@
 
     private static final long DEFAULT_SEED = 5;
     private static final int CONTROLLERS = 3;
-    private static final long SUBMIT_SERVICES_AT = 1_000;
-    private static final long SERVICES_RUN_AT = 60_000;
-    private static final int FIRST_ARRAY = 300;
+    private static final long SERVICES_SUBMITTED_AT_MS = 1_000;
+    private static final long SERVICES_RUNNING_AT_MS = 60_000;
+    private static final int FIRST_ARRAY_NUMBER = 300;
 
     private ClusterFixtures() {}
 
@@ -42,7 +42,7 @@
     /** As {@link #clusterWithServices()}, in a simulation that has just begun. */
     static ClusterSimulation clusterWithServices(ClusterSimulation simulation) {
         scheduleServices(simulation);
-        simulation.runUntil(SERVICES_RUN_AT);
+        simulation.runUntil(SERVICES_RUNNING_AT_MS);
         assertEquals(REPLICAS, simulation.invariants().runningTasks().size());
         assertEquals(REPLICAS, simulation.invariants().startCount());
         return simulation;
@@ -52,7 +52,8 @@
     static void scheduleServices(ClusterSimulation simulation) {
         for (int i = 0; i < SERVICES; i++) {
             ObjectNode spec = JobRequests.service(JobRequests.id(i), "blue", 2, 2);
-            simulation.schedule(SUBMIT_SERVICES_AT, () -> simulation.users().submitUntilAccepted(spec));
+            simulation.schedule(
+                    SERVICES_SUBMITTED_AT_MS, () -> simulation.users().submitUntilAccepted(spec));
         }
     }
 
@@ -60,7 +61,7 @@
     static List<String> submitArrays(ClusterSimulation simulation, int jobs, int tasks, double runS, String team) {
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < jobs; i++) {
-            String id = JobRequests.id(FIRST_ARRAY + i);
+            String id = JobRequests.id(FIRST_ARRAY_NUMBER + i);
             ids.add(id);
             simulation.users().submitUntilAccepted(JobRequests.array(id, team, tasks, 4, runS));
         }
--- a/src/test/java/io/quartzgw/app/ConcurrentFault.java
+++ b/src/test/java/io/quartzgw/app/ConcurrentFault.java
@@ -9,16 +9,16 @@
 
 /** The faults that are injected over each other, as operators saw them; random runs draw them by their order. */
 enum ConcurrentFault {
-    STORE_REJECTS_THE_LEADER_THEN_EVERYBODY(ConcurrentFault::rejectLeaderThenEverybody),
+    STORE_REJECTS_THE_LEADER_THEN_EVERYBODY(ConcurrentFault::rejectLeaderThenAllControllers),
     STORE_IS_SLOW(ConcurrentFault::slowStore),
     TRANSACTION_RESPONSES_ARE_LOST(ConcurrentFault::loseTransactionResponses),
     HEARTBEATS_ARE_BLOCKED(ConcurrentFault::blockHeartbeatsOfHalfTheMachines),
     COMMANDS_ARE_DELAYED(ConcurrentFault::delayCommands),
     JOBS_ARE_CANCELLED_WHILE_MACHINES_HANG(
-            (simulation, event) -> simulation.cancelRunningJobsWhileMachinesHang(8, event.pick * 25L)),
+            (simulation, event) -> simulation.cancelRunningJobsWhileMachinesHang(8, event.randomValue * 25L)),
     JOBS_ARE_CANCELLED_AT_THEIR_END(ConcurrentFault::cancelAtLastTaskEnd),
     INVALID_REQUESTS((simulation, event) -> simulation.users().sendInvalidRequests()),
-    LEADERS_CRASH_AGAIN_AND_AGAIN(ConcurrentFault::crashLeadersAgainAndAgain),
+    LEADERS_CRASH_AGAIN_AND_AGAIN(ConcurrentFault::crashLeadersRepeatedly),
     ALL_CONTROLLERS_CRASH(ConcurrentFault::crashAllControllers),
     STORE_REJECTS_THE_LEADER(ConcurrentFault::rejectLeader),
     LEADER_IS_PARTITIONED_AND_JOBS_ARE_CANCELLED(ConcurrentFault::partitionLeaderAndCancel),
@@ -27,12 +27,12 @@
     CONTROLLER_IS_PAUSED(ConcurrentFault::pauseController);
 
     /** When the last fault is over. */
-    static final long LAST_END_MS = 215_000;
+    static final long FAULTS_END_MS = 215_000;
 
     private static final int CONTROLLERS = 3;
-    private static final long FIRST_MS = 15_000;
-    private static final long LAST_MS = 180_000;
-    private static final int MAX_PICK = 1_000;
+    private static final long FIRST_START_MS = 15_000;
+    private static final long LAST_START_MS = 180_000;
+    private static final int RANDOM_VALUE_BOUND = 1_000;
 
     @SuppressWarnings("ImmutableEnumChecker") // References to static methods have no state.
     private final BiConsumer<ClusterSimulation, Event> injection;
@@ -44,10 +44,10 @@
     /**
      * One injection of a fault.
      *
-     * @param pick a random number from which a fault derives what it needs
+     * @param randomValue a random number from which a fault derives what it needs
      * @param leader the leader at the time, or the first controller
      */
-    private record Event(long time, long durationMs, int pick, int leader) {
+    private record Event(long time, long durationMs, int randomValue, int leader) {
         long end() {
             return time + durationMs;
         }
@@ -55,11 +55,11 @@
 
     /** Schedules random faults over each other. */
     static void scheduleAll(ClusterSimulation simulation, SplittableRandom random) {
-        for (long at = FIRST_MS; at < LAST_MS; at += 3_000 + random.nextInt(14_000)) {
+        for (long at = FIRST_START_MS; at < LAST_START_MS; at += 3_000 + random.nextInt(14_000)) {
             long time = at;
-            long durationMs = Math.min(2_000 + random.nextInt(58_000), LAST_END_MS - time);
+            long durationMs = Math.min(2_000 + random.nextInt(58_000), FAULTS_END_MS - time);
             ConcurrentFault fault = values()[random.nextInt(values().length)];
-            int pick = random.nextInt(MAX_PICK);
+            int pick = random.nextInt(RANDOM_VALUE_BOUND);
             simulation.schedule(time, () -> {
                 Event event = new Event(time, durationMs, pick, simulation.leaderOrFirst());
                 LoggerFactory.getLogger(ConcurrentFault.class).info("{}: {}", fault, event);
@@ -77,10 +77,10 @@
         simulation.schedule(end, () -> simulation.store().setOutage(false));
     }
 
-    private static void rejectLeaderThenEverybody(ClusterSimulation simulation, Event event) {
+    private static void rejectLeaderThenAllControllers(ClusterSimulation simulation, Event event) {
         rejectLeader(simulation, event);
-        simulation.schedule(event.time + event.pick * 4L, () -> storeOutage(simulation, event.end()));
-        cancelJobsAt(simulation, event.time + event.pick * 2L, 4);
+        simulation.schedule(event.time + event.randomValue * 4L, () -> storeOutage(simulation, event.end()));
+        cancelJobsAt(simulation, event.time + event.randomValue * 2L, 4);
     }
 
     private static void rejectLeader(ClusterSimulation simulation, Event event) {
@@ -89,14 +89,14 @@
     }
 
     private static void slowStore(ClusterSimulation simulation, Event event) {
-        simulation.network().delayStoreUpTo(4L * event.pick);
+        simulation.network().delayStoreUpTo(4L * event.randomValue);
         simulation.schedule(event.end(), () -> simulation.network().delayStoreUpTo(0));
     }
 
     private static void loseTransactionResponses(ClusterSimulation simulation, Event event) {
         simulation.network().loseTransactionResponses(0.3);
         simulation.schedule(event.end(), () -> simulation.network().loseTransactionResponses(0));
-        cancelJobsAt(simulation, event.time + event.pick, 6);
+        cancelJobsAt(simulation, event.time + event.randomValue, 6);
     }
 
     private static void blockHeartbeatsOfHalfTheMachines(ClusterSimulation simulation, Event event) {
@@ -117,11 +117,12 @@
     }
 
     /** Leaders change again and again, in some runs also during an outage of the state service. */
-    private static void crashLeadersAgainAndAgain(ClusterSimulation simulation, Event event) {
+    private static void crashLeadersRepeatedly(ClusterSimulation simulation, Event event) {
         for (long time = event.time; time < Math.min(event.time + 40_000, event.end()); time += 4_000) {
-            simulation.schedule(time, () -> simulation.crash(simulation.leaderOrFirst(), 200 + event.pick % 3_000));
+            simulation.schedule(
+                    time, () -> simulation.crash(simulation.leaderOrFirst(), 200 + event.randomValue % 3_000));
         }
-        if (event.pick % 3 == 0) {
+        if (event.randomValue % 3 == 0) {
             simulation.schedule(
                     event.time + 10_000, () -> storeOutage(simulation, Math.min(event.time + 25_000, event.end())));
         }
@@ -141,7 +142,7 @@
                 simulation.schedule(event.end(), () -> simulation.network().heal(leader, host));
             }
         }
-        cancelJobsAt(simulation, event.time + 5_000 + event.pick, 4);
+        cancelJobsAt(simulation, event.time + 5_000 + event.randomValue, 4);
     }
 
     private static void crashLeaderWhileMachinesArePartitioned(ClusterSimulation simulation, Event event) {
@@ -150,8 +151,8 @@
             simulation.network().partition(machine, Hosts.ALL);
             simulation.schedule(event.end(), () -> simulation.network().heal(machine, Hosts.ALL));
         }
-        simulation.schedule(event.time + event.pick, () -> simulation.crash(event.leader, 1_000));
-        cancelJobsAt(simulation, event.time + 2L * event.pick, 4);
+        simulation.schedule(event.time + event.randomValue, () -> simulation.crash(event.leader, 1_000));
+        cancelJobsAt(simulation, event.time + 2L * event.randomValue, 4);
     }
 
     private static void crashLeaderWhileInboundIsBlocked(ClusterSimulation simulation, Event event) {
@@ -159,14 +160,14 @@
         if (machines.isEmpty()) {
             return;
         }
-        String machine = machines.get(event.pick % machines.size());
+        String machine = machines.get(event.randomValue % machines.size());
         simulation.network().setInboundBlocked(machine, true);
         simulation.schedule(event.end(), () -> simulation.network().setInboundBlocked(machine, false));
-        simulation.schedule(event.time + event.pick, () -> simulation.crash(event.leader, event.pick));
+        simulation.schedule(event.time + event.randomValue, () -> simulation.crash(event.leader, event.randomValue));
     }
 
     private static void pauseController(ClusterSimulation simulation, Event event) {
-        int controller = event.pick % 2 == 0 ? event.leader : event.pick % CONTROLLERS;
+        int controller = event.randomValue % 2 == 0 ? event.leader : event.randomValue % CONTROLLERS;
         simulation.pauseController(controller, event.durationMs);
         cancelJobsAt(simulation, event.time + event.durationMs / 2, 4);
     }
--- a/src/test/java/io/quartzgw/app/ConcurrentFaultsTest.java
+++ b/src/test/java/io/quartzgw/app/ConcurrentFaultsTest.java
@@ -22,7 +22,7 @@
 class ConcurrentFaultsTest {
     // The leader must keep up with the rate of jobs: each costs an acceptance, a start, an end and queries.
     @Test
-    void fourOneTaskJobsASecondEndThroughALeaderCrash() {
+    void endsFourSingleTaskJobsPerSecondDespiteLeaderCrash() {
         ClusterSimulation simulation = clusterWithServices();
         List<String> jobs = new ArrayList<>();
         for (int i = 0; i < 240; i++) {
@@ -48,7 +48,7 @@
     // Responses must not become older: every controller is queried about a job within milliseconds, while its
     // submission is repeated and some users cancel.
     @Test
-    void queriesAtAllControllersNeverReturnAnOlderState() {
+    void queriesNeverReturnOlderStateAtAnyController() {
         ClusterSimulation simulation = clusterWithServices();
         List<String> jobs = submitArrays(simulation, 9, 2, 3, "blue");
         for (int step = 0; step < 900; step++) {
@@ -75,7 +75,7 @@
     // Cancellations between two leaders: neither may start or keep the tasks of cancelled jobs.
     @ParameterizedTest
     @ValueSource(longs = {-400L, -50L, 0L, 100L, 700L, 2_000L})
-    void jobsCancelledDuringALeaderChangeAreStopped(long crashAfterMs) {
+    void stopsJobsCancelledDuringLeaderChange(long crashAfterMs) {
         ClusterSimulation simulation = clusterWithServices();
         List<String> jobs = submitArrays(simulation, 8, 4, 30, "red");
         simulation.runChecked(9_000);
@@ -89,7 +89,7 @@
 
     // Other controllers read what a transaction wrote whose response got lost.
     @Test
-    void jobsEndWhileTransactionResponsesAreLost() {
+    void endsJobsWhenTransactionResponsesAreLost() {
         ClusterSimulation simulation = clusterWithServices();
         simulation.network().loseTransactionResponses(0.4);
         List<String> jobs = submitArrays(simulation, 10, 3, 5, "blue");
@@ -114,7 +114,7 @@
     // The fencing of agents: a command of a leader that crashed or was deposed arrives after its successor's.
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void commandsOfAFormerLeaderThatArriveLateAreFenced(boolean crashes) {
+    void agentsRejectDelayedCommandsOfPreviousLeader(boolean crashes) {
         ClusterSimulation simulation = clusterWithServices();
         List<String> jobs = submitArrays(simulation, 8, 4, 15, "red");
         simulation.network().delayCommandShare(0.9);
@@ -136,7 +136,7 @@
     // All quotas at once: tasks of cancelled jobs on unreachable machines count until they are surely stopped.
     @ParameterizedTest
     @ValueSource(longs = {0L, 10_000L})
-    void quotasHoldWhileJobsAreCancelledOnPartitionedOrHangingMachines(long hangMs) {
+    void enforcesQuotasWhenJobsAreCancelledOnPartitionedOrHangingMachines(long hangMs) {
         ClusterSimulation simulation = clusterWithServices();
         List<String> jobs = new ArrayList<>(submitArrays(simulation, 4, 6, 25, "green"));
         for (int i = 0; i < 4; i++) {
@@ -159,7 +159,7 @@
 
     // Duplicates of heartbeats from before a term reach every controller just as the term begins.
     @Test
-    void jobsAreDoneWhileOldHeartbeatsArriveAtNewLeaders() {
+    void completesJobsWhenOldHeartbeatsReachNewLeaders() {
         ClusterSimulation simulation = clusterWithServices();
         List<String> jobs = submitArrays(simulation, 6, 4, 12, "red");
         simulation.network().duplicateMessageShare(0.8);
@@ -178,7 +178,7 @@
     // the leader crashes in between.
     @ParameterizedTest
     @ValueSource(longs = {500L, 1_500L, 3_000L})
-    void jobsAreDoneWhenTheLeaderCrashesWithASlowStoreAndNewMachines(long crashAfterMs) {
+    void completesJobsWhenLeaderCrashesWithSlowStoreAndNewMachines(long crashAfterMs) {
         ClusterSimulation simulation = clusterWithServices();
         simulation.network().delayStoreUpTo(900);
         simulation.cloud().setBootMs(1_000);
--- a/src/test/java/io/quartzgw/app/FailureTest.java
+++ b/src/test/java/io/quartzgw/app/FailureTest.java
@@ -17,16 +17,16 @@
 
 /** Three controllers in a simulated cluster with random faults; all invariants of the protocol are checked. */
 class FailureTest {
-    private static final long END = 420_000;
-    private static final long FAULTS_END = ConcurrentFault.LAST_END_MS;
+    private static final long END_MS = 420_000;
+    private static final long FAULTS_END_MS = ConcurrentFault.FAULTS_END_MS;
     /** Where teams are at their limits and one zone has most of the work, arrays need longer. */
-    private static final long LONG_END = 560_000;
+    private static final long EXTENDED_END_MS = 560_000;
 
     @Test
-    void everyArrayEndsWithoutFaults() {
+    void endsAllArraysWithoutFaults() {
         ClusterSimulation simulation = new ClusterSimulation(1, 3);
         List<String> arrays = RandomLoads.scheduleMixedJobs(simulation, new SplittableRandom(1));
-        simulation.runChecked(END);
+        simulation.runChecked(END_MS);
         assertEquals(List.of(), simulation.invariants().violations());
         assertTrue(
                 arrays.stream()
@@ -45,13 +45,13 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {26, 298, 392, 422, 429, 430, 466, 553, 563, 10_090, 10_389, 20_317, 20_676, 310_494})
-    void invariantsHoldForSeedsThatOnceViolatedThem(long seed) {
-        invariantsHoldThroughSingleFaults(seed);
+    void invariantsHoldForPreviouslyFailingSeeds(long seed) {
+        invariantsHoldUnderSingleFaults(seed);
     }
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void invariantsHoldThroughSingleFaults(long seed) {
+    void invariantsHoldUnderSingleFaults(long seed) {
         ClusterSimulation simulation = new ClusterSimulation(seed, 3);
         List<String> arrays = runSingleFailures(simulation, seed);
         assertHealthy(simulation);
@@ -65,9 +65,9 @@
 
     @ParameterizedTest
     @MethodSource("singleSeedsWithPauses")
-    void invariantsHoldThroughSingleFaultsWhileLeadersPause(long seed) {
+    void invariantsHoldUnderSingleFaultsAndLeaderPauses(long seed) {
         ClusterSimulation simulation = new ClusterSimulation(seed, 3);
-        LeaderPauses.scheduleAll(simulation, seed, FAULTS_END);
+        LeaderPauses.scheduleAll(simulation, seed, FAULTS_END_MS);
         List<String> arrays = runSingleFailures(simulation, seed);
         assertHealthy(simulation);
         assertAllEnded(simulation, arrays);
@@ -84,8 +84,8 @@
         SplittableRandom random = new SplittableRandom(seed);
         List<String> arrays = RandomLoads.scheduleMixedJobs(simulation, random);
         SingleFault.scheduleAll(simulation, random);
-        simulation.schedule(FAULTS_END, () -> simulation.invariants().faultsOver(FAULTS_END));
-        simulation.runChecked(END);
+        simulation.schedule(FAULTS_END_MS, () -> simulation.invariants().faultsOver(FAULTS_END_MS));
+        simulation.runChecked(END_MS);
         return arrays;
     }
 
@@ -108,9 +108,9 @@
 
     @ParameterizedTest
     @MethodSource("concurrentSeedsWithPauses")
-    void invariantsHoldUnderConcurrentFaultsWhileLeadersPause(long seed) {
+    void invariantsHoldUnderConcurrentFaultsAndLeaderPauses(long seed) {
         ClusterSimulation simulation = new ClusterSimulation(seed, 3);
-        LeaderPauses.scheduleAll(simulation, seed, FAULTS_END);
+        LeaderPauses.scheduleAll(simulation, seed, FAULTS_END_MS);
         List<String> arrays = runConcurrentFaults(simulation, seed);
         assertHealthy(simulation);
         assertAllEnded(simulation, arrays);
@@ -122,9 +122,9 @@
 
     @ParameterizedTest
     @MethodSource("concurrentSeedsWithHeldUpCalls")
-    void invariantsHoldUnderConcurrentFaultsWhileCallsAreHeldUpForMinutes(long seed) {
+    void invariantsHoldUnderConcurrentFaultsAndDelayedDirectCalls(long seed) {
         ClusterSimulation simulation = new ClusterSimulation(seed, 3);
-        HeldUpCalls.scheduleAll(simulation, seed, FAULTS_END);
+        HeldUpCalls.scheduleAll(simulation, seed, FAULTS_END_MS);
         List<String> arrays = runConcurrentFaults(simulation, seed);
         assertHealthy(simulation);
         assertAllEnded(simulation, arrays);
@@ -137,9 +137,9 @@
     /** Guards against ran_twice: a successor has to know the starts that its predecessor had sent. */
     @ParameterizedTest
     @MethodSource("concurrentSeedsWithCrashes")
-    void invariantsHoldUnderConcurrentFaultsWhileLeadersCrashWithStartsHeldUp(long seed) {
+    void invariantsHoldUnderConcurrentFaultsAndLeaderCrashesWithDelayedStarts(long seed) {
         ClusterSimulation simulation = new ClusterSimulation(seed, 3);
-        CrashesWithHeldUpStarts.scheduleAll(simulation, seed, FAULTS_END);
+        CrashesWithHeldUpStarts.scheduleAll(simulation, seed, FAULTS_END_MS);
         List<String> arrays = runConcurrentFaults(simulation, seed);
         assertHealthy(simulation);
         assertAllEnded(simulation, arrays);
@@ -152,9 +152,9 @@
     /** Guards against ran_twice and ran_cancelled: starts outlive the controllers that know of them. */
     @ParameterizedTest
     @MethodSource("concurrentSeedsWithTotalLoss")
-    void invariantsHoldUnderConcurrentFaultsWhileAllControllersCrashWithStartsHeldUp(long seed) {
+    void invariantsHoldUnderConcurrentFaultsAndCrashesOfAllControllersWithDelayedStarts(long seed) {
         ClusterSimulation simulation = new ClusterSimulation(seed, 3);
-        CrashesOfAllControllers.scheduleAll(simulation, seed, ClusterFixtures.CANCEL_MS, FAULTS_END);
+        CrashesOfAllControllers.scheduleAll(simulation, seed, ClusterFixtures.CANCEL_MS, FAULTS_END_MS);
         List<String> arrays = runConcurrentFaults(simulation, seed);
         assertHealthy(simulation);
         assertAllEnded(simulation, arrays);
@@ -172,9 +172,9 @@
         if (random.nextInt(3) == 0) {
             SingleFault.scheduleAll(simulation, random);
         }
-        simulation.schedule(FAULTS_END, () -> simulation.invariants().faultsOver(FAULTS_END));
-        simulation.runChecked(FAULTS_END);
-        while (simulation.now() < LONG_END) {
+        simulation.schedule(FAULTS_END_MS, () -> simulation.invariants().faultsOver(FAULTS_END_MS));
+        simulation.runChecked(FAULTS_END_MS);
+        while (simulation.now() < EXTENDED_END_MS) {
             simulation.runChecked(1_000);
             simulation.checkWaitingJobs();
         }
--- a/src/test/java/io/quartzgw/app/FiveControllersTest.java
+++ b/src/test/java/io/quartzgw/app/FiveControllersTest.java
@@ -21,7 +21,7 @@
     private static final int CONTROLLERS = 5;
     private static final int MACHINES = 40;
     private static final AgentTiming TIMING = new AgentTiming(2_500, 14_000, 44_000);
-    private static final StoreLimits LIMITS = new StoreLimits(100, 15, 4096, 12);
+    private static final StoreLimits STORE_LIMITS = new StoreLimits(100, 15, 4096, 12);
 
     private static ClusterSimulation clusterWithLimits(long seed) {
         return ClusterSimulation.builder(seed)
@@ -29,12 +29,12 @@
                 .machines(MACHINES)
                 .agentStepMs(100)
                 .timing(TIMING)
-                .storeLimits(LIMITS)
+                .storeLimits(STORE_LIMITS)
                 .build();
     }
 
     /** Schedules five services at once, and arrays one after the other; returns the ids of the arrays. */
-    private static List<String> load(ClusterSimulation simulation, int arrayCount, int tasks, long pauseMs) {
+    private static List<String> scheduleLoad(ClusterSimulation simulation, int arrayCount, int tasks, long pauseMs) {
         List<String> arrays = new ArrayList<>();
         for (int i = 0; i < arrayCount; i++) {
             ObjectNode spec = JobRequests.array(JobRequests.id(100 + i), "blue", tasks, 4, 8);
@@ -47,12 +47,12 @@
 
     /** Runs half of the time in which jobs are submitted; returns the ids of all arrays. */
     private static List<String> runUnderLoad(ClusterSimulation simulation) {
-        List<String> arrays = load(simulation, 30, 10, 2_000);
+        List<String> arrays = scheduleLoad(simulation, 30, 10, 2_000);
         simulation.runChecked(30_000);
         return arrays;
     }
 
-    private static void assertServed(ClusterSimulation simulation, List<String> arrays) {
+    private static void assertArraysCompletedAndReplicasRun(ClusterSimulation simulation, List<String> arrays) {
         assertEquals(List.of(), simulation.invariants().violations());
         arrays.forEach(
                 id -> assertEquals(Optional.of("done"), simulation.invariants().finalPhase(id), id));
@@ -62,19 +62,19 @@
 
     // All controllers share the limit of changes, and the jobs have to be done within it.
     @Test
-    void storeWithLowLimitsRejectsNothingAndAllJobsAreDone() {
+    void completesAllJobsWithinLowStoreLimits() {
         ClusterSimulation simulation = clusterWithLimits(1);
-        List<String> arrays = load(simulation, 200, 2, 20);
+        List<String> arrays = scheduleLoad(simulation, 200, 2, 20);
         simulation.runChecked(120_000);
         assertEquals(0, simulation.store().rejectedTransactions(), "together they stay within the limit");
-        assertServed(simulation, arrays);
+        assertArraysCompletedAndReplicasRun(simulation, arrays);
     }
 
     // Nothing may wait for every other controller: jobs are done with one or two of them down, also when
     // the leader crashes.
     @ParameterizedTest
     @ValueSource(ints = {1, 2})
-    void jobsAreDoneWithControllersDown(int count) {
+    void completesJobsWithControllersDown(int count) {
         ClusterSimulation simulation = clusterWithLimits(10 + count);
         List<String> arrays = runUnderLoad(simulation);
         for (int i = 0; i < count; i++) {
@@ -83,13 +83,13 @@
         simulation.runChecked(20_000);
         simulation.crash(simulation.leader(), 6_000);
         simulation.runChecked(110_000);
-        assertServed(simulation, arrays);
+        assertArraysCompletedAndReplicasRun(simulation, arrays);
     }
 
     // The same with controllers that run and can reach no other host.
     @ParameterizedTest
     @ValueSource(ints = {1, 2})
-    void jobsAreDoneWithControllersPartitioned(int count) {
+    void completesJobsWithControllersPartitioned(int count) {
         ClusterSimulation simulation = clusterWithLimits(20 + count);
         List<String> arrays = runUnderLoad(simulation);
         int leader = simulation.leader();
@@ -102,6 +102,6 @@
         simulation.runChecked(40_000);
         assertTrue(simulation.hasLeader() && !partitioned.contains(simulation.leader()), "another controller leads");
         simulation.runChecked(90_000);
-        assertServed(simulation, arrays);
+        assertArraysCompletedAndReplicasRun(simulation, arrays);
     }
 }
--- a/src/test/java/io/quartzgw/app/JobRequests.java
+++ b/src/test/java/io/quartzgw/app/JobRequests.java
@@ -8,7 +8,7 @@
     private static final String ARRAY = "array";
     private static final String SERVICE = "daemon";
     /** Jobs of different sizes use different images. */
-    private static final int IMAGES = 3;
+    private static final int IMAGE_COUNT = 3;
 
     private JobRequests() {}
 
@@ -38,7 +38,7 @@
                 .put("cpus", cpus)
                 .put("gpus", 0.0)
                 .put("ram_gb", 1.0)
-                .put("bundle", "img-" + tasks % IMAGES)
+                .put("bundle", "img-" + tasks % IMAGE_COUNT)
                 .put("pull_gb", 1.0)
                 .put("together", false)
                 .put("scatter", false)
--- a/src/test/java/io/quartzgw/app/LeaderDepositionTest.java
+++ b/src/test/java/io/quartzgw/app/LeaderDepositionTest.java
@@ -28,13 +28,13 @@
     private static final int CONTROLLERS = 3;
     private static final long PAUSE_MS = 56_000;
     private static final long FAILOVER_LIMIT_MS = 20_000;
-    private static final long LONG_MS = 120_000;
+    private static final long OBSERVATION_MS = 120_000;
 
     private final ClusterSimulation simulation = clusterWithServices();
 
     @ParameterizedTest
     @ValueSource(longs = {0, 700, 1_400, 2_100})
-    void anotherLeaderIsElectedWhileThePausedOnesLeaseDoesNotEnd(long storeSteadyMs) {
+    void electsNewLeaderWhilePausedLeadersLeaseStaysValid(long storeSteadyMs) {
         int paused = simulation.leader();
         long end = simulation.now() + PAUSE_MS;
         simulation.pauseController(paused, PAUSE_MS);
@@ -43,7 +43,7 @@
         assertNotEquals(paused, simulation.leader(), "another one leads");
         assertEquals("{\"term\":4096}", simulation.store().value("lead/deposed").toString());
         assertEquals(1, simulation.counter("leadership.depositions"));
-        simulation.runChecked(PAUSE_MS + LONG_MS);
+        simulation.runChecked(PAUSE_MS + OBSERVATION_MS);
         assertHealthy(simulation);
         assertEquals(REPLICAS, simulation.invariants().startCount(), "no agent's lease has ended");
     }
@@ -55,7 +55,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {0, 5_000, 5_400, 5_800, 6_200, 6_600, 7_000, 8_000})
-    void leaderCutOffWithSomeAgentsIsReplacedOnce(long rejectedAfterMs) {
+    void replacesLeaderPartitionedWithSomeAgentsOnce(long rejectedAfterMs) {
         int leader = simulation.leader();
         simulation
                 .users()
@@ -79,11 +79,11 @@
         simulation.runChecked(FAILOVER_LIMIT_MS);
         int successor = simulation.leader();
         assertNotEquals(leader, successor);
-        simulation.runChecked(LONG_MS);
+        simulation.runChecked(OBSERVATION_MS);
         assertEquals(successor, simulation.leader(), "it is not deposed in its turn");
         simulation.setStoreRejects(leader, false);
         forEachPair(leader, itsMachines, others, simulation.network()::heal);
-        simulation.runChecked(LONG_MS);
+        simulation.runChecked(OBSERVATION_MS);
         assertHealthy(simulation);
     }
 
@@ -99,12 +99,12 @@
 
     // Its agents reach it, and it reaches the state service: it leads on, however long nobody else hears it.
     @Test
-    void leaderThatOnlyItsPeersDoNotReachIsNotDeposed() {
+    void keepsLeaderPartitionedOnlyFromPeers() {
         int leader = simulation.leader();
         IntStream.range(0, CONTROLLERS)
                 .filter(peer -> peer != leader)
                 .forEach(peer -> simulation.network().partition(Hosts.controller(leader), Hosts.controller(peer)));
-        simulation.runChecked(LONG_MS);
+        simulation.runChecked(OBSERVATION_MS);
         assertEquals(leader, simulation.leader());
         assertHealthy(simulation);
         assertEquals(REPLICAS, simulation.invariants().startCount());
@@ -112,7 +112,7 @@
 
     // It hears nobody, and agents come to it by chance; it is no majority.
     @Test
-    void controllerThatReachesNoOtherDeposesNobody() {
+    void isolatedControllerDoesNotDeposeLeader() {
         int leader = simulation.leader();
         int alone = (leader + 1) % CONTROLLERS;
         IntStream.range(0, CONTROLLERS)
@@ -121,7 +121,7 @@
         simulation.agents().machineIds().stream()
                 .limit(1)
                 .forEach(machine -> simulation.network().partition(machine, Hosts.controller(leader)));
-        simulation.runChecked(LONG_MS);
+        simulation.runChecked(OBSERVATION_MS);
         assertEquals(leader, simulation.leader());
     }
 }
--- a/src/test/java/io/quartzgw/app/LeaderPauses.java
+++ b/src/test/java/io/quartzgw/app/LeaderPauses.java
@@ -9,17 +9,17 @@
  * cancelled through the other controllers, and in most of them the state service comes and goes meanwhile.
  */
 final class LeaderPauses {
-    private static final long FIRST_MS = 20_000;
-    private static final int INTERVAL_MS = 15_000;
+    private static final long FIRST_PAUSE_MS = 20_000;
+    private static final int MIN_INTERVAL_MS = 15_000;
     private static final int INTERVAL_SPREAD_MS = 30_000;
-    private static final int SHORTEST_MS = 3_000;
-    private static final int LONGEST_MS = 70_000;
+    private static final int MIN_PAUSE_MS = 3_000;
+    private static final int MAX_PAUSE_MS = 70_000;
     /** How long before a pause direct commands are late. */
-    private static final long LATE_COMMANDS_MS = 3_000;
+    private static final long DELAYED_COMMANDS_MS = 3_000;
 
-    private static final double LATE_COMMAND_SHARE = 0.5;
+    private static final double DELAYED_COMMAND_SHARE = 0.5;
     /** One in so many pauses is without an intermittent state service. */
-    private static final int STORE_STEADY_ONE_IN = 4;
+    private static final int STEADY_STORE_ONE_IN = 4;
 
     private static final int CANCELLED_JOBS = 3;
 
@@ -33,15 +33,15 @@
      */
     static void scheduleAll(ClusterSimulation simulation, long seed, long end) {
         SplittableRandom random = new SplittableRandom(~seed);
-        long at = FIRST_MS + random.nextInt(INTERVAL_SPREAD_MS);
-        while (at + SHORTEST_MS < end) {
-            long durationMs = Math.min(SHORTEST_MS + random.nextInt(LONGEST_MS - SHORTEST_MS), end - at);
+        long at = FIRST_PAUSE_MS + random.nextInt(INTERVAL_SPREAD_MS);
+        while (at + MIN_PAUSE_MS < end) {
+            long durationMs = Math.min(MIN_PAUSE_MS + random.nextInt(MAX_PAUSE_MS - MIN_PAUSE_MS), end - at);
             Pause pause = new Pause(
-                    at, durationMs, random.nextBoolean(), random.nextInt(STORE_STEADY_ONE_IN) > 0, random.nextDouble());
+                    at, durationMs, random.nextBoolean(), random.nextInt(STEADY_STORE_ONE_IN) > 0, random.nextDouble());
             simulation.schedule(
-                    at - LATE_COMMANDS_MS, () -> simulation.network().delayCommandShare(LATE_COMMAND_SHARE));
+                    at - DELAYED_COMMANDS_MS, () -> simulation.network().delayCommandShare(DELAYED_COMMAND_SHARE));
             simulation.schedule(at, () -> begin(simulation, pause));
-            at += durationMs + INTERVAL_MS + random.nextInt(INTERVAL_SPREAD_MS);
+            at += durationMs + MIN_INTERVAL_MS + random.nextInt(INTERVAL_SPREAD_MS);
         }
     }
 
@@ -49,11 +49,11 @@
      * One pause.
      *
      * @param withinBatch whether it begins in the middle of a batch
-     * @param storeComesAndGoes whether the state service does meanwhile
-     * @param cancelledAfter when jobs are cancelled, as a fraction of the pause
+     * @param storeIsIntermittent whether the state service does meanwhile
+     * @param cancelFraction when jobs are cancelled, as a fraction of the pause
      */
     private record Pause(
-            long time, long durationMs, boolean withinBatch, boolean storeComesAndGoes, double cancelledAfter) {}
+            long time, long durationMs, boolean withinBatch, boolean storeIsIntermittent, double cancelFraction) {}
 
     private static void begin(ClusterSimulation simulation, Pause pause) {
         LoggerFactory.getLogger(LeaderPauses.class).info("{}", pause);
@@ -64,11 +64,11 @@
         } else {
             simulation.pauseController(leader, pause.durationMs);
         }
-        if (pause.storeComesAndGoes) {
+        if (pause.storeIsIntermittent) {
             simulation.letStoreComeAndGo(pause.time + pause.durationMs);
         }
         simulation.schedule(
-                pause.time + (long) (pause.cancelledAfter * pause.durationMs),
+                pause.time + (long) (pause.cancelFraction * pause.durationMs),
                 () -> simulation.users().cancelRunningJobs(CANCELLED_JOBS));
     }
 }
--- a/src/test/java/io/quartzgw/app/PairedFaultsTest.java
+++ b/src/test/java/io/quartzgw/app/PairedFaultsTest.java
@@ -25,7 +25,7 @@
 /** Two faults at once, as operators have seen them; docs/design.md lists them all. */
 class PairedFaultsTest {
     @Test
-    void jobsAreDoneAfterAllControllersWereDownForLongerThanALease() {
+    void completesJobsAfterAllControllersAreDownLongerThanLease() {
         ClusterSimulation simulation = clusterWithServices();
         List<String> jobs = submitArrays(simulation, 4, 5, 25, "red");
         simulation.runChecked(10_000);
@@ -40,7 +40,7 @@
 
     // Ends of tasks that no controller has recorded: agents send them until they are, whoever leads.
     @Test
-    void jobsWhoseTasksEndFarApartAreDoneThroughALeaderCrash() {
+    void completesJobsWithStaggeredTasksDespiteLeaderCrash() {
         for (long crashAt = 4_000; crashAt <= 40_000; crashAt += 2_000) {
             ClusterSimulation simulation = clusterWithServices();
             List<String> jobs = new ArrayList<>();
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void jobsBoundToAZoneAreDoneWhenMachinesAreLost() {
+    void completesZoneBoundJobsWhenMachinesAreLost() {
         ClusterSimulation simulation = clusterWithServices();
         List<String> jobs = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
@@ -99,7 +99,7 @@
     // Leases expire while commands still get responses: the tasks of such a machine run elsewhere, once.
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void replicasMoveWhenHeartbeatsAreBlockedAndCommandsAreNot(boolean leaderCrashes) {
+    void movesReplicasWhenOnlyHeartbeatsAreBlocked(boolean leaderCrashes) {
         ClusterSimulation simulation = clusterWithServices();
         List<String> jobs = submitArrays(simulation, 5, 4, 30, "red");
         simulation.runChecked(8_000);
@@ -119,7 +119,7 @@
     }
 
     @Test
-    void jobsEndWhenTransactionsAreAppliedAfterNewerOnes() {
+    void endsJobsWhenTransactionsAreAppliedOutOfOrder() {
         ClusterSimulation simulation = clusterWithServices();
         simulation.network().delayTransactionShare(0.3);
         List<String> jobs = submitArrays(simulation, 8, 5, 6, "red");
@@ -136,7 +136,7 @@
 
     // Requests at the moment of the last task's end: every controller tells the same final phase from then on.
     @Test
-    void requestsAtTheEndOfTheLastTaskAllGetTheSameFinalPhase() {
+    void returnsSameFinalPhaseToAllRequestsAtLastTaskEnd() {
         ClusterSimulation simulation = clusterWithServices();
         simulation.users().cancelJobsAtLastTaskEnd(1);
         List<String> jobs = new ArrayList<>();
@@ -176,7 +176,7 @@
     }
 
     @Test
-    void jobsEndWhenCommandsAndTheirResponsesAreDelayed() {
+    void endsJobsWhenCommandsAndResponsesAreDelayed() {
         ClusterSimulation simulation = clusterWithServices();
         simulation.network().delayCommandShare(0.5);
         List<String> jobs = submitArrays(simulation, 8, 4, 8, "red");
@@ -193,7 +193,7 @@
 
     // The order of stops and starts where every message takes long.
     @Test
-    void jobsOfAllPrioritiesAreDoneOverSlowLinksWithTooFewMachines() {
+    void completesJobsOfAllPrioritiesOverSlowLinksWithTooFewMachines() {
         ClusterSimulation simulation = clusterWithServices();
         simulation.network().delayLinksUpTo(600);
         List<String> jobs = new ArrayList<>();
@@ -219,7 +219,7 @@
     // No task may be placed twice or never: in each term some are accepted, started, stopped and ended.
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void jobsEndThroughTenLeaderChangesInTwoMinutes(boolean outage) {
+    void endsJobsDespiteTenLeaderChangesInTwoMinutes(boolean outage) {
         ClusterSimulation simulation = clusterWithServices();
         List<String> jobs = new ArrayList<>();
         for (int change = 0; change < 10; change++) {
@@ -250,7 +250,7 @@
     // held.
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void jobsEndWhenAZoneIsPartitionedForLongerThanALease(boolean leads) {
+    void endsJobsWhenZoneIsPartitionedLongerThanLease(boolean leads) {
         ClusterSimulation simulation = clusterWithServices();
         List<String> jobs = submitArrays(simulation, 5, 4, 20, "red");
         simulation.runChecked(10_000);
@@ -278,7 +278,7 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void longTasksAreDoneWhenTheLeaderCrashesDuringAPartition(boolean inboundOnly) {
+    void completesLongTasksWhenLeaderCrashesDuringPartition(boolean inboundOnly) {
         for (long partitionMs : List.of(6_000L, 14_000L, 40_000L)) {
             ClusterSimulation simulation = clusterWithServices();
             List<String> jobs = submitArrays(simulation, 4, 4, 45, "red");
@@ -311,7 +311,7 @@
     // A cancelled job is no open job any more, and its tasks run on where no command arrives: they count.
     @ParameterizedTest
     @ValueSource(longs = {-300L, 200L, 1_500L, 6_000L})
-    void quotaHoldsWhenTheLeaderCrashesWhileMachinesAreSilentAndJobsAreCancelled(long cancelAfterMs) {
+    void enforcesQuotaDespiteLeaderCrashPartitionedMachinesAndCancellations(long cancelAfterMs) {
         ClusterSimulation simulation = clusterWithServices();
         List<String> jobs = submitArrays(simulation, 6, 5, 25, "green");
         simulation.runChecked(20_000);
@@ -329,7 +329,7 @@
     }
 
     @Test
-    void nothingRestartsWhenAllControllersCrashAndOneIsBackWithinASecond() {
+    void keepsTasksRunningWhenAllControllersCrashAndOneRestartsWithinOneSecond() {
         for (int returns = 0; returns < 3; returns++) {
             for (long downMs : List.of(50L, 400L, 900L)) {
                 ClusterSimulation simulation = clusterWithServices();
@@ -353,7 +353,7 @@
     // What a controller read before it was paused: it responds to nobody by it once it resumes, and deposes nobody.
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aPausedControllerThatResumesTellsNoOldStateAndDeposesNobody(boolean leads) {
+    void resumedControllerReturnsNoStaleStateAndDeposesNoLeader(boolean leads) {
         for (long pauseMs : List.of(3_000L, 9_000L, 20_000L, 70_000L)) {
             ClusterSimulation simulation = clusterWithServices();
             List<String> jobs = submitArrays(simulation, 4, 4, 12, "red");
--- a/src/test/java/io/quartzgw/app/PausedLeaderTest.java
+++ b/src/test/java/io/quartzgw/app/PausedLeaderTest.java
@@ -26,15 +26,15 @@
 class PausedLeaderTest {
     private static final String JOB = "j-000701";
     private static final String TASK = JOB + "/0";
-    private static final long SHORTEST_PAUSE_MS = 56_000;
-    private static final long CANCELLED_AFTER_MS = 1_600;
+    private static final long MIN_PAUSE_MS = 56_000;
+    private static final long CANCEL_DELAY_MS = 1_600;
     private static final long RECOVERY_MS = 120_000;
     private static final double RUN_S = 40;
 
     private final ClusterSimulation simulation = clusterWithServices();
 
     /** Submits a job whose tasks run as soon as their start arrives, and runs until the start has left. */
-    private void runUntilStartIsOnItsWay() {
+    private void runUntilStartIsInFlight() {
         simulation
                 .users()
                 .submitUntilAccepted(JobRequests.array(JOB, "blue", 1, 2, 90).put("pull_gb", 0.0));
@@ -55,16 +55,16 @@
 
     /** Of several agents, one has to send its heartbeat just when the leader goes on. */
     static LongStream pauses() {
-        return LongStream.range(0, 24).map(step -> SHORTEST_PAUSE_MS + 250 * step);
+        return LongStream.range(0, 24).map(step -> MIN_PAUSE_MS + 250 * step);
     }
 
     @ParameterizedTest
     @MethodSource("pauses")
-    void leaderThatWasPausedStartsNoCancelledTaskAgain(long pauseMs) {
-        runUntilStartIsOnItsWay();
+    void resumedLeaderDoesNotRestartCancelledTask(long pauseMs) {
+        runUntilStartIsInFlight();
         int leader = simulation.leader();
         simulation.pauseController(leader, pauseMs);
-        simulation.runChecked(CANCELLED_AFTER_MS);
+        simulation.runChecked(CANCEL_DELAY_MS);
         assertTrue(simulation.invariants().runningTasks().contains(TASK), "the start was executed");
         cancelAtAnotherController(leader);
         simulation.runChecked(100);
@@ -79,8 +79,8 @@
     /** The process stands still between the decision to start a task and the call that starts it. */
     @ParameterizedTest
     @ValueSource(longs = {4_000, 10_000, 40_000})
-    void startDecidedBeforeAPauseDoesNotLeaveAfterIt(long pauseMs) {
-        runUntilStartIsOnItsWay();
+    void doesNotSendStartDecidedBeforePause(long pauseMs) {
+        runUntilStartIsInFlight();
         long decidedAt = simulation.now();
         ClusterSimulation same = clusterWithServices();
         submit(same);
@@ -96,7 +96,7 @@
 
     /** The same in the response to a heartbeat; direct calls do not arrive. */
     @Test
-    void responseWithAStartThatWasBuiltBeforeAPauseDoesNotLeaveAfterIt() {
+    void doesNotSendHeartbeatResponseWithStartBuiltBeforePause() {
         holdAllCommands(simulation);
         submit(simulation);
         while (simulation.counter("orders.in_responses") == 0) {
@@ -121,18 +121,18 @@
     /** An idle machine is to be returned; by the time the leader goes on, its successor may use it. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void deletionDecidedBeforeAPauseDoesNotLeaveAfterIt(long earlierMs) {
-        long deletedAt = runUntilAMachineIsDeleted(simulation);
+    void doesNotSendDeletionDecidedBeforePause(long earlierMs) {
+        long deletedAt = runUntilMachineIsDeleted(simulation);
         ClusterSimulation same = clusterWithServices();
-        submitLarge(same);
+        submitJobLargerThanCluster(same);
         same.runUntil(deletedAt - earlierMs);
-        same.pauseControllerWithinBatch(same.leader(), SHORTEST_PAUSE_MS);
+        same.pauseControllerWithinBatch(same.leader(), MIN_PAUSE_MS);
         same.runChecked(RECOVERY_MS);
         assertHealthy(same);
     }
 
-    private static long runUntilAMachineIsDeleted(ClusterSimulation cluster) {
-        submitLarge(cluster);
+    private static long runUntilMachineIsDeleted(ClusterSimulation cluster) {
+        submitJobLargerThanCluster(cluster);
         int most = 0;
         while (cluster.agents().machineIds().size() >= most) {
             most = Math.max(most, cluster.agents().machineIds().size());
@@ -142,7 +142,7 @@
     }
 
     /** Submits more than the rented machines hold. */
-    private static void submitLarge(ClusterSimulation cluster) {
+    private static void submitJobLargerThanCluster(ClusterSimulation cluster) {
         cluster.users().submitUntilAccepted(JobRequests.array("j-000702", "blue", 12, 4, 10));
     }
 }
--- a/src/test/java/io/quartzgw/app/RandomLoads.java
+++ b/src/test/java/io/quartzgw/app/RandomLoads.java
@@ -9,15 +9,15 @@
 
 /** Random jobs for a simulation, submitted within its first 150 seconds; some are cancelled later. */
 final class RandomLoads {
-    private static final int SUBMITTED_WITHIN_MS = 150_000;
+    private static final int SUBMISSION_PERIOD_MS = 150_000;
     private static final int MIN_CANCEL_DELAY_MS = 5_000;
 
     private static final int MIXED_JOBS = 30;
-    private static final int FIRST_MIXED_JOB = 1_000;
+    private static final int FIRST_MIXED_JOB_NUMBER = 1_000;
     private static final int MIXED_CANCEL_SPREAD_MS = 60_000;
 
     private static final int CONSTRAINED_JOBS = 24;
-    private static final int FIRST_CONSTRAINED_JOB = 2_000;
+    private static final int FIRST_CONSTRAINED_JOB_NUMBER = 2_000;
     private static final int CONSTRAINED_CANCEL_SPREAD_MS = 80_000;
 
     private RandomLoads() {}
@@ -26,7 +26,7 @@
     static List<String> scheduleMixedJobs(ClusterSimulation simulation, SplittableRandom random) {
         List<String> arrays = new ArrayList<>();
         for (int i = 0; i < MIXED_JOBS; i++) {
-            String id = JobRequests.id(FIRST_MIXED_JOB + i);
+            String id = JobRequests.id(FIRST_MIXED_JOB_NUMBER + i);
             String team = random.nextBoolean() ? "red" : "blue";
             boolean service = i % 3 == 0;
             ObjectNode spec = service
@@ -38,7 +38,7 @@
             if (!service) {
                 arrays.add(id);
             }
-            long submitAt = random.nextInt(SUBMITTED_WITHIN_MS);
+            long submitAt = random.nextInt(SUBMISSION_PERIOD_MS);
             boolean cancelled = (service && i % 2 == 0) || i % 10 == 1;
             schedule(simulation, spec, submitAt, cancelTime(random, cancelled, submitAt, MIXED_CANCEL_SPREAD_MS));
         }
@@ -52,7 +52,7 @@
     static List<String> scheduleConstrainedJobs(ClusterSimulation simulation, SplittableRandom random) {
         List<String> arrays = new ArrayList<>();
         for (int i = 0; i < CONSTRAINED_JOBS; i++) {
-            String id = JobRequests.id(FIRST_CONSTRAINED_JOB + i);
+            String id = JobRequests.id(FIRST_CONSTRAINED_JOB_NUMBER + i);
             boolean service = i % 4 == 0;
             ObjectNode spec = service ? blueService(id, random) : arrayOfAnyTeam(id, i % 4 == 1, random);
             if (random.nextInt(3) == 0) {
@@ -66,7 +66,7 @@
                 spec.put("urgency", List.of("standard", "urgent", "low").get(random.nextInt(3)));
                 arrays.add(id);
             }
-            long submitAt = random.nextInt(SUBMITTED_WITHIN_MS);
+            long submitAt = random.nextInt(SUBMISSION_PERIOD_MS);
             boolean cancelled = random.nextInt(4) == 0;
             schedule(simulation, spec, submitAt, cancelTime(random, cancelled, submitAt, CONSTRAINED_CANCEL_SPREAD_MS));
         }
--- a/src/test/java/io/quartzgw/app/SingleFault.java
+++ b/src/test/java/io/quartzgw/app/SingleFault.java
@@ -22,14 +22,14 @@
             event.machine(simulation).ifPresent(machine -> simulation.cloud().fail(machine, event.time))),
     INBOUND_MESSAGES_OF_MACHINES_ARE_BLOCKED(SingleFault::blockInboundOfHalfTheMachines),
     CONTROLLER_IS_BACK_AT_ONCE((simulation, event) -> simulation.crash(event.controller, 100 + event.durationMs % 400)),
-    CONTROLLERS_CRASH_DURING_AN_ELECTION(SingleFault::crashTwoControllersInTurn),
+    CONTROLLERS_CRASH_DURING_AN_ELECTION(SingleFault::crashTwoControllersInSequence),
     MACHINE_REBOOTS((simulation, event) ->
             event.machine(simulation).ifPresent(machine -> simulation.agents().reboot(machine, event.isEven()))),
     CONTROLLER_IS_PARTITIONED_FROM_ITS_PEERS(SingleFault::partitionFromPeersAndStore);
 
     private static final int CONTROLLERS = 3;
-    private static final long FIRST_MS = 20_000;
-    private static final long LAST_MS = 180_000;
+    private static final long FIRST_START_MS = 20_000;
+    private static final long LAST_START_MS = 180_000;
 
     @SuppressWarnings("ImmutableEnumChecker") // References to static methods have no state.
     private final BiConsumer<ClusterSimulation, Event> injection;
@@ -60,7 +60,7 @@
 
     /** Schedules random faults, one after the other. */
     static void scheduleAll(ClusterSimulation simulation, SplittableRandom random) {
-        for (long time = FIRST_MS; time < LAST_MS; time += 8_000 + random.nextInt(12_000)) {
+        for (long time = FIRST_START_MS; time < LAST_START_MS; time += 8_000 + random.nextInt(12_000)) {
             long durationMs = 2_000L + random.nextInt(28_000);
             int controller = random.nextInt(CONTROLLERS);
             String otherHost = List.of(
@@ -111,7 +111,7 @@
     }
 
     /** A controller crashes, and one that may stand for election is restarted in the middle of it. */
-    private static void crashTwoControllersInTurn(ClusterSimulation simulation, Event event) {
+    private static void crashTwoControllersInSequence(ClusterSimulation simulation, Event event) {
         simulation.crash(event.controller, 200);
         int next = (event.controller + 1) % CONTROLLERS;
         simulation.schedule(
--- a/src/test/java/io/quartzgw/app/ScenarioTest.java
+++ b/src/test/java/io/quartzgw/app/SingleFaultsTest.java
@@ -16,15 +16,15 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Single faults, each with what users notice of it. */
-class ScenarioTest {
-    private static void assertNothingRestarted(ClusterSimulation simulation) {
+class SingleFaultsTest {
+    private static void assertNoTaskRestarted(ClusterSimulation simulation) {
         assertEquals(List.of(), simulation.invariants().violations());
         assertEquals(REPLICAS, simulation.invariants().runningTasks().size());
         assertEquals(REPLICAS, simulation.invariants().startCount(), "no replica was started again");
     }
 
     @Test
-    void leaderCrashRestartsNothing() {
+    void keepsTasksRunningWhenLeaderCrashes() {
         ClusterSimulation simulation = clusterWithServices();
         int leader = simulation.leader();
         simulation.crash(leader);
@@ -32,11 +32,11 @@
         assertTrue(simulation.hasLeader() && simulation.leader() != leader, "another controller leads");
         simulation.start(leader);
         simulation.runUntil(120_000);
-        assertNothingRestarted(simulation);
+        assertNoTaskRestarted(simulation);
     }
 
     @Test
-    void crashOfAllControllersRestartsNothing() {
+    void keepsTasksRunningWhenAllControllersCrash() {
         ClusterSimulation simulation = clusterWithServices();
         for (int i = 0; i < 3; i++) {
             simulation.crash(i);
@@ -44,14 +44,14 @@
             simulation.schedule(simulation.now() + 6_000 + 500L * i, () -> simulation.start(controller));
         }
         simulation.runUntil(120_000);
-        assertNothingRestarted(simulation);
+        assertNoTaskRestarted(simulation);
     }
 
     // A paused leader has received no heartbeat when it resumes, and may not have heard
     // of its successor either.
     @ParameterizedTest
     @ValueSource(longs = {3_000L, 9_000L, 30_000L, 70_000L})
-    void pausedLeaderThatResumesGivesUpNoMachine(long pauseMs) {
+    void resumedLeaderDeclaresNoMachineLost(long pauseMs) {
         ClusterSimulation simulation = clusterWithServices();
         String leader = Hosts.controller(simulation.leader());
         simulation.pauseController(simulation.leader(), pauseMs);
@@ -59,24 +59,24 @@
         simulation.runUntil(simulation.now() + pauseMs + 2_000);
         simulation.network().heal(leader, Hosts.ALL);
         simulation.runUntil(simulation.now() + 30_000);
-        assertNothingRestarted(simulation);
+        assertNoTaskRestarted(simulation);
         assertEquals(0, simulation.counter("machines.given_up"));
     }
 
     // The grace counts from the time up to which the leader knows all cancellations.
     @Test
-    void outageLongerThanGraceAndLeaseRestartsNothing() {
+    void keepsTasksRunningWhenStoreOutageExceedsGracePeriodAndLease() {
         ClusterSimulation simulation = clusterWithServices();
         simulation.store().setOutage(true);
         simulation.runUntil(simulation.now() + 60_000);
         simulation.store().setOutage(false);
         simulation.runUntil(simulation.now() + 30_000);
-        assertNothingRestarted(simulation);
+        assertNoTaskRestarted(simulation);
     }
 
     // Whether a leader is able to lead is not judged by its access to the state service alone.
     @Test
-    void leaderPartitionedFromAllAgentsHandsOver() {
+    void handsOverWhenLeaderIsPartitionedFromAllAgents() {
         ClusterSimulation simulation = clusterWithServices();
         int leader = simulation.leader();
         List<String> machines = simulation.agents().machineIds();
@@ -85,23 +85,23 @@
         assertTrue(simulation.hasLeader() && simulation.leader() != leader, "another controller leads");
         machines.forEach(machine -> simulation.network().heal(Hosts.controller(leader), machine));
         simulation.runUntil(simulation.now() + 30_000);
-        assertNothingRestarted(simulation);
+        assertNoTaskRestarted(simulation);
     }
 
     // The leases of a few agents count more than a takeover of a second.
     @Test
-    void leaderPartitionedFromOneAgentHandsOver() {
+    void handsOverWhenLeaderIsPartitionedFromOneAgent() {
         ClusterSimulation simulation = clusterWithServices();
         int leader = simulation.leader();
         String machine = simulation.agents().machineIds().get(0);
         simulation.network().partition(Hosts.controller(leader), machine);
         simulation.runUntil(simulation.now() + 30_000);
         assertTrue(simulation.hasLeader() && simulation.leader() != leader, "another controller leads");
-        assertNothingRestarted(simulation);
+        assertNoTaskRestarted(simulation);
     }
 
     @Test
-    void leaderPartitionedFromAllButItsAgentsIsReplaced() {
+    void replacesLeaderThatOnlyAgentsReach() {
         ClusterSimulation simulation = clusterWithServices();
         int leader = simulation.leader();
         for (String other : List.of(Hosts.controller(0), Hosts.controller(1), Hosts.controller(2), Hosts.STORE)) {
@@ -109,13 +109,13 @@
         }
         simulation.runUntil(simulation.now() + 30_000);
         assertTrue(simulation.hasLeader() && simulation.leader() != leader, "another controller leads");
-        assertNothingRestarted(simulation);
+        assertNoTaskRestarted(simulation);
     }
 
     // Unaccounted tasks: a machine that is silent to the new leader may get responses from the former one for
     // longer than the recovery window lasts, and its tasks run on.
     @Test
-    void tasksThatOnlyTheFormerLeaderReachesRunNowhereElse() {
+    void restartsTasksOnlyAfterHoldWhenOnlyPreviousLeaderReachesMachine() {
         ClusterSimulation simulation = clusterWithServices();
         int leader = simulation.leader();
         String machine = simulation.agents().machineIds().get(0);
@@ -138,7 +138,7 @@
     // The leader must not take machines that receive nothing for a fault of its own, nor rent others
     // for them without bound: half of them receive nothing for several leases, while their heartbeats arrive.
     @Test
-    void machinesWithInboundBlockedDeposeNobodyAndAreNotReplacedWithoutBound() {
+    void keepsLeaderAndLimitsScaleOutWhenInboundTrafficIsBlocked() {
         ClusterSimulation simulation = clusterWithServices();
         int leader = simulation.leader();
         int before = simulation.agents().machineIds().size();
@@ -169,7 +169,7 @@
     // The lease of the former process is still valid, and the other controllers may not have noticed.
     @ParameterizedTest
     @ValueSource(longs = {50L, 200L, 600L})
-    void leaderThatIsBackAtOnceRestartsNothing(long downMs) {
+    void keepsTasksRunningWhenLeaderRestartsImmediately(long downMs) {
         ClusterSimulation simulation = clusterWithServices();
         int leader = simulation.leader();
         simulation.crash(leader);
@@ -178,14 +178,14 @@
         simulation.runUntil(simulation.now() + 8_000);
         assertTrue(simulation.hasLeader(), "there is a leader again");
         simulation.runUntil(simulation.now() + 60_000);
-        assertNothingRestarted(simulation);
+        assertNoTaskRestarted(simulation);
     }
 
     // A machine is back before its silence shows: its new agent counts its epochs from the first or
     // from the next one, and what ran there is gone.
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void replicasRunAgainAfterAMachineRebooted(boolean epochKept) {
+    void restartsReplicasAfterMachineReboot(boolean epochKept) {
         ClusterSimulation simulation = clusterWithServices();
         String machine = simulation.agents().machineIds().get(0);
         simulation.agents().reboot(machine, epochKept);
@@ -196,7 +196,7 @@
 
     // Late duplicates of a lost machine's heartbeats must not show it as alive.
     @Test
-    void duplicateHeartbeatsDoNotDelayALostMachinesReplicas() {
+    void restartsReplicasOfLostMachineDespiteDuplicateHeartbeats() {
         ClusterSimulation simulation = clusterWithServices();
         simulation.network().duplicateMessageShare(1);
         simulation.runUntil(simulation.now() + 30_000);
@@ -210,7 +210,7 @@
     // To a new leader a late duplicate looks like a machine's first heartbeat in the recovery window, and hides what
     // was started since. The machine itself is partitioned for less than its lease, so all of that runs on.
     @Test
-    void duplicateHeartbeatsTellANewLeaderNothing() {
+    void newLeaderIgnoresDuplicateHeartbeats() {
         ClusterSimulation simulation = clusterWithServices();
         simulation.network().duplicateMessageShare(1);
         simulation.runUntil(simulation.now() + 20_000);
@@ -232,7 +232,7 @@
 
     // Cancellations that can't reach the leader: it responds to its agents for the grace at the most.
     @Test
-    void jobCancelledWithoutAPartitionedLeaderEndsInTime() {
+    void endsCancelledJobInTimeWhenLeaderIsPartitioned() {
         ClusterSimulation simulation = clusterWithServices();
         int leader = simulation.leader();
         for (String other : List.of(Hosts.controller(0), Hosts.controller(1), Hosts.controller(2), Hosts.STORE)) {
@@ -253,7 +253,7 @@
     // Jobs that the leader learns of in no ordinary way: the notice is lost with a partition between controllers,
     // and the changes are gone from the state service before the leader can watch again.
     @Test
-    void jobRunsThatTheLeaderLearnsOfByNeitherNoticeNorWatch() {
+    void runsJobWhenLeaderReceivesNeitherNoticeNorWatchEvent() {
         ClusterSimulation simulation = clusterWithServices();
         int leader = simulation.leader();
         for (int i = 0; i < 3; i++) {
@@ -276,7 +276,7 @@
     }
 
     @Test
-    void replicasOfAFailedMachineMoveOnce() {
+    void movesReplicasOfFailedMachineOnce() {
         ClusterSimulation simulation = clusterWithServices();
         String machine = simulation.agents().machineIds().get(0);
         simulation.cloud().fail(machine, simulation.now());
@@ -286,7 +286,7 @@
     }
 
     @Test
-    void usersGetAnErrorAtOnceDuringAnOutage() {
+    void returnsErrorImmediatelyDuringStoreOutage() {
         ClusterSimulation simulation = clusterWithServices();
         simulation.store().setOutage(true);
         simulation.runUntil(simulation.now() + 2_000);
@@ -304,7 +304,7 @@
 
     // A controller must not count as unable because it has no requests.
     @Test
-    void controllerWithoutRequestsIsReady() {
+    void reportsReadyWithoutAnyRequests() {
         ClusterSimulation simulation = new ClusterSimulation(7, 3);
         simulation.runUntil(60_000);
         for (int i = 0; i < 3; i++) {
@@ -316,7 +316,7 @@
     }
 
     @Test
-    void invalidRequestsGetTheStatusOfTheProtocol() {
+    void returnsProtocolStatusForInvalidRequests() {
         ClusterSimulation simulation = clusterWithServices();
         ObjectNode good = JobRequests.array("j-000100", "blue", 2, 2, 5);
         assertEquals(
