--- a/src/test/java/io/quartzgw/app/CancellationTest.java
+++ b/src/test/java/io/quartzgw/app/CancellationTest.java
@@ -17,8 +17,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Jobs that are cancelled while their leader has a fault. The tasks are gone within the cancel limit, whichever
- * controller told the user, in whichever response, and whatever faults the controllers have next.
+ * Cancels jobs while their leader has a fault. Guards against a leader that renews the leases of agents without having
+ * received the cancellation. The tasks must stop within the cancel limit, whichever controller acknowledges the
+ * cancellation, in whichever response, and whatever faults follow.
  */
 class CancellationTest {
     private static final String JOB = "j-000001";
@@ -29,7 +30,7 @@
     private final List<Reply> userReplies = new ArrayList<>();
 
     private void assertCancellationAcknowledged() {
-        assertTrue(isCancellationAcknowledged(), "a user was told");
+        assertTrue(isCancellationAcknowledged(), "cancellation is acknowledged");
     }
 
     private boolean isCancellationAcknowledged() {
@@ -52,7 +53,7 @@
         return (controller + offset) % 3;
     }
 
-    /** The state service rejects the leader alone, then the job is cancelled in some way, then there is an outage. */
+    /** Makes the state service reject only the leader, then cancels the job, then begins an outage of the service. */
     private ClusterSimulation cancelBeforeOutage(long rejectedMs, BiConsumer<ClusterSimulation, Integer> cancelling) {
         ClusterSimulation simulation = clusterWithServices();
         int leader = simulation.leader();
@@ -61,7 +62,7 @@
         cancelling.accept(simulation, leader);
         simulation.runChecked(rejectedMs - 200);
         simulation.store().setOutage(true);
-        assertEquals(leader, simulation.leader(), "agents send heartbeats to the old leader");
+        assertEquals(leader, simulation.leader(), "the rejected leader still leads");
         return simulation;
     }
 
@@ -73,7 +74,10 @@
         simulation.store().setOutage(false);
         simulation.runChecked(40_000);
         assertNoTaskRuns(simulation);
-        assertEquals(List.of(), simulation.invariants().missingReplicas(), "what was not cancelled runs");
+        assertEquals(
+                List.of(),
+                simulation.invariants().missingReplicas(),
+                "all replicas of jobs that are not cancelled run");
     }
 
     @Test
@@ -83,8 +87,9 @@
         assertCancelledThroughOutage(simulation, simulation.leader());
     }
 
-    // Times around the lease, the grace and the cancellation limit, machines that hang or receive nothing, messages
-    // between controllers that are duplicated, and two timings: cancellation limit less lease is 20 and 30 s.
+    // Covers times around the lease, the grace period and the cancel limit, machines that hang or whose inbound traffic
+    // is blocked, duplicated messages between controllers, and two timings: the cancel limit exceeds the lease by 20 s
+    // and by 30 s.
     @Test
     void stopsTasksCancelledAtRandomTimesAroundRejectionAndOutage() {
         List<AgentTiming> timings =
@@ -119,7 +124,7 @@
         }
     }
 
-    /** Schedules a fault of machines, of a controller or of the network, each of its own kind by its number. */
+    /** Schedules a fault of machines, of a controller or of the network, selected by its number. */
     private static void scheduleFault(ClusterSimulation simulation, int kind, long from, long until) {
         int leader = simulation.leader();
         int follower = peerOf(leader, 1);
@@ -149,12 +154,12 @@
         }
     }
 
-    // Responses that arrive after their timeout: to the cancellation, to the leader's renewals, to its watch.
+    // The slow state service answers the cancellation, the leader's lease renewals and its watch after their timeouts.
     @ParameterizedTest
     @ValueSource(longs = {1_000L, 2_500L, 5_000L})
     void stopsTasksCancelledWithSlowStoreThatThenRejectsLeader(long maxDelayMs) {
         userReplies.clear();
-        // Whether a user is told in time depends on the delays; where none is, the next seed shows nothing less.
+        // The delays decide whether the cancellation is acknowledged in time. If not, the next seed is tried.
         for (long seed = FIRST_SEED; !isCancellationAcknowledged() && seed < FIRST_SEED + MAX_SEEDS; seed++) {
             cancelWithSlowStoreThenRejectLeader(clusterWithServices(seed), maxDelayMs);
         }
@@ -187,8 +192,8 @@
         assertEquals(0, simulation.failedCommands());
     }
 
-    // The transaction was carried out, its response got lost, and the user is told of the end by
-    // another controller, in the response to a repeated cancellation, a query, or a repeated submission.
+    // The state service applies the cancellation, but its response is lost. Another request acknowledges it to the
+    // user: a repeated cancellation, a query or a repeated submission, at either follower.
     @Test
     void stopsTasksWhenCancellationIsAcknowledgedAfterLostTransactionResponse() {
         List<BiConsumer<ClusterSimulation, Integer>> requests = List.of(
@@ -198,28 +203,29 @@
                         .submitOnce(
                                 controller, cluster.users().submittedSpec(JOB).orElseThrow(), userReplies::add));
         for (BiConsumer<ClusterSimulation, Integer> request : requests) {
-            for (int by = 1; by <= 2; by++) {
-                int receiver = by;
+            for (int offset = 1; offset <= 2; offset++) {
+                int receiverOffset = offset;
                 userReplies.clear();
                 ClusterSimulation simulation = cancelBeforeOutage(1_500, (cluster, leader) -> {
                     cluster.network().loseTransactionResponses(1);
                     cluster.users().cancelJob(peerOf(leader, 1), JOB, reply -> {});
                     cluster.runChecked(300);
                     cluster.network().loseTransactionResponses(0);
-                    request.accept(cluster, peerOf(leader, receiver));
+                    request.accept(cluster, peerOf(leader, receiverOffset));
                 });
                 assertCancelledThroughOutage(simulation, simulation.leader());
             }
         }
     }
 
-    // What a process told between its last response to a peer and its crash, also where a second restart follows.
+    // A controller acknowledges the cancellation after its last message to a peer, then crashes. It is restarted once
+    // or twice.
     @Test
     void stopsTasksWhenAcknowledgingControllerRestarts() {
         for (int restarts = 1; restarts <= 2; restarts++) {
             userReplies.clear();
             ClusterSimulation simulation = cancelBeforeOutage(2_000, (cluster, leader) -> {
-                // Nothing that this controller sends reaches the others before it crashes.
+                // No message of this controller reaches its peers before it crashes.
                 cluster.network().partition(Hosts.controller(peerOf(leader, 1)), Hosts.controller(leader));
                 cluster.network().partition(Hosts.controller(peerOf(leader, 1)), Hosts.controller(peerOf(leader, 2)));
                 cluster.users().cancelJob(peerOf(leader, 1), JOB, userReplies::add);
@@ -240,18 +246,18 @@
         }
     }
 
-    // The leader is partitioned from the controller that told the user for longer than the grace, and connected again
-    // just before its agents' leases would expire.
+    // The leader is partitioned from the acknowledging controller for longer than the grace period. The partition heals
+    // just before the leases of the leader's agents would expire.
     @Test
     void stopsTasksWhenLeaderReceivesCancellationAfterGracePeriod() {
-        for (long silentMs = 28_000; silentMs <= 30_400; silentMs += 200) {
+        for (long durationMs = 28_000; durationMs <= 30_400; durationMs += 200) {
             userReplies.clear();
-            long cutMs = silentMs;
+            long partitionMs = durationMs;
             ClusterSimulation simulation = cancelBeforeOutage(2_000, (cluster, leader) -> {
                 cluster.network().partition(Hosts.controller(peerOf(leader, 1)), Hosts.controller(leader));
                 cluster.network().partition(Hosts.controller(peerOf(leader, 1)), Hosts.controller(peerOf(leader, 2)));
                 cluster.users().cancelJob(peerOf(leader, 1), JOB, userReplies::add);
-                cluster.schedule(cluster.now() + cutMs, () -> {
+                cluster.schedule(cluster.now() + partitionMs, () -> {
                     cluster.network()
                             .healDroppingPackets(Hosts.controller(peerOf(leader, 1)), Hosts.controller(leader));
                     cluster.network()
@@ -263,34 +269,42 @@
         }
     }
 
-    // A new leader that can't read the state service renews leases without knowing which jobs are open.
+    // A new leader that cannot read the state service renews leases without knowing which jobs have ended.
     @Test
     void stopsTasksWhenNewLeaderCannotReadCancellationDuringOutage() {
         for (long seed = 5; seed < 13; seed++) {
             userReplies.clear();
             ClusterSimulation simulation = clusterWithServices(seed);
-            int former = simulation.leader();
-            simulation.network().partition(Hosts.controller(former), Hosts.controller(peerOf(former, 1)));
+            int previousLeader = simulation.leader();
+            simulation
+                    .network()
+                    .partition(Hosts.controller(previousLeader), Hosts.controller(peerOf(previousLeader, 1)));
             if (seed % 2 == 0) {
-                // Nothing reaches the former leader, which would stop the tasks: it is connected again once it is
-                // deposed.
-                simulation.network().partition(Hosts.controller(former), Hosts.controller(peerOf(former, 2)));
+                // The previous leader is fully isolated until it is deposed, so it does not receive the cancellation
+                // and does not stop the tasks.
+                simulation
+                        .network()
+                        .partition(Hosts.controller(previousLeader), Hosts.controller(peerOf(previousLeader, 2)));
             }
-            simulation.setStoreRejects(former, true);
+            simulation.setStoreRejects(previousLeader, true);
             simulation.runChecked(200);
-            simulation.users().cancelJob(peerOf(former, 1), JOB, userReplies::add);
+            simulation.users().cancelJob(peerOf(previousLeader, 1), JOB, userReplies::add);
             simulation.runUntil(simulation.now() + 1_000);
-            while (simulation.leader() == former || !simulation.hasLeader()) {
+            while (simulation.leader() == previousLeader || !simulation.hasLeader()) {
                 simulation.runUntil(simulation.now() + 1);
             }
             simulation.store().setOutage(true);
-            simulation.network().healDroppingPackets(Hosts.controller(former), Hosts.controller(peerOf(former, 1)));
-            simulation.network().healDroppingPackets(Hosts.controller(former), Hosts.controller(peerOf(former, 2)));
-            assertCancelledThroughOutage(simulation, former);
+            simulation
+                    .network()
+                    .healDroppingPackets(Hosts.controller(previousLeader), Hosts.controller(peerOf(previousLeader, 1)));
+            simulation
+                    .network()
+                    .healDroppingPackets(Hosts.controller(previousLeader), Hosts.controller(peerOf(previousLeader, 2)));
+            assertCancelledThroughOutage(simulation, previousLeader);
         }
     }
 
-    // Several leaders in turn, none of which reads the state service: each renews leases with its first responses.
+    // None of several successive leaders can read the state service; each renews leases in its first responses.
     @Test
     void stopsTasksWhenSuccessiveLeadersCannotReadCancellation() {
         ClusterSimulation simulation = clusterWithServices();
@@ -316,7 +330,7 @@
         assertNoTaskRuns(simulation);
     }
 
-    // The notice of a submission is delayed and arrives after that of the cancellation, while watches are paused.
+    // While watches are paused, the notice of a submission is delayed and arrives after that of the cancellation.
     @Test
     void startsNothingWhenSubmissionNoticeArrivesAfterCancellation() {
         for (long seed = 5; seed < 13; seed++) {
@@ -330,14 +344,17 @@
             simulation.runChecked(400);
             simulation.users().cancelJob(receiver, "j-000070", userReplies::add);
             simulation.runChecked(300);
-            int before = simulation.invariants().startCount();
-            // The packets that were held back are delivered in any order now.
+            int startsBefore = simulation.invariants().startCount();
+            // The delayed packets are now delivered in any order.
             simulation.network().heal(Hosts.controller(receiver), Hosts.controller(leader));
             simulation.runChecked(10_000);
             simulation.store().setWatchesPaused(false);
             simulation.runChecked(30_000);
             assertCancellationAcknowledged();
-            assertEquals(before, simulation.invariants().startCount(), "nothing starts after the confirmation");
+            assertEquals(
+                    startsBefore,
+                    simulation.invariants().startCount(),
+                    "no task starts after the cancellation is acknowledged");
             assertNoTaskRuns(simulation, "j-000070");
         }
     }
--- a/src/test/java/io/quartzgw/app/ClusterAssertions.java
+++ b/src/test/java/io/quartzgw/app/ClusterAssertions.java
@@ -6,7 +6,7 @@
 import io.quartzgw.simulation.ClusterSimulation;
 import java.util.List;
 
-/** What tests of whole controllers assert once a simulation has run. */
+/** Assertions of the tests of whole controllers, for use after a simulation has run. */
 final class ClusterAssertions {
     private static final int MIN_STARTS = 20;
 
@@ -15,21 +15,22 @@
     /** Asserts that no invariant was violated, no command failed inside a controller, and every service runs. */
     static void assertHealthy(ClusterSimulation simulation) {
         assertEquals(List.of(), simulation.invariants().violations());
-        assertEquals(List.of(), simulation.invariants().missingReplicas(), "every service runs");
-        assertEquals(0, simulation.failedCommands(), "commands that failed inside a controller");
+        assertEquals(List.of(), simulation.invariants().missingReplicas(), "all replicas of every service run");
+        assertEquals(0, simulation.failedCommands(), "number of commands that failed inside a controller");
     }
 
-    /** Asserts that users were told of the end of each job, be it done or cancelled. */
+    /** Asserts that a terminal state, completed or cancelled, was reported to users for each job. */
     static void assertAllEnded(ClusterSimulation simulation, List<String> jobs) {
-        List<String> open = jobs.stream()
+        List<String> notEnded = jobs.stream()
                 .filter(id -> simulation.invariants().finalPhase(id).isEmpty())
                 .toList();
-        assertEquals(List.of(), open, "every job has ended");
+        assertEquals(List.of(), notEnded, "every job has ended");
     }
 
     /**
-     * Asserts, once a test has ended its faults, that the cluster recovers until a time: every request is answered, no
-     * job waits though there is room, and at the end everything is healthy and every job of a list has ended.
+     * Asserts that the cluster recovers after a test has ended its faults. Until the end time every request must be
+     * answered, and no job may wait while there is capacity for it. At the end the cluster must be healthy and all
+     * given jobs must have ended.
      */
     static void assertRecovers(ClusterSimulation simulation, List<String> jobs, long end) {
         simulation.invariants().faultsOver(simulation.now());
@@ -39,14 +40,14 @@
         }
         assertHealthy(simulation);
         assertAllEnded(simulation, jobs);
-        assertTrue(simulation.invariants().startCount() > MIN_STARTS, "tasks were started");
+        assertTrue(simulation.invariants().startCount() > MIN_STARTS, "enough tasks were started");
     }
 
-    /** Asserts that users were told of each job that it is done. */
+    /** Asserts that each job was reported to users as completed. */
     static void assertAllDone(ClusterSimulation simulation, List<String> jobs) {
-        List<String> notDone = jobs.stream()
+        List<String> notCompleted = jobs.stream()
                 .filter(id -> !simulation.invariants().hasEndedIn("done", id))
                 .toList();
-        assertEquals(List.of(), notDone, "every job is done");
+        assertEquals(List.of(), notCompleted, "every job is completed");
     }
 }
--- a/src/test/java/io/quartzgw/app/ClusterFixtures.java
+++ b/src/test/java/io/quartzgw/app/ClusterFixtures.java
@@ -7,18 +7,18 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Arranges simulated clusters and their jobs for the tests of whole controllers. */
+/** Sets up simulated clusters and their jobs for the tests of whole controllers. */
 final class ClusterFixtures {
-    /** The lease of agents in a simulation that does not set another. */
+    /** Default lease of agents in a simulation. */
     static final long LEASE_MS = 16_000;
 
-    /** How long tasks of a cancelled job may stay in a simulation that sets no other limit. */
+    /** Default limit in a simulation for stopping the tasks of a cancelled job. */
     static final long CANCEL_MS = 36_000;
 
-    /** How many services {@link #clusterWithServices} has. */
+    /** Number of services of {@link #clusterWithServices}. */
     static final int SERVICES = 5;
 
-    /** How many replicas these services have together. */
+    /** Total number of replicas of these services. */
     static final int REPLICAS = 2 * SERVICES;
 
     private static final long DEFAULT_SEED = 5;
@@ -29,7 +29,7 @@
 
     private ClusterFixtures() {}
 
-    /** A cluster of three controllers in which five services of two replicas each run. */
+    /** Returns a cluster of three controllers that runs five services of two replicas each. */
     static ClusterSimulation clusterWithServices() {
         return clusterWithServices(DEFAULT_SEED);
     }
@@ -39,7 +39,7 @@
         return clusterWithServices(new ClusterSimulation(seed, CONTROLLERS));
     }
 
-    /** As {@link #clusterWithServices()}, in a simulation that has just begun. */
+    /** As {@link #clusterWithServices()}, in a given simulation that has not run yet. */
     static ClusterSimulation clusterWithServices(ClusterSimulation simulation) {
         scheduleServices(simulation);
         simulation.runUntil(SERVICES_RUNNING_AT_MS);
@@ -48,7 +48,7 @@
         return simulation;
     }
 
-    /** Schedules the submission of five services of two replicas each, soon after the simulation's beginning. */
+    /** Schedules the submission of five services of two replicas each, one second after the start of the simulation. */
     static void scheduleServices(ClusterSimulation simulation) {
         for (int i = 0; i < SERVICES; i++) {
             ObjectNode spec = JobRequests.service(JobRequests.id(i), "blue", 2, 2);
@@ -57,18 +57,18 @@
         }
     }
 
-    /** Submits equal arrays at once, and returns their ids. */
-    static List<String> submitArrays(ClusterSimulation simulation, int jobs, int tasks, double runS, String team) {
+    /** Submits several equal arrays at the same time, and returns their ids. */
+    static List<String> submitArrays(ClusterSimulation simulation, int jobs, int tasks, double runtimeS, String team) {
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < jobs; i++) {
             String id = JobRequests.id(FIRST_ARRAY_NUMBER + i);
             ids.add(id);
-            simulation.users().submitUntilAccepted(JobRequests.array(id, team, tasks, 4, runS));
+            simulation.users().submitUntilAccepted(JobRequests.array(id, team, tasks, 4, runtimeS));
         }
         return ids;
     }
 
-    /** The first half of the machines, rounded up. */
+    /** Returns the first half of the machines, rounded up. */
     static List<String> firstHalf(List<String> machines) {
         return machines.subList(0, (machines.size() + 1) / 2);
     }
--- a/src/test/java/io/quartzgw/app/ConcurrentFault.java
+++ b/src/test/java/io/quartzgw/app/ConcurrentFault.java
@@ -7,7 +7,7 @@
 import java.util.function.BiConsumer;
 import org.slf4j.LoggerFactory;
 
-/** The faults that are injected over each other, as operators saw them; random runs draw them by their order. */
+/** Faults that operators have seen and that may overlap. Random runs select them by ordinal: keep their order. */
 enum ConcurrentFault {
     STORE_REJECTS_THE_LEADER_THEN_EVERYBODY(ConcurrentFault::rejectLeaderThenAllControllers),
     STORE_IS_SLOW(ConcurrentFault::slowStore),
@@ -26,7 +26,7 @@
     LEADER_CRASHES_WHILE_INBOUND_MESSAGES_ARE_BLOCKED(ConcurrentFault::crashLeaderWhileInboundIsBlocked),
     CONTROLLER_IS_PAUSED(ConcurrentFault::pauseController);
 
-    /** When the last fault is over. */
+    /** The time by which all faults have ended. */
     static final long FAULTS_END_MS = 215_000;
 
     private static final int CONTROLLERS = 3;
@@ -44,8 +44,8 @@
     /**
      * One injection of a fault.
      *
-     * @param randomValue a random number from which a fault derives what it needs
-     * @param leader the leader at the time, or the first controller
+     * @param randomValue a random number from which a fault derives its parameters
+     * @param leader the leader at that time, or the first controller if there is none
      */
     private record Event(long time, long durationMs, int randomValue, int leader) {
         long end() {
@@ -53,15 +53,15 @@
         }
     }
 
-    /** Schedules random faults over each other. */
+    /** Schedules random faults that may overlap. */
     static void scheduleAll(ClusterSimulation simulation, SplittableRandom random) {
         for (long at = FIRST_START_MS; at < LAST_START_MS; at += 3_000 + random.nextInt(14_000)) {
             long time = at;
             long durationMs = Math.min(2_000 + random.nextInt(58_000), FAULTS_END_MS - time);
             ConcurrentFault fault = values()[random.nextInt(values().length)];
-            int pick = random.nextInt(RANDOM_VALUE_BOUND);
+            int randomValue = random.nextInt(RANDOM_VALUE_BOUND);
             simulation.schedule(time, () -> {
-                Event event = new Event(time, durationMs, pick, simulation.leaderOrFirst());
+                Event event = new Event(time, durationMs, randomValue, simulation.leaderOrFirst());
                 LoggerFactory.getLogger(ConcurrentFault.class).info("{}: {}", fault, event);
                 fault.injection.accept(simulation, event);
             });
@@ -116,7 +116,7 @@
         simulation.schedule(event.end(), () -> simulation.users().cancelJobsAtLastTaskEnd(0));
     }
 
-    /** Leaders change again and again, in some runs also during an outage of the state service. */
+    /** Crashes leaders every 4 seconds, in some runs also during an outage of the state service. */
     private static void crashLeadersRepeatedly(ClusterSimulation simulation, Event event) {
         for (long time = event.time; time < Math.min(event.time + 40_000, event.end()); time += 4_000) {
             simulation.schedule(
--- a/src/test/java/io/quartzgw/app/ConcurrentFaultsTest.java
+++ b/src/test/java/io/quartzgw/app/ConcurrentFaultsTest.java
@@ -18,9 +18,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Faults at the same time as a change of leader, or as many requests. */
+/** Faults that coincide with a leader change or with many requests. */
 class ConcurrentFaultsTest {
-    // The leader must keep up with the rate of jobs: each costs an acceptance, a start, an end and queries.
+    // The leader must keep up with the job rate: each job needs an acceptance, a start, an end and queries.
     @Test
     void endsFourSingleTaskJobsPerSecondDespiteLeaderCrash() {
         ClusterSimulation simulation = clusterWithServices();
@@ -42,11 +42,11 @@
         assertAllEnded(simulation, jobs);
         assertTrue(
                 jobs.stream().anyMatch(id -> simulation.invariants().hasEndedIn("withdrawn", id)),
-                "some are cancelled before their end");
+                "some jobs are cancelled before they complete");
     }
 
-    // Responses must not become older: every controller is queried about a job within milliseconds, while its
-    // submission is repeated and some users cancel.
+    // No response may be older than an earlier one. All controllers are queried about a job within milliseconds, while
+    // its submission is repeated and some users cancel.
     @Test
     void queriesNeverReturnOlderStateAtAnyController() {
         ClusterSimulation simulation = clusterWithServices();
@@ -72,7 +72,7 @@
         assertAllEnded(simulation, jobs);
     }
 
-    // Cancellations between two leaders: neither may start or keep the tasks of cancelled jobs.
+    // Jobs are cancelled around a leader change. Neither leader may start or keep the tasks of cancelled jobs.
     @ParameterizedTest
     @ValueSource(longs = {-400L, -50L, 0L, 100L, 700L, 2_000L})
     void stopsJobsCancelledDuringLeaderChange(long crashAfterMs) {
@@ -87,7 +87,7 @@
         assertAllEnded(simulation, jobs);
     }
 
-    // Other controllers read what a transaction wrote whose response got lost.
+    // Other controllers read the writes of a transaction whose response is lost.
     @Test
     void endsJobsWhenTransactionResponsesAreLost() {
         ClusterSimulation simulation = clusterWithServices();
@@ -111,7 +111,8 @@
         assertAllEnded(simulation, jobs);
     }
 
-    // The fencing of agents: a command of a leader that crashed or was deposed arrives after its successor's.
+    // Commands of a leader that has crashed or been deposed arrive after those of its successor. Agents must reject
+    // these by the fencing token.
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void agentsRejectDelayedCommandsOfPreviousLeader(boolean crashes) {
@@ -133,7 +134,8 @@
         assertAllEnded(simulation, jobs);
     }
 
-    // All quotas at once: tasks of cancelled jobs on unreachable machines count until they are surely stopped.
+    // Checks the quotas of several teams. Tasks of cancelled jobs on unreachable machines must count until they have
+    // certainly stopped.
     @ParameterizedTest
     @ValueSource(longs = {0L, 10_000L})
     void enforcesQuotasWhenJobsAreCancelledOnPartitionedOrHangingMachines(long hangMs) {
@@ -157,7 +159,7 @@
         assertAllEnded(simulation, jobs);
     }
 
-    // Duplicates of heartbeats from before a term reach every controller just as the term begins.
+    // Duplicates of heartbeats sent before a term reach all controllers just as the term begins.
     @Test
     void completesJobsWhenOldHeartbeatsReachNewLeaders() {
         ClusterSimulation simulation = clusterWithServices();
@@ -174,8 +176,8 @@
         assertAllDone(simulation, jobs);
     }
 
-    // New machines get tasks at once: both are written before, also where the store is slow and
-    // the leader crashes in between.
+    // New machines get tasks immediately. The machine and the start must be recorded before that, also when the state
+    // service is slow and the leader crashes in between.
     @ParameterizedTest
     @ValueSource(longs = {500L, 1_500L, 3_000L})
     void completesJobsWhenLeaderCrashesWithSlowStoreAndNewMachines(long crashAfterMs) {
--- a/src/test/java/io/quartzgw/app/FailureTest.java
+++ b/src/test/java/io/quartzgw/app/FailureTest.java
@@ -15,11 +15,11 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Three controllers in a simulated cluster with random faults; all invariants of the protocol are checked. */
+/** Runs three controllers in a simulated cluster with random faults and checks all invariants of the protocol. */
 class FailureTest {
     private static final long END_MS = 420_000;
     private static final long FAULTS_END_MS = ConcurrentFault.FAULTS_END_MS;
-    /** Where teams are at their limits and one zone has most of the work, arrays need longer. */
+    /** Arrays take longer when teams are at their quotas and one zone has most of the work. */
     private static final long EXTENDED_END_MS = 560_000;
 
     @Test
@@ -39,9 +39,9 @@
     }
 
     /**
-     * Seeds in which an invariant was violated once: by late records, late notices, a hold dropped by its owner, tasks
-     * of cancelled jobs on silent machines that no quota counted, a late start that reached a new agent, a start
-     * offered to an epoch that was not confirmed yet.
+     * Seeds that violated an invariant in the past. The causes were delayed records, delayed notices, a hold dropped by
+     * its owner, tasks of cancelled jobs on unresponsive machines that did not count towards a quota, a delayed start
+     * that reached a new agent, and a start offered to an epoch that was not confirmed yet.
      */
     @ParameterizedTest
     @ValueSource(longs = {26, 298, 392, 422, 429, 430, 466, 553, 563, 10_090, 10_389, 20_317, 20_676, 310_494})
@@ -56,7 +56,7 @@
         List<String> arrays = runSingleFailures(simulation, seed);
         assertHealthy(simulation);
         assertAllEnded(simulation, arrays);
-        assertTrue(simulation.invariants().startCount() > 50, "tasks were started");
+        assertTrue(simulation.invariants().startCount() > 50, "enough tasks were started");
     }
 
     static LongStream singleSeedsWithPauses() {
@@ -78,7 +78,7 @@
         simulation.network().duplicateMessageShare(0.02);
     }
 
-    /** Runs random faults, one after the other, and returns the arrays that were submitted. */
+    /** Runs random faults, one after the other. Returns the ids of the submitted arrays. */
     static List<String> runSingleFailures(ClusterSimulation simulation, long seed) {
         setMessageFaults(simulation);
         SplittableRandom random = new SplittableRandom(seed);
@@ -134,7 +134,7 @@
         return SeedRanges.range("concurrentCrashes", 1, 15);
     }
 
-    /** Guards against ran_twice: a successor has to know the starts that its predecessor had sent. */
+    /** Guards against ran_twice: a new leader must recover the starts that the previous leader sent. */
     @ParameterizedTest
     @MethodSource("concurrentSeedsWithCrashes")
     void invariantsHoldUnderConcurrentFaultsAndLeaderCrashesWithDelayedStarts(long seed) {
@@ -149,7 +149,9 @@
         return SeedRanges.range("concurrentTotalLoss", 1, 10);
     }
 
-    /** Guards against ran_twice and ran_cancelled: starts outlive the controllers that know of them. */
+    /**
+     * Guards against ran_twice and ran_cancelled: starts stay outstanding when all controllers that sent them crash.
+     */
     @ParameterizedTest
     @MethodSource("concurrentSeedsWithTotalLoss")
     void invariantsHoldUnderConcurrentFaultsAndCrashesOfAllControllersWithDelayedStarts(long seed) {
@@ -160,7 +162,7 @@
         assertAllEnded(simulation, arrays);
     }
 
-    /** Runs random faults over each other, and returns the arrays that were submitted. */
+    /** Runs random faults that may overlap. Returns the ids of the submitted arrays. */
     static List<String> runConcurrentFaults(ClusterSimulation simulation, long seed) {
         setMessageFaults(simulation);
         SplittableRandom random = new SplittableRandom(seed);
--- a/src/test/java/io/quartzgw/app/FiveControllersTest.java
+++ b/src/test/java/io/quartzgw/app/FiveControllersTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Five controllers with a state service that limits the rate of changes and the size of values. */
+/** Runs five controllers with a state service that limits the rate of changes and the size of values. */
 class FiveControllersTest {
     private static final int CONTROLLERS = 5;
     private static final int MACHINES = 40;
@@ -33,19 +33,19 @@
                 .build();
     }
 
-    /** Schedules five services at once, and arrays one after the other; returns the ids of the arrays. */
-    private static List<String> scheduleLoad(ClusterSimulation simulation, int arrayCount, int tasks, long pauseMs) {
+    /** Schedules five services at the same time and arrays at an interval; returns the ids of the arrays. */
+    private static List<String> scheduleLoad(ClusterSimulation simulation, int arrayCount, int tasks, long intervalMs) {
         List<String> arrays = new ArrayList<>();
         for (int i = 0; i < arrayCount; i++) {
             ObjectNode spec = JobRequests.array(JobRequests.id(100 + i), "blue", tasks, 4, 8);
             arrays.add(spec.path("id").asText());
-            simulation.schedule(5_000 + pauseMs * i, () -> simulation.users().submitUntilAccepted(spec));
+            simulation.schedule(5_000 + intervalMs * i, () -> simulation.users().submitUntilAccepted(spec));
         }
         ClusterFixtures.scheduleServices(simulation);
         return arrays;
     }
 
-    /** Runs half of the time in which jobs are submitted; returns the ids of all arrays. */
+    /** Runs for half of the time in which jobs are submitted; returns the ids of all arrays. */
     private static List<String> runUnderLoad(ClusterSimulation simulation) {
         List<String> arrays = scheduleLoad(simulation, 30, 10, 2_000);
         simulation.runChecked(30_000);
@@ -56,22 +56,23 @@
         assertEquals(List.of(), simulation.invariants().violations());
         arrays.forEach(
                 id -> assertEquals(Optional.of("done"), simulation.invariants().finalPhase(id), id));
-        assertEquals(REPLICAS, simulation.invariants().runningTasks().size(), "replicas run, and nothing else");
+        assertEquals(REPLICAS, simulation.invariants().runningTasks().size(), "all replicas run, and no other tasks");
         assertEquals(0, simulation.failedCommands());
     }
 
-    // All controllers share the limit of changes, and the jobs have to be done within it.
+    // All controllers share the rate limit for changes. All jobs must complete within it.
     @Test
     void completesAllJobsWithinLowStoreLimits() {
         ClusterSimulation simulation = clusterWithLimits(1);
         List<String> arrays = scheduleLoad(simulation, 200, 2, 20);
         simulation.runChecked(120_000);
-        assertEquals(0, simulation.store().rejectedTransactions(), "together they stay within the limit");
+        assertEquals(
+                0, simulation.store().rejectedTransactions(), "all controllers together stay within the rate limit");
         assertArraysCompletedAndReplicasRun(simulation, arrays);
     }
 
-    // Nothing may wait for every other controller: jobs are done with one or two of them down, also when
-    // the leader crashes.
+    // No operation may require all controllers: jobs complete with one or two controllers down, also when the leader
+    // crashes.
     @ParameterizedTest
     @ValueSource(ints = {1, 2})
     void completesJobsWithControllersDown(int count) {
@@ -86,7 +87,7 @@
         assertArraysCompletedAndReplicasRun(simulation, arrays);
     }
 
-    // The same with controllers that run and can reach no other host.
+    // As above, with controllers that run but reach no other host.
     @ParameterizedTest
     @ValueSource(ints = {1, 2})
     void completesJobsWithControllersPartitioned(int count) {
@@ -95,7 +96,7 @@
         int leader = simulation.leader();
         List<Integer> partitioned = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            // The leader itself is one of them.
+            // The first partitioned controller is the leader.
             partitioned.add((leader + i) % CONTROLLERS);
         }
         partitioned.forEach(controller -> simulation.network().partition(Hosts.controller(controller), Hosts.ALL));
--- a/src/test/java/io/quartzgw/app/JobRequests.java
+++ b/src/test/java/io/quartzgw/app/JobRequests.java
@@ -3,26 +3,26 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quartzgw.http.Json;
 
-/** Submissions as users send them, with defaults for what a test does not set. */
+/** Job submissions as users send them, with defaults for the fields that a test does not set. */
 final class JobRequests {
     private static final String ARRAY = "array";
     private static final String SERVICE = "daemon";
-    /** Jobs of different sizes use different images. */
+    /** Jobs use different images, depending on their number of tasks. */
     private static final int IMAGE_COUNT = 3;
 
     private JobRequests() {}
 
-    /** The id of a job by its number. */
+    /** Returns the id of the job with a number. */
     static String id(int number) {
         return String.format("j-%06d", number);
     }
 
-    /** An array of tasks, each of which takes some CPUs and runs for a time. */
-    static ObjectNode array(String id, String team, int tasks, double cpus, double runS) {
-        return job(id, team, ARRAY, tasks, cpus).put("urgency", "standard").put("runtime_guess_s", runS);
+    /** An array job; CPUs and run time are per task. */
+    static ObjectNode array(String id, String team, int tasks, double cpus, double runtimeS) {
+        return job(id, team, ARRAY, tasks, cpus).put("urgency", "standard").put("runtime_guess_s", runtimeS);
     }
 
-    /** A service whose replicas take some CPUs each, and run until it is cancelled. */
+    /** A service whose replicas run until it is cancelled; CPUs are per replica. */
     static ObjectNode service(String id, String team, int replicas, double cpus) {
         return job(id, team, SERVICE, replicas, cpus).put("urgency", "critical").put("runtime_guess_s", 0.0);
     }
--- a/src/test/java/io/quartzgw/app/LeaderDepositionTest.java
+++ b/src/test/java/io/quartzgw/app/LeaderDepositionTest.java
@@ -18,11 +18,12 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Every machine lost all that it ran, since nobody led for 56 seconds.
+ * Guards against a paused leader that is not replaced: once every machine lost all its tasks, because no leader
+ * answered heartbeats for 56 seconds.
  *
- * <p>The order of events: the leader's process stands still. The state service is out for two of every three seconds,
- * and after each outage every lease has its full time again, so that the leader's never ends. The other controllers see
- * a leader record and stand for no election; the agents' leases end.
+ * <p>Sequence: the leader is paused. The state service is unavailable for two of every three seconds. After each outage
+ * every lease has its full duration again, so the leader's lease never expires. The other controllers see a leader
+ * record and start no election, and the agents' leases expire.
  */
 class LeaderDepositionTest {
     private static final int CONTROLLERS = 3;
@@ -40,18 +41,18 @@
         simulation.pauseController(paused, PAUSE_MS);
         simulation.schedule(simulation.now() + storeSteadyMs, () -> simulation.letStoreComeAndGo(end));
         simulation.runChecked(FAILOVER_LIMIT_MS);
-        assertNotEquals(paused, simulation.leader(), "another one leads");
+        assertNotEquals(paused, simulation.leader(), "another controller leads");
         assertEquals("{\"term\":4096}", simulation.store().value("lead/deposed").toString());
         assertEquals(1, simulation.counter("leadership.depositions"));
         simulation.runChecked(PAUSE_MS + OBSERVATION_MS);
         assertHealthy(simulation);
-        assertEquals(REPLICAS, simulation.invariants().startCount(), "no agent's lease has ended");
+        assertEquals(REPLICAS, simulation.invariants().startCount(), "no agent's lease has expired");
     }
 
     /**
-     * The leader still renews its lease and starts tasks on the machines that only it reaches, until the state service
-     * rejects it, perhaps between its last renewal and its deposition. It is replaced once, and the two never start
-     * tasks at the same time, though the deposed one may still count itself confirmed.
+     * The leader renews its lease and starts tasks on the machines that only it reaches, until the state service
+     * rejects it, possibly between its last renewal and its deposition. It must be replaced exactly once. The two
+     * leaders must never start tasks at the same time, although the deposed one may still consider itself confirmed.
      */
     @ParameterizedTest
     @ValueSource(longs = {0, 5_000, 5_400, 5_800, 6_200, 6_600, 7_000, 8_000})
@@ -62,42 +63,46 @@
                 .submitUntilAccepted(
                         JobRequests.array("j-000700", "blue", 800, 1, 1).put("pull_gb", 0.0));
         simulation.runChecked(10_000);
-        List<String> itsMachines = ClusterFixtures.firstHalf(simulation.agents().machineIds());
-        List<String> others = new ArrayList<>(simulation.agents().machineIds());
-        others.removeAll(itsMachines);
+        List<String> leaderMachines =
+                ClusterFixtures.firstHalf(simulation.agents().machineIds());
+        List<String> otherHosts = new ArrayList<>(simulation.agents().machineIds());
+        otherHosts.removeAll(leaderMachines);
         IntStream.range(0, CONTROLLERS)
                 .filter(peer -> peer != leader)
-                .forEach(peer -> others.add(Hosts.controller(peer)));
-        forEachPair(leader, itsMachines, others, simulation.network()::partition);
-        long cutAt = simulation.now();
-        simulation.schedule(cutAt + rejectedAfterMs, () -> simulation.setStoreRejects(leader, rejectedAfterMs > 0));
+                .forEach(peer -> otherHosts.add(Hosts.controller(peer)));
+        forEachPair(leader, leaderMachines, otherHosts, simulation.network()::partition);
+        long partitionedAt = simulation.now();
+        simulation.schedule(
+                partitionedAt + rejectedAfterMs, () -> simulation.setStoreRejects(leader, rejectedAfterMs > 0));
         for (int i = 1; i < 40; i++) {
             ObjectNode job =
                     JobRequests.array(JobRequests.id(700 + i), "blue", 2, 1, 1).put("pull_gb", 0.0);
-            simulation.schedule(cutAt + 300L * i, () -> simulation.users().submitUntilAccepted(job));
+            simulation.schedule(
+                    partitionedAt + 300L * i, () -> simulation.users().submitUntilAccepted(job));
         }
         simulation.runChecked(FAILOVER_LIMIT_MS);
         int successor = simulation.leader();
         assertNotEquals(leader, successor);
         simulation.runChecked(OBSERVATION_MS);
-        assertEquals(successor, simulation.leader(), "it is not deposed in its turn");
+        assertEquals(successor, simulation.leader(), "the new leader is not deposed");
         simulation.setStoreRejects(leader, false);
-        forEachPair(leader, itsMachines, others, simulation.network()::heal);
+        forEachPair(leader, leaderMachines, otherHosts, simulation.network()::heal);
         simulation.runChecked(OBSERVATION_MS);
         assertHealthy(simulation);
     }
 
     private static void forEachPair(
-            int leader, List<String> itsMachines, List<String> others, BiConsumer<String, String> action) {
-        for (String other : others) {
+            int leader, List<String> leaderMachines, List<String> otherHosts, BiConsumer<String, String> action) {
+        for (String other : otherHosts) {
             action.accept(Hosts.controller(leader), other);
             if (Hosts.isController(other)) {
-                itsMachines.forEach(machine -> action.accept(machine, other));
+                leaderMachines.forEach(machine -> action.accept(machine, other));
             }
         }
     }
 
-    // Its agents reach it, and it reaches the state service: it leads on, however long nobody else hears it.
+    // The leader reaches its agents and the state service. It stays the leader, however long its peers receive nothing
+    // from it.
     @Test
     void keepsLeaderPartitionedOnlyFromPeers() {
         int leader = simulation.leader();
@@ -110,14 +115,14 @@
         assertEquals(REPLICAS, simulation.invariants().startCount());
     }
 
-    // It hears nobody, and agents come to it by chance; it is no majority.
+    // An isolated controller is no majority, even when an agent that cannot reach the leader contacts it.
     @Test
     void isolatedControllerDoesNotDeposeLeader() {
         int leader = simulation.leader();
-        int alone = (leader + 1) % CONTROLLERS;
+        int isolated = (leader + 1) % CONTROLLERS;
         IntStream.range(0, CONTROLLERS)
-                .filter(peer -> peer != alone)
-                .forEach(peer -> simulation.network().partition(Hosts.controller(alone), Hosts.controller(peer)));
+                .filter(peer -> peer != isolated)
+                .forEach(peer -> simulation.network().partition(Hosts.controller(isolated), Hosts.controller(peer)));
         simulation.agents().machineIds().stream()
                 .limit(1)
                 .forEach(machine -> simulation.network().partition(machine, Hosts.controller(leader)));
--- a/src/test/java/io/quartzgw/app/LeaderPauses.java
+++ b/src/test/java/io/quartzgw/app/LeaderPauses.java
@@ -5,8 +5,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Pauses of the leader, laid over the other faults of a random cluster: direct commands are late just before, jobs are
- * cancelled through the other controllers, and in most of them the state service comes and goes meanwhile.
+ * Pauses of the leader that random runs add to their other faults. Direct calls are delayed just before each pause.
+ * Jobs are cancelled through the other controllers during it, and in most pauses the state service is intermittently
+ * unavailable.
  */
 final class LeaderPauses {
     private static final long FIRST_PAUSE_MS = 20_000;
@@ -14,11 +15,11 @@
     private static final int INTERVAL_SPREAD_MS = 30_000;
     private static final int MIN_PAUSE_MS = 3_000;
     private static final int MAX_PAUSE_MS = 70_000;
-    /** How long before a pause direct commands are late. */
+    /** How long before a pause direct calls begin to be delayed. */
     private static final long DELAYED_COMMANDS_MS = 3_000;
 
     private static final double DELAYED_COMMAND_SHARE = 0.5;
-    /** One in so many pauses is without an intermittent state service. */
+    /** The state service stays available in one of this many pauses. */
     private static final int STEADY_STORE_ONE_IN = 4;
 
     private static final int CANCELLED_JOBS = 3;
@@ -28,8 +29,8 @@
     /**
      * Schedules the pauses of a run.
      *
-     * @param seed of the run; pauses have a random source of their own, so that the other faults stay as they are
-     * @param end when the last pause is over
+     * @param seed of the run; pauses use a random source of their own, so they leave the other faults unchanged
+     * @param end the time by which the last pause has ended
      */
     static void scheduleAll(ClusterSimulation simulation, long seed, long end) {
         SplittableRandom random = new SplittableRandom(~seed);
@@ -48,8 +49,8 @@
     /**
      * One pause.
      *
-     * @param withinBatch whether it begins in the middle of a batch
-     * @param storeIsIntermittent whether the state service does meanwhile
+     * @param withinBatch whether the pause begins in the middle of a batch
+     * @param storeIsIntermittent whether the state service is intermittently unavailable during the pause
      * @param cancelFraction when jobs are cancelled, as a fraction of the pause
      */
     private record Pause(
--- a/src/test/java/io/quartzgw/app/PairedFaultsTest.java
+++ b/src/test/java/io/quartzgw/app/PairedFaultsTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Two faults at once, as operators have seen them; docs/design.md lists them all. */
+/** Pairs of simultaneous faults that operators have seen; docs/design.md lists all of them. */
 class PairedFaultsTest {
     @Test
     void completesJobsAfterAllControllersAreDownLongerThanLease() {
@@ -38,7 +38,7 @@
         assertAllDone(simulation, jobs);
     }
 
-    // Ends of tasks that no controller has recorded: agents send them until they are, whoever leads.
+    // Agents report the end of a task until it is recorded, whichever controller leads. The crash must lose none.
     @Test
     void completesJobsWithStaggeredTasksDespiteLeaderCrash() {
         for (long crashAt = 4_000; crashAt <= 40_000; crashAt += 2_000) {
@@ -96,23 +96,26 @@
         assertAllDone(simulation, jobs);
     }
 
-    // Leases expire while commands still get responses: the tasks of such a machine run elsewhere, once.
+    // Leases expire although commands are still answered. The tasks of such a machine must run elsewhere, exactly once.
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void movesReplicasWhenOnlyHeartbeatsAreBlocked(boolean leaderCrashes) {
         ClusterSimulation simulation = clusterWithServices();
         List<String> jobs = submitArrays(simulation, 5, 4, 30, "red");
         simulation.runChecked(8_000);
-        List<String> silent = firstHalf(simulation.agents().machineIds());
-        silent.forEach(machine -> simulation.network().setHeartbeatsBlocked(machine, true));
+        List<String> unresponsive = firstHalf(simulation.agents().machineIds());
+        unresponsive.forEach(machine -> simulation.network().setHeartbeatsBlocked(machine, true));
         simulation.users().cancelRunningJobs(2);
         if (leaderCrashes) {
             simulation.runChecked(1_000);
             simulation.crash(simulation.leader(), 5_000);
         }
         simulation.runChecked(3 * LEASE_MS);
-        assertEquals(List.of(), simulation.invariants().missingReplicas(), "replicas run where heartbeats arrive");
-        silent.forEach(machine -> simulation.network().setHeartbeatsBlocked(machine, false));
+        assertEquals(
+                List.of(),
+                simulation.invariants().missingReplicas(),
+                "all replicas run, on machines whose heartbeats arrive");
+        unresponsive.forEach(machine -> simulation.network().setHeartbeatsBlocked(machine, false));
         simulation.runChecked(90_000);
         assertHealthy(simulation);
         assertAllEnded(simulation, jobs);
@@ -134,7 +137,7 @@
         assertAllEnded(simulation, jobs);
     }
 
-    // Requests at the moment of the last task's end: every controller tells the same final phase from then on.
+    // Requests arrive at the moment when the last task ends. All controllers must report the same final phase then.
     @Test
     void returnsSameFinalPhaseToAllRequestsAtLastTaskEnd() {
         ClusterSimulation simulation = clusterWithServices();
@@ -168,11 +171,11 @@
         assertTrue(
                 jobs.stream()
                         .allMatch(id -> simulation.invariants().finalPhase(id).isPresent()),
-                "users are told of every end");
+                "the final phase of every job is reported to users");
         assertTrue(
                 jobs.stream().anyMatch(id -> simulation.invariants().hasEndedIn("withdrawn", id)),
-                "some were cancelled in time");
-        assertTrue(jobs.stream().anyMatch(id -> simulation.invariants().hasEndedIn("done", id)), "some were not");
+                "some jobs are cancelled before their last task ends");
+        assertTrue(jobs.stream().anyMatch(id -> simulation.invariants().hasEndedIn("done", id)), "some jobs complete");
     }
 
     @Test
@@ -191,7 +194,7 @@
         assertAllEnded(simulation, jobs);
     }
 
-    // The order of stops and starts where every message takes long.
+    // Stops and starts must take effect in the right order although every message is slow.
     @Test
     void completesJobsOfAllPrioritiesOverSlowLinksWithTooFewMachines() {
         ClusterSimulation simulation = clusterWithServices();
@@ -199,12 +202,12 @@
         List<String> jobs = new ArrayList<>();
         for (int i = 0; i < 24; i++) {
             String id = JobRequests.id(500 + i);
-            int level = i % 3;
+            int priority = i % 3;
             ObjectNode spec = JobRequests.array(id, i % 2 == 0 ? "blue" : "red", 12, 4, 12);
             simulation.schedule(simulation.now() + 900L * i, () -> simulation
                     .users()
                     .submitUntilAccepted(spec.put(
-                            "urgency", List.of("low", "standard", "urgent").get(level))));
+                            "urgency", List.of("low", "standard", "urgent").get(priority))));
             jobs.add(id);
         }
         simulation.runChecked(300_000);
@@ -216,7 +219,7 @@
         assertAllDone(simulation, jobs);
     }
 
-    // No task may be placed twice or never: in each term some are accepted, started, stopped and ended.
+    // Jobs are accepted, started, stopped and ended in each term. No task may be placed twice or never.
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void endsJobsDespiteTenLeaderChangesInTwoMinutes(boolean outage) {
@@ -246,30 +249,33 @@
         assertAllEnded(simulation, jobs);
     }
 
-    // Inside the partition a controller responds to agents for its grace; outside, the resources of their tasks are
-    // held.
+    // Inside the partition a controller answers heartbeats for its grace period. Outside, the resources of the tasks
+    // stay reserved.
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void endsJobsWhenZoneIsPartitionedLongerThanLease(boolean leads) {
         ClusterSimulation simulation = clusterWithServices();
         List<String> jobs = submitArrays(simulation, 5, 4, 20, "red");
         simulation.runChecked(10_000);
-        int inside = leads ? simulation.leader() : (simulation.leader() + 1) % 3;
+        int insideController = leads ? simulation.leader() : (simulation.leader() + 1) % 3;
         List<String> zone = firstHalf(simulation.agents().machineIds());
-        List<String> outside = new ArrayList<>(simulation.agents().machineIds());
-        outside.removeAll(zone);
-        outside.addAll(List.of(
-                Hosts.controller((inside + 1) % 3), Hosts.controller((inside + 2) % 3), Hosts.STORE, Hosts.CLOUD));
-        outside.forEach(far -> {
-            simulation.network().partition(Hosts.controller(inside), far);
-            zone.forEach(machine -> simulation.network().partition(machine, far));
+        List<String> outsideHosts = new ArrayList<>(simulation.agents().machineIds());
+        outsideHosts.removeAll(zone);
+        outsideHosts.addAll(List.of(
+                Hosts.controller((insideController + 1) % 3),
+                Hosts.controller((insideController + 2) % 3),
+                Hosts.STORE,
+                Hosts.CLOUD));
+        outsideHosts.forEach(host -> {
+            simulation.network().partition(Hosts.controller(insideController), host);
+            zone.forEach(machine -> simulation.network().partition(machine, host));
         });
         simulation.runChecked(3_000);
         simulation.users().cancelRunningJobs(3);
         simulation.runChecked(3 * LEASE_MS);
-        outside.forEach(far -> {
-            simulation.network().heal(Hosts.controller(inside), far);
-            zone.forEach(machine -> simulation.network().heal(machine, far));
+        outsideHosts.forEach(host -> {
+            simulation.network().heal(Hosts.controller(insideController), host);
+            zone.forEach(machine -> simulation.network().heal(machine, host));
         });
         simulation.runChecked(120_000);
         assertHealthy(simulation);
@@ -283,9 +289,9 @@
             ClusterSimulation simulation = clusterWithServices();
             List<String> jobs = submitArrays(simulation, 4, 4, 45, "red");
             simulation.runChecked(12_000);
-            List<String> some = firstHalf(simulation.agents().machineIds());
+            List<String> affected = firstHalf(simulation.agents().machineIds());
             int leader = simulation.leader();
-            some.forEach(machine -> {
+            affected.forEach(machine -> {
                 if (inboundOnly) {
                     simulation.network().setInboundBlocked(machine, true);
                 } else {
@@ -295,7 +301,7 @@
             simulation.runChecked(500);
             simulation.crash(leader, 5_000);
             simulation.runChecked(partitionMs);
-            some.forEach(machine -> {
+            affected.forEach(machine -> {
                 if (inboundOnly) {
                     simulation.network().setInboundBlocked(machine, false);
                 } else {
@@ -308,21 +314,22 @@
         }
     }
 
-    // A cancelled job is no open job any more, and its tasks run on where no command arrives: they count.
+    // Tasks of a cancelled job keep running on machines that receive no commands. They must count towards the quota
+    // although the job has ended.
     @ParameterizedTest
     @ValueSource(longs = {-300L, 200L, 1_500L, 6_000L})
     void enforcesQuotaDespiteLeaderCrashPartitionedMachinesAndCancellations(long cancelAfterMs) {
         ClusterSimulation simulation = clusterWithServices();
         List<String> jobs = submitArrays(simulation, 6, 5, 25, "green");
         simulation.runChecked(20_000);
-        List<String> silent = firstHalf(simulation.agents().machineIds());
-        silent.forEach(machine -> simulation.network().partition(machine, Hosts.ALL));
+        List<String> partitioned = firstHalf(simulation.agents().machineIds());
+        partitioned.forEach(machine -> simulation.network().partition(machine, Hosts.ALL));
         int leader = simulation.leader();
         long crashAt = simulation.now() + 500;
         simulation.schedule(crashAt + cancelAfterMs, () -> simulation.users().cancelRunningJobs(3));
         simulation.schedule(crashAt, () -> simulation.crash(leader, 5_000));
         simulation.runChecked(12_000);
-        silent.forEach(machine -> simulation.network().heal(machine, Hosts.ALL));
+        partitioned.forEach(machine -> simulation.network().heal(machine, Hosts.ALL));
         simulation.runChecked(250_000);
         assertHealthy(simulation);
         assertAllEnded(simulation, jobs);
@@ -330,27 +337,30 @@
 
     @Test
     void keepsTasksRunningWhenAllControllersCrashAndOneRestartsWithinOneSecond() {
-        for (int returns = 0; returns < 3; returns++) {
+        for (int first = 0; first < 3; first++) {
             for (long downMs : List.of(50L, 400L, 900L)) {
                 ClusterSimulation simulation = clusterWithServices();
-                int back = returns;
+                int firstRestarted = first;
                 simulation.runChecked(1_000);
                 for (int i = 0; i < 3; i++) {
                     simulation.crash(simulation.leaderOrFirst(), downMs);
                     simulation.runChecked(2_000);
                 }
                 IntStream.range(0, 3).forEach(simulation::crash);
-                simulation.schedule(simulation.now() + downMs, () -> simulation.start(back));
+                simulation.schedule(simulation.now() + downMs, () -> simulation.start(firstRestarted));
                 simulation.runChecked(10_000);
-                IntStream.range(0, 3).filter(controller -> controller != back).forEach(simulation::start);
+                IntStream.range(0, 3)
+                        .filter(controller -> controller != firstRestarted)
+                        .forEach(simulation::start);
                 simulation.runChecked(60_000);
                 assertHealthy(simulation);
-                assertEquals(REPLICAS, simulation.invariants().startCount(), "nothing was started again");
+                assertEquals(REPLICAS, simulation.invariants().startCount(), "no replica is restarted");
             }
         }
     }
 
-    // What a controller read before it was paused: it responds to nobody by it once it resumes, and deposes nobody.
+    // A resumed controller must not answer requests from state that it read before the pause, and must not depose the
+    // leader.
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void resumedControllerReturnsNoStaleStateAndDeposesNoLeader(boolean leads) {
@@ -365,7 +375,7 @@
             simulation.runChecked(pauseMs);
             int leader = simulation.leader();
             simulation.runChecked(15_000);
-            assertTrue(leads || simulation.leader() == leader, "a controller that resumes deposes nobody");
+            assertTrue(leads || simulation.leader() == leader, "a resumed follower does not depose the leader");
             simulation.runChecked(75_000);
             assertHealthy(simulation);
             assertAllEnded(simulation, jobs);
--- a/src/test/java/io/quartzgw/app/PausedLeaderTest.java
+++ b/src/test/java/io/quartzgw/app/PausedLeaderTest.java
@@ -15,13 +15,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A task of a cancelled job was started again, 54.7 seconds after its user was told of the cancellation; the limit was
- * 36 seconds.
+ * Guards against a leader that restarts a task of a cancelled job after a pause. This happened 54.7 seconds after the
+ * cancellation was acknowledged; the cancel limit was 36 seconds.
  *
- * <p>The order of events: the leader sends the start of a task in a direct call, and its process stands still before it
- * takes the answer. The user cancels the job at another controller. The state service comes and goes, so that the
- * leader's lease never expires and nobody else is elected; the agents' leases expire. Then the leader goes on, learns
- * of the cancellation, and answers the next heartbeat.
+ * <p>Sequence: the leader sends the start of a task in a direct call, and is paused before it processes the response.
+ * The user cancels the job at another controller. The state service is intermittently unavailable, so the leader's
+ * lease never expires and no other controller is elected, while the agents' leases expire. Then the leader resumes,
+ * receives the cancellation and answers the next heartbeat.
  */
 class PausedLeaderTest {
     private static final String JOB = "j-000701";
@@ -33,13 +33,13 @@
 
     private final ClusterSimulation simulation = clusterWithServices();
 
-    /** Submits a job whose tasks run as soon as their start arrives, and runs until the start has left. */
+    /** Submits a job whose task runs as soon as its start command arrives, and runs until the start is sent. */
     private void runUntilStartIsInFlight() {
         simulation
                 .users()
                 .submitUntilAccepted(JobRequests.array(JOB, "blue", 1, 2, 90).put("pull_gb", 0.0));
-        long callsBefore = simulation.counter("orders.sent");
-        while (simulation.counter("orders.sent") == callsBefore) {
+        long sentBefore = simulation.counter("orders.sent");
+        while (simulation.counter("orders.sent") == sentBefore) {
             simulation.runUntil(simulation.now() + 1);
         }
     }
@@ -50,10 +50,14 @@
     }
 
     private void cancelAtAnotherController(int leader) {
-        simulation.users().cancelJob((leader + 1) % 3, JOB, reply -> assertTrue(reply.ok(), "cancelled"));
+        simulation
+                .users()
+                .cancelJob((leader + 1) % 3, JOB, reply -> assertTrue(reply.ok(), "cancellation is acknowledged"));
     }
 
-    /** Of several agents, one has to send its heartbeat just when the leader goes on. */
+    /**
+     * Pause durations in small steps, so that in some run an agent sends its heartbeat just when the leader resumes.
+     */
     static LongStream pauses() {
         return LongStream.range(0, 24).map(step -> MIN_PAUSE_MS + 250 * step);
     }
@@ -76,25 +80,25 @@
         assertHealthy(simulation);
     }
 
-    /** The process stands still between the decision to start a task and the call that starts it. */
+    /** The leader is paused between its decision to start a task and the direct call that carries the start. */
     @ParameterizedTest
     @ValueSource(longs = {4_000, 10_000, 40_000})
     void doesNotSendStartDecidedBeforePause(long pauseMs) {
         runUntilStartIsInFlight();
         long decidedAt = simulation.now();
-        ClusterSimulation same = clusterWithServices();
-        submit(same);
-        same.runUntil(decidedAt - 1);
-        long sentBefore = same.counter("orders.sent");
-        same.pauseControllerBeforeCall(same.leader(), "/orders", pauseMs);
-        same.runUntil(decidedAt + 1);
-        assertTrue(same.counter("orders.sent") > sentBefore, "the start is decided");
-        same.runChecked(RECOVERY_MS);
-        assertHealthy(same);
-        assertTrue(same.invariants().hasEndedIn("done", JOB));
+        ClusterSimulation replay = clusterWithServices();
+        submit(replay);
+        replay.runUntil(decidedAt - 1);
+        long sentBefore = replay.counter("orders.sent");
+        replay.pauseControllerBeforeCall(replay.leader(), "/orders", pauseMs);
+        replay.runUntil(decidedAt + 1);
+        assertTrue(replay.counter("orders.sent") > sentBefore, "the leader has decided to send the start");
+        replay.runChecked(RECOVERY_MS);
+        assertHealthy(replay);
+        assertTrue(replay.invariants().hasEndedIn("done", JOB));
     }
 
-    /** The same in the response to a heartbeat; direct calls do not arrive. */
+    /** The leader is paused in the batch that builds a heartbeat response with a start; direct calls do not arrive. */
     @Test
     void doesNotSendHeartbeatResponseWithStartBuiltBeforePause() {
         holdAllCommands(simulation);
@@ -102,46 +106,48 @@
         while (simulation.counter("orders.in_responses") == 0) {
             simulation.runUntil(simulation.now() + 1);
         }
-        long builtAt = simulation.now();
-        ClusterSimulation same = clusterWithServices();
-        holdAllCommands(same);
-        submit(same);
-        same.runUntil(builtAt - 1);
-        same.pauseControllerWithinBatch(same.leader(), 4_000);
-        same.runUntil(builtAt + 1);
-        assertTrue(same.counter("orders.in_responses") > 0, "the start is decided");
-        same.runChecked(LEASE_MS);
-        assertEquals(List.of(), same.invariants().violations());
+        long responseBuiltAt = simulation.now();
+        ClusterSimulation replay = clusterWithServices();
+        holdAllCommands(replay);
+        submit(replay);
+        replay.runUntil(responseBuiltAt - 1);
+        replay.pauseControllerWithinBatch(replay.leader(), 4_000);
+        replay.runUntil(responseBuiltAt + 1);
+        assertTrue(replay.counter("orders.in_responses") > 0, "the leader has decided to send the start");
+        replay.runChecked(LEASE_MS);
+        assertEquals(List.of(), replay.invariants().violations());
     }
 
     private static void holdAllCommands(ClusterSimulation cluster) {
         cluster.agents().machineIds().forEach(cluster.network()::holdCommands);
     }
 
-    /** An idle machine is to be returned; by the time the leader goes on, its successor may use it. */
+    /**
+     * The leader is paused when it deletes an idle machine; by the time it resumes, its successor may use the machine.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void doesNotSendDeletionDecidedBeforePause(long earlierMs) {
         long deletedAt = runUntilMachineIsDeleted(simulation);
-        ClusterSimulation same = clusterWithServices();
-        submitJobLargerThanCluster(same);
-        same.runUntil(deletedAt - earlierMs);
-        same.pauseControllerWithinBatch(same.leader(), MIN_PAUSE_MS);
-        same.runChecked(RECOVERY_MS);
-        assertHealthy(same);
+        ClusterSimulation replay = clusterWithServices();
+        submitJobLargerThanCluster(replay);
+        replay.runUntil(deletedAt - earlierMs);
+        replay.pauseControllerWithinBatch(replay.leader(), MIN_PAUSE_MS);
+        replay.runChecked(RECOVERY_MS);
+        assertHealthy(replay);
     }
 
     private static long runUntilMachineIsDeleted(ClusterSimulation cluster) {
         submitJobLargerThanCluster(cluster);
-        int most = 0;
-        while (cluster.agents().machineIds().size() >= most) {
-            most = Math.max(most, cluster.agents().machineIds().size());
+        int maxMachines = 0;
+        while (cluster.agents().machineIds().size() >= maxMachines) {
+            maxMachines = Math.max(maxMachines, cluster.agents().machineIds().size());
             cluster.runUntil(cluster.now() + 1);
         }
         return cluster.now();
     }
 
-    /** Submits more than the rented machines hold. */
+    /** Submits a job that needs more than the rented machines provide. */
     private static void submitJobLargerThanCluster(ClusterSimulation cluster) {
         cluster.users().submitUntilAccepted(JobRequests.array("j-000702", "blue", 12, 4, 10));
     }
--- a/src/test/java/io/quartzgw/app/RandomLoads.java
+++ b/src/test/java/io/quartzgw/app/RandomLoads.java
@@ -46,8 +46,8 @@
     }
 
     /**
-     * Schedules jobs of two or three tasks that end far apart, jobs bound to a zone, teams at their limit, and more
-     * work than room; returns the ids of the arrays.
+     * Schedules a load that exceeds the capacity: jobs of a few tasks that end far apart, jobs bound to a zone, and
+     * teams at their quota. Returns the ids of the arrays.
      */
     static List<String> scheduleConstrainedJobs(ClusterSimulation simulation, SplittableRandom random) {
         List<String> arrays = new ArrayList<>();
@@ -73,16 +73,16 @@
         return arrays;
     }
 
-    /** Services stay: in a team with a small limit they could fill it for good. */
+    /** Services use team blue, because they run until they are cancelled and could use up a small quota permanently. */
     private static ObjectNode blueService(String id, SplittableRandom random) {
         return JobRequests.service(id, "blue", 1 + random.nextInt(3), 2);
     }
 
-    private static ObjectNode arrayOfAnyTeam(String id, boolean endingFarApart, SplittableRandom random) {
+    private static ObjectNode arrayOfAnyTeam(String id, boolean staggered, SplittableRandom random) {
         String team = List.of("red", "blue", "green", "green").get(random.nextInt(4));
-        int tasks = 1 + random.nextInt(endingFarApart ? 3 : 9);
+        int tasks = 1 + random.nextInt(staggered ? 3 : 9);
         ObjectNode spec = JobRequests.array(id, team, tasks, 4, 4 + random.nextInt(20));
-        if (endingFarApart) {
+        if (staggered) {
             spec.put("each_longer_s", 10 + random.nextInt(20));
         }
         return spec;
--- a/src/test/java/io/quartzgw/app/SingleFault.java
+++ b/src/test/java/io/quartzgw/app/SingleFault.java
@@ -8,7 +8,7 @@
 import java.util.function.BiConsumer;
 import org.slf4j.LoggerFactory;
 
-/** The faults of which one at a time is injected; random runs draw them by their order. */
+/** Faults that are injected one after the other. Random runs select them by ordinal: keep their order. */
 enum SingleFault {
     CONTROLLER_CRASHES((simulation, event) -> simulation.crash(event.controller, 5_000)),
     ALL_CONTROLLERS_CRASH(SingleFault::crashAllControllers),
@@ -41,7 +41,7 @@
     /**
      * One injection of a fault.
      *
-     * @param otherHost the other side of a partition
+     * @param otherHost the host that the controller is partitioned from, if the fault is such a partition
      */
     private record Event(long time, long durationMs, int controller, String otherHost) {
         long end() {
@@ -110,7 +110,7 @@
         }
     }
 
-    /** A controller crashes, and one that may stand for election is restarted in the middle of it. */
+    /** Crashes a controller, and restarts a possible candidate during the election that follows. */
     private static void crashTwoControllersInSequence(ClusterSimulation simulation, Event event) {
         simulation.crash(event.controller, 200);
         int next = (event.controller + 1) % CONTROLLERS;
--- a/src/test/java/io/quartzgw/app/SingleFaultsTest.java
+++ b/src/test/java/io/quartzgw/app/SingleFaultsTest.java
@@ -15,12 +15,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Single faults, each with what users notice of it. */
+/** Injects one fault per test and checks what users notice of it. */
 class SingleFaultsTest {
     private static void assertNoTaskRestarted(ClusterSimulation simulation) {
         assertEquals(List.of(), simulation.invariants().violations());
         assertEquals(REPLICAS, simulation.invariants().runningTasks().size());
-        assertEquals(REPLICAS, simulation.invariants().startCount(), "no replica was started again");
+        assertEquals(REPLICAS, simulation.invariants().startCount(), "no replica is restarted");
     }
 
     @Test
@@ -47,8 +47,8 @@
         assertNoTaskRestarted(simulation);
     }
 
-    // A paused leader has received no heartbeat when it resumes, and may not have heard
-    // of its successor either.
+    // When a paused leader resumes, it has received no heartbeats, and may not have been informed of its successor. It
+    // must not declare machines lost.
     @ParameterizedTest
     @ValueSource(longs = {3_000L, 9_000L, 30_000L, 70_000L})
     void resumedLeaderDeclaresNoMachineLost(long pauseMs) {
@@ -63,7 +63,7 @@
         assertEquals(0, simulation.counter("machines.given_up"));
     }
 
-    // The grace counts from the time up to which the leader knows all cancellations.
+    // The grace period starts at the time up to which the leader has received all cancellations.
     @Test
     void keepsTasksRunningWhenStoreOutageExceedsGracePeriodAndLease() {
         ClusterSimulation simulation = clusterWithServices();
@@ -74,7 +74,7 @@
         assertNoTaskRestarted(simulation);
     }
 
-    // Whether a leader is able to lead is not judged by its access to the state service alone.
+    // Access to the state service is not sufficient for a leader: it must also reach agents.
     @Test
     void handsOverWhenLeaderIsPartitionedFromAllAgents() {
         ClusterSimulation simulation = clusterWithServices();
@@ -88,7 +88,7 @@
         assertNoTaskRestarted(simulation);
     }
 
-    // The leases of a few agents count more than a takeover of a second.
+    // A takeover, which takes a second, is preferred to letting the leases of a few agents expire.
     @Test
     void handsOverWhenLeaderIsPartitionedFromOneAgent() {
         ClusterSimulation simulation = clusterWithServices();
@@ -112,8 +112,8 @@
         assertNoTaskRestarted(simulation);
     }
 
-    // Unaccounted tasks: a machine that is silent to the new leader may get responses from the former one for
-    // longer than the recovery window lasts, and its tasks run on.
+    // Unaccounted tasks: a machine that cannot reach the new leader may still get responses from the previous one, for
+    // longer than the recovery window. Its tasks keep running meanwhile.
     @Test
     void restartsTasksOnlyAfterHoldWhenOnlyPreviousLeaderReachesMachine() {
         ClusterSimulation simulation = clusterWithServices();
@@ -126,28 +126,29 @@
             }
         }
         simulation.network().partition(Hosts.controller(leader), Hosts.STORE);
-        // No other machine may show the new token to the former leader.
+        // No other machine may reveal the new fencing token to the previous leader.
         simulation.agents().machineIds().stream()
                 .filter(other -> !other.equals(machine))
                 .forEach(other -> simulation.network().partition(Hosts.controller(leader), other));
         simulation.runUntil(simulation.now() + 90_000);
         assertEquals(List.of(), simulation.invariants().violations());
-        assertEquals(REPLICAS, simulation.invariants().runningTasks().size(), "placed again after the hold");
+        assertEquals(
+                REPLICAS, simulation.invariants().runningTasks().size(), "replicas are placed again after the hold");
     }
 
-    // The leader must not take machines that receive nothing for a fault of its own, nor rent others
-    // for them without bound: half of them receive nothing for several leases, while their heartbeats arrive.
+    // Inbound traffic of half of the machines is blocked for several leases, while their heartbeats arrive. The leader
+    // must not attribute this to a fault of its own, nor rent an unbounded number of replacements.
     @Test
     void keepsLeaderAndLimitsScaleOutWhenInboundTrafficIsBlocked() {
         ClusterSimulation simulation = clusterWithServices();
         int leader = simulation.leader();
-        int before = simulation.agents().machineIds().size();
-        List<String> blocked = simulation.agents().machineIds().subList(0, (before + 1) / 2);
+        int machinesBefore = simulation.agents().machineIds().size();
+        List<String> blocked = simulation.agents().machineIds().subList(0, (machinesBefore + 1) / 2);
         blocked.forEach(machine -> simulation.network().setInboundBlocked(machine, true));
-        int maxMachines = before;
+        int maxMachines = machinesBefore;
         for (int second = 0; second < 90; second++) {
             if (second == 40) {
-                // By now their leases have expired, and they look empty.
+                // By now the leases of these machines have expired, and the machines seem to be empty.
                 simulation.users().submitUntilAccepted(JobRequests.service("j-000090", "blue", 2, 2));
             }
             simulation.runUntil(simulation.now() + 1_000);
@@ -155,18 +156,20 @@
             if (second == 60) {
                 assertTrue(
                         simulation.invariants().runningTasks().contains("j-000090/0"),
-                        "not placed where nothing arrives");
+                        "the task is placed on a machine that receives commands");
             }
         }
-        assertEquals(leader, simulation.leader(), "the leader stays");
-        assertTrue(maxMachines <= 2 * before + 1, maxMachines + " machines where " + before + " do");
+        assertEquals(leader, simulation.leader(), "the leader is not replaced");
+        assertTrue(
+                maxMachines <= 2 * machinesBefore + 1,
+                maxMachines + " machines in use, but " + machinesBefore + " are sufficient");
         blocked.forEach(machine -> simulation.network().setInboundBlocked(machine, false));
         simulation.runUntil(simulation.now() + 40_000);
         assertEquals(List.of(), simulation.invariants().violations());
         assertEquals(List.of(), simulation.invariants().missingReplicas());
     }
 
-    // The lease of the former process is still valid, and the other controllers may not have noticed.
+    // The lease of the previous process is still valid, and the other controllers may not have noticed the crash.
     @ParameterizedTest
     @ValueSource(longs = {50L, 200L, 600L})
     void keepsTasksRunningWhenLeaderRestartsImmediately(long downMs) {
@@ -181,8 +184,8 @@
         assertNoTaskRestarted(simulation);
     }
 
-    // A machine is back before its silence shows: its new agent counts its epochs from the first or
-    // from the next one, and what ran there is gone.
+    // A machine has rebooted before its missing heartbeats are noticed. Its new agent counts epochs from the first or
+    // from the next one, and the tasks that ran on the machine are gone.
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void restartsReplicasAfterMachineReboot(boolean epochKept) {
@@ -191,10 +194,13 @@
         simulation.agents().reboot(machine, epochKept);
         simulation.runUntil(simulation.now() + 15_000);
         assertEquals(List.of(), simulation.invariants().violations());
-        assertEquals(List.of(), simulation.invariants().missingReplicas(), "long before a hold would have ended");
+        assertEquals(
+                List.of(),
+                simulation.invariants().missingReplicas(),
+                "replicas run again long before a hold would have ended");
     }
 
-    // Late duplicates of a lost machine's heartbeats must not show it as alive.
+    // Delayed duplicates of a lost machine's heartbeats must not make it appear responsive.
     @Test
     void restartsReplicasOfLostMachineDespiteDuplicateHeartbeats() {
         ClusterSimulation simulation = clusterWithServices();
@@ -204,11 +210,14 @@
         simulation.network().partition(machine, Hosts.ALL);
         simulation.runUntil(simulation.now() + 36_000);
         assertEquals(List.of(), simulation.invariants().violations());
-        assertEquals(List.of(), simulation.invariants().missingReplicas(), "placed again when the hold has ended");
+        assertEquals(
+                List.of(),
+                simulation.invariants().missingReplicas(),
+                "replicas are placed again when the hold has ended");
     }
 
-    // To a new leader a late duplicate looks like a machine's first heartbeat in the recovery window, and hides what
-    // was started since. The machine itself is partitioned for less than its lease, so all of that runs on.
+    // A new leader could mistake a delayed duplicate for a machine's first heartbeat in the recovery window, and miss
+    // the tasks started since. The machines are partitioned for less than their lease, so these tasks keep running.
     @Test
     void newLeaderIgnoresDuplicateHeartbeats() {
         ClusterSimulation simulation = clusterWithServices();
@@ -230,7 +239,7 @@
         assertEquals(List.of(), simulation.invariants().violations());
     }
 
-    // Cancellations that can't reach the leader: it responds to its agents for the grace at the most.
+    // The cancellation cannot reach the leader, which answers its agents for at most the grace period.
     @Test
     void endsCancelledJobInTimeWhenLeaderIsPartitioned() {
         ClusterSimulation simulation = clusterWithServices();
@@ -250,8 +259,8 @@
         assertTrue(simulation.invariants().runningTasks().stream().noneMatch(task -> task.startsWith("j-000001/")));
     }
 
-    // Jobs that the leader learns of in no ordinary way: the notice is lost with a partition between controllers,
-    // and the changes are gone from the state service before the leader can watch again.
+    // The leader is partitioned from its peers and loses the notice of a job. The state service compacts its history
+    // before the leader can watch again, so the leader does not see the change there either.
     @Test
     void runsJobWhenLeaderReceivesNeitherNoticeNorWatchEvent() {
         ClusterSimulation simulation = clusterWithServices();
@@ -291,18 +300,18 @@
         simulation.store().setOutage(true);
         simulation.runUntil(simulation.now() + 2_000);
         long sentAt = simulation.now();
-        long[] answeredAt = new long[1];
+        long[] respondedAt = new long[1];
         int[] status = new int[1];
         simulation.users().sendRequest(0, "GET", "/submissions/j-000001", reply -> {
-            answeredAt[0] = simulation.now();
+            respondedAt[0] = simulation.now();
             status[0] = reply.status();
         });
         simulation.runUntil(sentAt + 1_000);
         assertEquals(503, status[0]);
-        assertTrue(answeredAt[0] - sentAt < 10, "at once");
+        assertTrue(respondedAt[0] - sentAt < 10, "the response is immediate");
     }
 
-    // A controller must not count as unable because it has no requests.
+    // A controller must not be reported as not ready because it receives no requests.
     @Test
     void reportsReadyWithoutAnyRequests() {
         ClusterSimulation simulation = new ClusterSimulation(7, 3);
@@ -318,30 +327,30 @@
     @Test
     void returnsProtocolStatusForInvalidRequests() {
         ClusterSimulation simulation = clusterWithServices();
-        ObjectNode good = JobRequests.array("j-000100", "blue", 2, 2, 5);
+        ObjectNode valid = JobRequests.array("j-000100", "blue", 2, 2, 5);
         assertEquals(
                 400, status(simulation, "POST", "/submissions", Json.object().put("id", "j-000101")));
         assertEquals(
-                400, status(simulation, "POST", "/submissions", good.deepCopy().put("shards", 0)));
+                400, status(simulation, "POST", "/submissions", valid.deepCopy().put("shards", 0)));
         assertEquals(
-                400, status(simulation, "POST", "/submissions", good.deepCopy().put("shards", 1.5)));
+                400, status(simulation, "POST", "/submissions", valid.deepCopy().put("shards", 1.5)));
         assertEquals(
-                400, status(simulation, "POST", "/submissions", good.deepCopy().put("cpus", -1.0)));
+                400, status(simulation, "POST", "/submissions", valid.deepCopy().put("cpus", -1.0)));
         assertEquals(
-                400, status(simulation, "POST", "/submissions", good.deepCopy().put("id", "x")));
+                400, status(simulation, "POST", "/submissions", valid.deepCopy().put("id", "x")));
         assertEquals(
-                400, status(simulation, "POST", "/submissions", good.deepCopy().put("urgency", "soon")));
+                400, status(simulation, "POST", "/submissions", valid.deepCopy().put("urgency", "soon")));
         assertEquals(
-                422, status(simulation, "POST", "/submissions", good.deepCopy().put("crew", "nobody")));
+                422, status(simulation, "POST", "/submissions", valid.deepCopy().put("crew", "nobody")));
         assertEquals(
-                422, status(simulation, "POST", "/submissions", good.deepCopy().put("cpus", 99.0)));
+                422, status(simulation, "POST", "/submissions", valid.deepCopy().put("cpus", 99.0)));
         assertEquals(422, status(simulation, "POST", "/submissions", JobRequests.service("j-000102", "red", 30, 2)));
         assertEquals(404, status(simulation, "GET", "/submissions/j-999999"));
         assertEquals(404, status(simulation, "GET", "/nothing"));
         assertEquals(405, status(simulation, "DELETE", "/submissions"));
-        assertEquals(201, status(simulation, "POST", "/submissions", good));
+        assertEquals(201, status(simulation, "POST", "/submissions", valid));
         assertEquals(
-                200, status(simulation, "POST", "/submissions", good.deepCopy().put("shards", "many")));
+                200, status(simulation, "POST", "/submissions", valid.deepCopy().put("shards", "many")));
     }
 
     private static int status(ClusterSimulation simulation, String method, String path) {
