--- a/src/test/java/io/quartzgw/app/CancellationTest.java
+++ b/src/test/java/io/quartzgw/app/CancellationTest.java
@@ -17,8 +17,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Jobs that are cancelled while their leader has a fault. The tasks are gone within the cancel limit, whichever
- * controller told the user, in whichever response, and whatever faults the controllers have next.
+ * Cancels jobs while their leader has a fault. Guards against a leader that renews the leases of agents without having
+ * received the cancellation. The tasks must stop within the cancel limit, whichever controller acknowledges the
+ * cancellation, in whichever response, and whatever faults follow.
  */
 class CancellationTest {
     private static final String JOB = "j-000001";
@@ -28,11 +29,11 @@
 
     private final List<Reply> userReplies = new ArrayList<>();
 
-    private void assertUserToldOfCancellation() {
-        assertTrue(isUserToldOfCancellation(), "a user was told");
+    private void assertCancellationAcknowledged() {
+        assertTrue(isCancellationAcknowledged(), "cancellation is acknowledged");
     }
 
-    private boolean isUserToldOfCancellation() {
+    private boolean isCancellationAcknowledged() {
         return userReplies.stream()
                 .anyMatch(reply ->
                         reply.ok() && reply.json().path("phase").asText().equals("withdrawn"));
@@ -48,11 +49,11 @@
         assertEquals(0, simulation.failedCommands());
     }
 
-    private static int other(int controller, int offset) {
+    private static int peerOf(int controller, int offset) {
         return (controller + offset) % 3;
     }
 
-    /** The state service rejects the leader alone, then the job is cancelled in some way, then there is an outage. */
+    /** Makes the state service reject only the leader, then cancels the job, then begins an outage of the service. */
     private ClusterSimulation cancelBeforeOutage(long rejectedMs, BiConsumer<ClusterSimulation, Integer> cancelling) {
         ClusterSimulation simulation = clusterWithServices();
         int leader = simulation.leader();
@@ -61,32 +62,36 @@
         cancelling.accept(simulation, leader);
         simulation.runChecked(rejectedMs - 200);
         simulation.store().setOutage(true);
-        assertEquals(leader, simulation.leader(), "agents send heartbeats to the old leader");
+        assertEquals(leader, simulation.leader(), "the rejected leader still leads");
         return simulation;
     }
 
     private void assertCancelledThroughOutage(ClusterSimulation simulation, int leader) {
         simulation.runChecked(OUTAGE_MS);
-        assertUserToldOfCancellation();
+        assertCancellationAcknowledged();
         assertNoTaskRuns(simulation);
         simulation.setStoreRejects(leader, false);
         simulation.store().setOutage(false);
         simulation.runChecked(40_000);
         assertNoTaskRuns(simulation);
-        assertEquals(List.of(), simulation.invariants().missingReplicas(), "what was not cancelled runs");
+        assertEquals(
+                List.of(),
+                simulation.invariants().missingReplicas(),
+                "all replicas of jobs that are not cancelled run");
     }
 
     @Test
-    void cancellationByAFollowerBeforeAnOutageStopsTheTasks() {
+    void stopsTasksCancelledAtFollowerBeforeStoreOutage() {
         ClusterSimulation simulation = cancelBeforeOutage(
-                2_000, (cluster, leader) -> cluster.users().cancelJob(other(leader, 1), JOB, userReplies::add));
+                2_000, (cluster, leader) -> cluster.users().cancelJob(peerOf(leader, 1), JOB, userReplies::add));
         assertCancelledThroughOutage(simulation, simulation.leader());
     }
 
-    // Times around the lease, the grace and the cancellation limit, machines that hang or receive nothing, messages
-    // between controllers that are duplicated, and two timings: cancellation limit less lease is 20 and 30 s.
+    // Covers times around the lease, the grace period and the cancel limit, machines that hang or whose inbound traffic
+    // is blocked, duplicated messages between controllers, and two timings: the cancel limit exceeds the lease by 20 s
+    // and by 30 s.
     @Test
-    void cancellationAtRandomTimesAroundRejectionAndOutageStopsTheTasks() {
+    void stopsTasksCancelledAtRandomTimesAroundRejectionAndOutage() {
         List<AgentTiming> timings =
                 List.of(new AgentTiming(2_500, 16_000, 36_000), new AgentTiming(2_500, 18_000, 48_000));
         SplittableRandom random = new SplittableRandom(4);
@@ -104,7 +109,7 @@
             simulation.schedule(outageEnds + random.nextInt(4_000), () -> simulation.setStoreRejects(leader, false));
             for (int job = 0; job < 4; job++) {
                 String id = JobRequests.id(job);
-                int controller = other(leader, 1 + job % 2);
+                int controller = peerOf(leader, 1 + job % 2);
                 simulation.schedule(
                         simulation.now() + random.nextInt(5_000),
                         () -> simulation.users().cancelJob(controller, id, userReplies::add));
@@ -119,10 +124,10 @@
         }
     }
 
-    /** Schedules a fault of machines, of a controller or of the network, each of its own kind by its number. */
+    /** Schedules a fault of machines, of a controller or of the network, selected by its number. */
     private static void scheduleFault(ClusterSimulation simulation, int kind, long from, long until) {
         int leader = simulation.leader();
-        int follower = other(leader, 1);
+        int follower = peerOf(leader, 1);
         List<String> machines = simulation.agents().machineIds().subList(0, 2);
         switch (kind) {
             case 0 ->
@@ -149,19 +154,20 @@
         }
     }
 
-    // Responses that arrive after their timeout: to the cancellation, to the leader's renewals, to its watch.
+    // The slow state service answers the cancellation, the leader's lease renewals and its watch after their timeouts.
     @ParameterizedTest
     @ValueSource(longs = {1_000L, 2_500L, 5_000L})
-    void cancellationWithASlowStoreThatThenRejectsTheLeaderStopsTheTasks(long maxDelayMs) {
+    void stopsTasksCancelledWithSlowStoreThatThenRejectsLeader(long maxDelayMs) {
         userReplies.clear();
-        // Whether a user is told in time depends on the delays; where none is, the next seed shows nothing less.
-        for (long seed = FIRST_SEED; !isUserToldOfCancellation() && seed < FIRST_SEED + MAX_SEEDS; seed++) {
-            cancelWithASlowStoreThatThenRejectsTheLeader(clusterWithServices(seed), maxDelayMs);
+        // The delays decide whether the cancellation is acknowledged in time. If it is not, the next seed is tried,
+        // which is no weaker a test.
+        for (long seed = FIRST_SEED; !isCancellationAcknowledged() && seed < FIRST_SEED + MAX_SEEDS; seed++) {
+            cancelWithSlowStoreThenRejectLeader(clusterWithServices(seed), maxDelayMs);
         }
-        assertUserToldOfCancellation();
+        assertCancellationAcknowledged();
     }
 
-    private void cancelWithASlowStoreThatThenRejectsTheLeader(ClusterSimulation simulation, long maxDelayMs) {
+    private void cancelWithSlowStoreThenRejectLeader(ClusterSimulation simulation, long maxDelayMs) {
         simulation.network().delayStoreUpTo(maxDelayMs);
         for (int second = 0; second < 12; second++) {
             for (int controller = 0; controller < 3; controller++) {
@@ -174,7 +180,7 @@
         }
         int leader = simulation.leaderOrFirst();
         simulation.setStoreRejects(leader, true);
-        simulation.users().cancelJob(other(leader, 1), "j-000002", userReplies::add);
+        simulation.users().cancelJob(peerOf(leader, 1), "j-000002", userReplies::add);
         simulation.runChecked(2_000);
         simulation.store().setOutage(true);
         simulation.runChecked(OUTAGE_MS);
@@ -187,10 +193,10 @@
         assertEquals(0, simulation.failedCommands());
     }
 
-    // The transaction was carried out, its response got lost, and the user is told of the end by
-    // another controller, in the response to a repeated cancellation, a query, or a repeated submission.
+    // The state service applies the cancellation, but its response is lost. Another request acknowledges it to the
+    // user: a repeated cancellation, a query or a repeated submission, at either follower.
     @Test
-    void cancellationToldByAnotherResponseThanTheLostOneStopsTheTasks() {
+    void stopsTasksWhenCancellationIsAcknowledgedAfterLostTransactionResponse() {
         List<BiConsumer<ClusterSimulation, Integer>> requests = List.of(
                 (cluster, controller) -> cluster.users().cancelJob(controller, JOB, userReplies::add),
                 (cluster, controller) -> cluster.users().queryJob(controller, JOB, userReplies::add),
@@ -198,104 +204,114 @@
                         .submitOnce(
                                 controller, cluster.users().submittedSpec(JOB).orElseThrow(), userReplies::add));
         for (BiConsumer<ClusterSimulation, Integer> request : requests) {
-            for (int by = 1; by <= 2; by++) {
-                int receiver = by;
+            for (int offset = 1; offset <= 2; offset++) {
+                int receiverOffset = offset;
                 userReplies.clear();
                 ClusterSimulation simulation = cancelBeforeOutage(1_500, (cluster, leader) -> {
                     cluster.network().loseTransactionResponses(1);
-                    cluster.users().cancelJob(other(leader, 1), JOB, reply -> {});
+                    cluster.users().cancelJob(peerOf(leader, 1), JOB, reply -> {});
                     cluster.runChecked(300);
                     cluster.network().loseTransactionResponses(0);
-                    request.accept(cluster, other(leader, receiver));
+                    request.accept(cluster, peerOf(leader, receiverOffset));
                 });
                 assertCancelledThroughOutage(simulation, simulation.leader());
             }
         }
     }
 
-    // What a process told between its last response to a peer and its crash, also where a second restart follows.
+    // A controller acknowledges the cancellation after its last message to a peer, then crashes. It is restarted once
+    // or twice.
     @Test
-    void cancellationToldByAControllerThatRestartsStopsTheTasks() {
+    void stopsTasksWhenAcknowledgingControllerRestarts() {
         for (int restarts = 1; restarts <= 2; restarts++) {
             userReplies.clear();
             ClusterSimulation simulation = cancelBeforeOutage(2_000, (cluster, leader) -> {
-                // Nothing that this controller sends reaches the others before it crashes.
-                cluster.network().partition(Hosts.controller(other(leader, 1)), Hosts.controller(leader));
-                cluster.network().partition(Hosts.controller(other(leader, 1)), Hosts.controller(other(leader, 2)));
-                cluster.users().cancelJob(other(leader, 1), JOB, userReplies::add);
+                // No message of this controller reaches its peers before it crashes.
+                cluster.network().partition(Hosts.controller(peerOf(leader, 1)), Hosts.controller(leader));
+                cluster.network().partition(Hosts.controller(peerOf(leader, 1)), Hosts.controller(peerOf(leader, 2)));
+                cluster.users().cancelJob(peerOf(leader, 1), JOB, userReplies::add);
                 cluster.runChecked(300);
-                cluster.crash(other(leader, 1));
-                cluster.network().healDroppingPackets(Hosts.controller(other(leader, 1)), Hosts.controller(leader));
+                cluster.crash(peerOf(leader, 1));
+                cluster.network().healDroppingPackets(Hosts.controller(peerOf(leader, 1)), Hosts.controller(leader));
                 cluster.network()
-                        .healDroppingPackets(Hosts.controller(other(leader, 1)), Hosts.controller(other(leader, 2)));
+                        .healDroppingPackets(Hosts.controller(peerOf(leader, 1)), Hosts.controller(peerOf(leader, 2)));
             });
             int leader = simulation.leader();
             for (int i = 0; i < restarts; i++) {
-                simulation.crash(other(leader, 1));
+                simulation.crash(peerOf(leader, 1));
                 simulation.runChecked(200);
-                simulation.start(other(leader, 1));
+                simulation.start(peerOf(leader, 1));
                 simulation.runChecked(2_500);
             }
             assertCancelledThroughOutage(simulation, leader);
         }
     }
 
-    // The leader is partitioned from the controller that told the user for longer than the grace, and connected again
-    // just before its agents' leases would expire.
+    // The leader is partitioned from the acknowledging controller for longer than the grace period. The partition heals
+    // just before the leases of the leader's agents would expire.
     @Test
-    void cancellationThatReachesTheLeaderAfterItsGraceStopsTheTasks() {
-        for (long silentMs = 28_000; silentMs <= 30_400; silentMs += 200) {
+    void stopsTasksWhenLeaderReceivesCancellationAfterGracePeriod() {
+        for (long durationMs = 28_000; durationMs <= 30_400; durationMs += 200) {
             userReplies.clear();
-            long cutMs = silentMs;
+            long partitionMs = durationMs;
             ClusterSimulation simulation = cancelBeforeOutage(2_000, (cluster, leader) -> {
-                cluster.network().partition(Hosts.controller(other(leader, 1)), Hosts.controller(leader));
-                cluster.network().partition(Hosts.controller(other(leader, 1)), Hosts.controller(other(leader, 2)));
-                cluster.users().cancelJob(other(leader, 1), JOB, userReplies::add);
-                cluster.schedule(cluster.now() + cutMs, () -> {
-                    cluster.network().healDroppingPackets(Hosts.controller(other(leader, 1)), Hosts.controller(leader));
+                cluster.network().partition(Hosts.controller(peerOf(leader, 1)), Hosts.controller(leader));
+                cluster.network().partition(Hosts.controller(peerOf(leader, 1)), Hosts.controller(peerOf(leader, 2)));
+                cluster.users().cancelJob(peerOf(leader, 1), JOB, userReplies::add);
+                cluster.schedule(cluster.now() + partitionMs, () -> {
+                    cluster.network()
+                            .healDroppingPackets(Hosts.controller(peerOf(leader, 1)), Hosts.controller(leader));
                     cluster.network()
                             .healDroppingPackets(
-                                    Hosts.controller(other(leader, 1)), Hosts.controller(other(leader, 2)));
+                                    Hosts.controller(peerOf(leader, 1)), Hosts.controller(peerOf(leader, 2)));
                 });
             });
             assertCancelledThroughOutage(simulation, simulation.leader());
         }
     }
 
-    // A new leader that can't read the state service renews leases without knowing which jobs are open.
+    // A new leader that cannot read the state service renews leases without knowing which jobs have ended.
     @Test
-    void cancellationUnknownToANewLeaderInAnOutageStopsTheTasks() {
+    void stopsTasksWhenNewLeaderCannotReadCancellationDuringOutage() {
         for (long seed = 5; seed < 13; seed++) {
             userReplies.clear();
             ClusterSimulation simulation = clusterWithServices(seed);
-            int former = simulation.leader();
-            simulation.network().partition(Hosts.controller(former), Hosts.controller(other(former, 1)));
+            int previousLeader = simulation.leader();
+            simulation
+                    .network()
+                    .partition(Hosts.controller(previousLeader), Hosts.controller(peerOf(previousLeader, 1)));
             if (seed % 2 == 0) {
-                // Nothing reaches the former leader, which would stop the tasks: it is connected again once it is
-                // deposed.
-                simulation.network().partition(Hosts.controller(former), Hosts.controller(other(former, 2)));
+                // The previous leader is fully isolated until it is deposed, so it does not receive the cancellation
+                // and does not stop the tasks.
+                simulation
+                        .network()
+                        .partition(Hosts.controller(previousLeader), Hosts.controller(peerOf(previousLeader, 2)));
             }
-            simulation.setStoreRejects(former, true);
+            simulation.setStoreRejects(previousLeader, true);
             simulation.runChecked(200);
-            simulation.users().cancelJob(other(former, 1), JOB, userReplies::add);
+            simulation.users().cancelJob(peerOf(previousLeader, 1), JOB, userReplies::add);
             simulation.runUntil(simulation.now() + 1_000);
-            while (simulation.leader() == former || !simulation.hasLeader()) {
+            while (simulation.leader() == previousLeader || !simulation.hasLeader()) {
                 simulation.runUntil(simulation.now() + 1);
             }
             simulation.store().setOutage(true);
-            simulation.network().healDroppingPackets(Hosts.controller(former), Hosts.controller(other(former, 1)));
-            simulation.network().healDroppingPackets(Hosts.controller(former), Hosts.controller(other(former, 2)));
-            assertCancelledThroughOutage(simulation, former);
+            simulation
+                    .network()
+                    .healDroppingPackets(Hosts.controller(previousLeader), Hosts.controller(peerOf(previousLeader, 1)));
+            simulation
+                    .network()
+                    .healDroppingPackets(Hosts.controller(previousLeader), Hosts.controller(peerOf(previousLeader, 2)));
+            assertCancelledThroughOutage(simulation, previousLeader);
         }
     }
 
-    // Several leaders in turn, none of which reads the state service: each renews leases with its first responses.
+    // None of several successive leaders can read the state service; each renews leases in its first responses.
     @Test
-    void cancellationUnknownToSeveralLeadersInTurnStopsTheTasks() {
+    void stopsTasksWhenSuccessiveLeadersCannotReadCancellation() {
         ClusterSimulation simulation = clusterWithServices();
         int first = simulation.leader();
         simulation.crash(first);
-        simulation.users().cancelJob(other(first, 1), JOB, userReplies::add);
+        simulation.users().cancelJob(peerOf(first, 1), JOB, userReplies::add);
         simulation.runChecked(500);
         simulation.start(first);
         for (int change = 0; change < 10; change++) {
@@ -311,32 +327,35 @@
             simulation.start(leader);
         }
         simulation.runChecked(60_000);
-        assertUserToldOfCancellation();
+        assertCancellationAcknowledged();
         assertNoTaskRuns(simulation);
     }
 
-    // The notice of a submission is delayed and arrives after that of the cancellation, while watches are paused.
+    // While watches are paused, the notice of a submission is delayed and arrives after that of the cancellation.
     @Test
-    void submissionNoticeThatArrivesAfterTheCancellationStartsNothing() {
+    void startsNothingWhenSubmissionNoticeArrivesAfterCancellation() {
         for (long seed = 5; seed < 13; seed++) {
             userReplies.clear();
             ClusterSimulation simulation = clusterWithServices(seed);
             int leader = simulation.leader();
-            int receiver = other(leader, 1);
+            int receiver = peerOf(leader, 1);
             simulation.store().setWatchesPaused(true);
             simulation.network().partition(Hosts.controller(receiver), Hosts.controller(leader));
             simulation.users().submitOnce(receiver, JobRequests.service("j-000070", "blue", 2, 2), reply -> {});
             simulation.runChecked(400);
             simulation.users().cancelJob(receiver, "j-000070", userReplies::add);
             simulation.runChecked(300);
-            int before = simulation.invariants().startCount();
-            // The packets that were held back are delivered in any order now.
+            int startsBefore = simulation.invariants().startCount();
+            // The delayed packets are now delivered in any order.
             simulation.network().heal(Hosts.controller(receiver), Hosts.controller(leader));
             simulation.runChecked(10_000);
             simulation.store().setWatchesPaused(false);
             simulation.runChecked(30_000);
-            assertUserToldOfCancellation();
-            assertEquals(before, simulation.invariants().startCount(), "nothing starts after the confirmation");
+            assertCancellationAcknowledged();
+            assertEquals(
+                    startsBefore,
+                    simulation.invariants().startCount(),
+                    "no task starts after the cancellation is acknowledged");
             assertNoTaskRuns(simulation, "j-000070");
         }
     }
--- a/src/test/java/io/quartzgw/app/ConcurrentFaultsTest.java
+++ b/src/test/java/io/quartzgw/app/ConcurrentFaultsTest.java
@@ -18,11 +18,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Faults at the same time as a change of leader, or as many requests. */
+/** Faults that coincide with a leader change or with many requests. */
 class ConcurrentFaultsTest {
-    // The leader must keep up with the rate of jobs: each costs an acceptance, a start, an end and queries.
+    // The leader must keep up with the job rate: each job needs an acceptance, a start, an end and queries.
     @Test
-    void fourOneTaskJobsASecondEndThroughALeaderCrash() {
+    void endsFourSingleTaskJobsPerSecondDespiteLeaderCrash() {
         ClusterSimulation simulation = clusterWithServices();
         List<String> jobs = new ArrayList<>();
         for (int i = 0; i < 240; i++) {
@@ -42,13 +42,13 @@
         assertAllEnded(simulation, jobs);
         assertTrue(
                 jobs.stream().anyMatch(id -> simulation.invariants().hasEndedIn("withdrawn", id)),
-                "some are cancelled before their end");
+                "some jobs are cancelled before they complete");
     }
 
-    // Responses must not become older: every controller is queried about a job within milliseconds, while its
-    // submission is repeated and some users cancel.
+    // No response may be older than an earlier one. All controllers are queried about a job within milliseconds, while
+    // its submission is repeated and some users cancel.
     @Test
-    void queriesAtAllControllersNeverReturnAnOlderState() {
+    void queriesNeverReturnOlderStateAtAnyController() {
         ClusterSimulation simulation = clusterWithServices();
         List<String> jobs = submitArrays(simulation, 9, 2, 3, "blue");
         for (int step = 0; step < 900; step++) {
@@ -72,10 +72,10 @@
         assertAllEnded(simulation, jobs);
     }
 
-    // Cancellations between two leaders: neither may start or keep the tasks of cancelled jobs.
+    // Jobs are cancelled around a leader change. Neither leader may start or keep the tasks of cancelled jobs.
     @ParameterizedTest
     @ValueSource(longs = {-400L, -50L, 0L, 100L, 700L, 2_000L})
-    void jobsCancelledDuringALeaderChangeAreStopped(long crashAfterMs) {
+    void stopsJobsCancelledDuringLeaderChange(long crashAfterMs) {
         ClusterSimulation simulation = clusterWithServices();
         List<String> jobs = submitArrays(simulation, 8, 4, 30, "red");
         simulation.runChecked(9_000);
@@ -87,9 +87,9 @@
         assertAllEnded(simulation, jobs);
     }
 
-    // Other controllers read what a transaction wrote whose response got lost.
+    // Other controllers read the writes of a transaction whose response is lost.
     @Test
-    void jobsEndWhileTransactionResponsesAreLost() {
+    void endsJobsWhenTransactionResponsesAreLost() {
         ClusterSimulation simulation = clusterWithServices();
         simulation.network().loseTransactionResponses(0.4);
         List<String> jobs = submitArrays(simulation, 10, 3, 5, "blue");
@@ -111,10 +111,11 @@
         assertAllEnded(simulation, jobs);
     }
 
-    // The fencing of agents: a command of a leader that crashed or was deposed arrives after its successor's.
+    // Commands of a leader that has crashed or been deposed arrive after those of its successor. Agents must reject
+    // these by the fencing token.
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void commandsOfAFormerLeaderThatArriveLateAreFenced(boolean crashes) {
+    void agentsRejectDelayedCommandsOfPreviousLeader(boolean crashes) {
         ClusterSimulation simulation = clusterWithServices();
         List<String> jobs = submitArrays(simulation, 8, 4, 15, "red");
         simulation.network().delayCommandShare(0.9);
@@ -133,10 +134,11 @@
         assertAllEnded(simulation, jobs);
     }
 
-    // All quotas at once: tasks of cancelled jobs on unreachable machines count until they are surely stopped.
+    // Checks the quotas of several teams. Tasks of cancelled jobs on unreachable machines must count until they have
+    // certainly stopped.
     @ParameterizedTest
     @ValueSource(longs = {0L, 10_000L})
-    void quotasHoldWhileJobsAreCancelledOnPartitionedOrHangingMachines(long hangMs) {
+    void enforcesQuotasWhenJobsAreCancelledOnPartitionedOrHangingMachines(long hangMs) {
         ClusterSimulation simulation = clusterWithServices();
         List<String> jobs = new ArrayList<>(submitArrays(simulation, 4, 6, 25, "green"));
         for (int i = 0; i < 4; i++) {
@@ -157,9 +159,9 @@
         assertAllEnded(simulation, jobs);
     }
 
-    // Duplicates of heartbeats from before a term reach every controller just as the term begins.
+    // Duplicates of heartbeats sent before a term reach all controllers just as the term begins.
     @Test
-    void jobsAreDoneWhileOldHeartbeatsArriveAtNewLeaders() {
+    void completesJobsWhenOldHeartbeatsReachNewLeaders() {
         ClusterSimulation simulation = clusterWithServices();
         List<String> jobs = submitArrays(simulation, 6, 4, 12, "red");
         simulation.network().duplicateMessageShare(0.8);
@@ -174,11 +176,11 @@
         assertAllDone(simulation, jobs);
     }
 
-    // New machines get tasks at once: both are written before, also where the store is slow and
-    // the leader crashes in between.
+    // New machines get tasks immediately. The machine and the start must be recorded before that, also when the state
+    // service is slow and the leader crashes in between.
     @ParameterizedTest
     @ValueSource(longs = {500L, 1_500L, 3_000L})
-    void jobsAreDoneWhenTheLeaderCrashesWithASlowStoreAndNewMachines(long crashAfterMs) {
+    void completesJobsWhenLeaderCrashesWithSlowStoreAndNewMachines(long crashAfterMs) {
         ClusterSimulation simulation = clusterWithServices();
         simulation.network().delayStoreUpTo(900);
         simulation.cloud().setBootMs(1_000);
--- a/src/test/java/io/quartzgw/app/FailureTest.java
+++ b/src/test/java/io/quartzgw/app/FailureTest.java
@@ -15,18 +15,18 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Three controllers in a simulated cluster with random faults; all invariants of the protocol are checked. */
+/** Runs three controllers in a simulated cluster with random faults and checks all invariants of the protocol. */
 class FailureTest {
-    private static final long END = 420_000;
-    private static final long FAULTS_END = ConcurrentFault.LAST_END_MS;
-    /** Where teams are at their limits and one zone has most of the work, arrays need longer. */
-    private static final long LONG_END = 560_000;
+    private static final long END_MS = 420_000;
+    private static final long FAULTS_END_MS = ConcurrentFault.FAULTS_END_MS;
+    /** Arrays take longer when teams are at their quotas and one zone has most of the work. */
+    private static final long EXTENDED_END_MS = 560_000;
 
     @Test
-    void everyArrayEndsWithoutFaults() {
+    void endsAllArraysWithoutFaults() {
         ClusterSimulation simulation = new ClusterSimulation(1, 3);
         List<String> arrays = RandomLoads.scheduleMixedJobs(simulation, new SplittableRandom(1));
-        simulation.runChecked(END);
+        simulation.runChecked(END_MS);
         assertEquals(List.of(), simulation.invariants().violations());
         assertTrue(
                 arrays.stream()
@@ -39,24 +39,24 @@
     }
 
     /**
-     * Seeds in which an invariant was violated once: by late records, late notices, a hold dropped by its owner, tasks
-     * of cancelled jobs on silent machines that no quota counted, a late start that reached a new agent, a start
-     * offered to an epoch that was not confirmed yet.
+     * Seeds that violated an invariant in the past. The causes were delayed records, delayed notices, a hold dropped by
+     * its owner, tasks of cancelled jobs on unresponsive machines that did not count towards a quota, a delayed start
+     * that reached a new agent, and a start offered to an epoch that was not confirmed yet.
      */
     @ParameterizedTest
     @ValueSource(longs = {26, 298, 392, 422, 429, 430, 466, 553, 563, 10_090, 10_389, 20_317, 20_676, 310_494})
-    void invariantsHoldForSeedsThatOnceViolatedThem(long seed) {
-        invariantsHoldThroughSingleFaults(seed);
+    void invariantsHoldForPreviouslyFailingSeeds(long seed) {
+        invariantsHoldUnderSingleFaults(seed);
     }
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void invariantsHoldThroughSingleFaults(long seed) {
+    void invariantsHoldUnderSingleFaults(long seed) {
         ClusterSimulation simulation = new ClusterSimulation(seed, 3);
         List<String> arrays = runSingleFailures(simulation, seed);
         assertHealthy(simulation);
         assertAllEnded(simulation, arrays);
-        assertTrue(simulation.invariants().startCount() > 50, "tasks were started");
+        assertTrue(simulation.invariants().startCount() > 50, "enough tasks were started");
     }
 
     static LongStream singleSeedsWithPauses() {
@@ -65,9 +65,9 @@
 
     @ParameterizedTest
     @MethodSource("singleSeedsWithPauses")
-    void invariantsHoldThroughSingleFaultsWhileLeadersPause(long seed) {
+    void invariantsHoldUnderSingleFaultsAndLeaderPauses(long seed) {
         ClusterSimulation simulation = new ClusterSimulation(seed, 3);
-        LeaderPauses.scheduleAll(simulation, seed, FAULTS_END);
+        LeaderPauses.scheduleAll(simulation, seed, FAULTS_END_MS);
         List<String> arrays = runSingleFailures(simulation, seed);
         assertHealthy(simulation);
         assertAllEnded(simulation, arrays);
@@ -78,14 +78,14 @@
         simulation.network().duplicateMessageShare(0.02);
     }
 
-    /** Runs random faults, one after the other, and returns the arrays that were submitted. */
+    /** Runs random faults, one after the other. Returns the ids of the submitted arrays. */
     static List<String> runSingleFailures(ClusterSimulation simulation, long seed) {
         setMessageFaults(simulation);
         SplittableRandom random = new SplittableRandom(seed);
         List<String> arrays = RandomLoads.scheduleMixedJobs(simulation, random);
         SingleFault.scheduleAll(simulation, random);
-        simulation.schedule(FAULTS_END, () -> simulation.invariants().faultsOver(FAULTS_END));
-        simulation.runChecked(END);
+        simulation.schedule(FAULTS_END_MS, () -> simulation.invariants().faultsOver(FAULTS_END_MS));
+        simulation.runChecked(END_MS);
         return arrays;
     }
 
@@ -108,9 +108,9 @@
 
     @ParameterizedTest
     @MethodSource("concurrentSeedsWithPauses")
-    void invariantsHoldUnderConcurrentFaultsWhileLeadersPause(long seed) {
+    void invariantsHoldUnderConcurrentFaultsAndLeaderPauses(long seed) {
         ClusterSimulation simulation = new ClusterSimulation(seed, 3);
-        LeaderPauses.scheduleAll(simulation, seed, FAULTS_END);
+        LeaderPauses.scheduleAll(simulation, seed, FAULTS_END_MS);
         List<String> arrays = runConcurrentFaults(simulation, seed);
         assertHealthy(simulation);
         assertAllEnded(simulation, arrays);
@@ -122,9 +122,9 @@
 
     @ParameterizedTest
     @MethodSource("concurrentSeedsWithHeldUpCalls")
-    void invariantsHoldUnderConcurrentFaultsWhileCallsAreHeldUpForMinutes(long seed) {
+    void invariantsHoldUnderConcurrentFaultsAndDelayedDirectCalls(long seed) {
         ClusterSimulation simulation = new ClusterSimulation(seed, 3);
-        HeldUpCalls.scheduleAll(simulation, seed, FAULTS_END);
+        HeldUpCalls.scheduleAll(simulation, seed, FAULTS_END_MS);
         List<String> arrays = runConcurrentFaults(simulation, seed);
         assertHealthy(simulation);
         assertAllEnded(simulation, arrays);
@@ -134,12 +134,12 @@
         return SeedRanges.range("concurrentCrashes", 1, 15);
     }
 
-    /** Guards against ran_twice: a successor has to know the starts that its predecessor had sent. */
+    /** Guards against ran_twice: a new leader must recover the starts that the previous leader sent. */
     @ParameterizedTest
     @MethodSource("concurrentSeedsWithCrashes")
-    void invariantsHoldUnderConcurrentFaultsWhileLeadersCrashWithStartsHeldUp(long seed) {
+    void invariantsHoldUnderConcurrentFaultsAndLeaderCrashesWithDelayedStarts(long seed) {
         ClusterSimulation simulation = new ClusterSimulation(seed, 3);
-        CrashesWithHeldUpStarts.scheduleAll(simulation, seed, FAULTS_END);
+        CrashesWithHeldUpStarts.scheduleAll(simulation, seed, FAULTS_END_MS);
         List<String> arrays = runConcurrentFaults(simulation, seed);
         assertHealthy(simulation);
         assertAllEnded(simulation, arrays);
@@ -149,18 +149,20 @@
         return SeedRanges.range("concurrentTotalLoss", 1, 10);
     }
 
-    /** Guards against ran_twice and ran_cancelled: starts outlive the controllers that know of them. */
+    /**
+     * Guards against ran_twice and ran_cancelled: starts stay outstanding when all controllers that sent them crash.
+     */
     @ParameterizedTest
     @MethodSource("concurrentSeedsWithTotalLoss")
-    void invariantsHoldUnderConcurrentFaultsWhileAllControllersCrashWithStartsHeldUp(long seed) {
+    void invariantsHoldUnderConcurrentFaultsAndCrashesOfAllControllersWithDelayedStarts(long seed) {
         ClusterSimulation simulation = new ClusterSimulation(seed, 3);
-        CrashesOfAllControllers.scheduleAll(simulation, seed, ClusterFixtures.CANCEL_MS, FAULTS_END);
+        CrashesOfAllControllers.scheduleAll(simulation, seed, ClusterFixtures.CANCEL_MS, FAULTS_END_MS);
         List<String> arrays = runConcurrentFaults(simulation, seed);
         assertHealthy(simulation);
         assertAllEnded(simulation, arrays);
     }
 
-    /** Runs random faults over each other, and returns the arrays that were submitted. */
+    /** Runs random faults that may overlap. Returns the ids of the submitted arrays. */
     static List<String> runConcurrentFaults(ClusterSimulation simulation, long seed) {
         setMessageFaults(simulation);
         SplittableRandom random = new SplittableRandom(seed);
@@ -172,9 +174,9 @@
         if (random.nextInt(3) == 0) {
             SingleFault.scheduleAll(simulation, random);
         }
-        simulation.schedule(FAULTS_END, () -> simulation.invariants().faultsOver(FAULTS_END));
-        simulation.runChecked(FAULTS_END);
-        while (simulation.now() < LONG_END) {
+        simulation.schedule(FAULTS_END_MS, () -> simulation.invariants().faultsOver(FAULTS_END_MS));
+        simulation.runChecked(FAULTS_END_MS);
+        while (simulation.now() < EXTENDED_END_MS) {
             simulation.runChecked(1_000);
             simulation.checkWaitingJobs();
         }
--- a/src/test/java/io/quartzgw/app/ScenarioTest.java
+++ b/src/test/java/io/quartzgw/app/SingleFaultsTest.java
@@ -15,16 +15,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Single faults, each with what users notice of it. */
-class ScenarioTest {
-    private static void assertNothingRestarted(ClusterSimulation simulation) {
+/** Injects one fault per test and checks what users notice of it. */
+class SingleFaultsTest {
+    private static void assertNoTaskRestarted(ClusterSimulation simulation) {
         assertEquals(List.of(), simulation.invariants().violations());
         assertEquals(REPLICAS, simulation.invariants().runningTasks().size());
-        assertEquals(REPLICAS, simulation.invariants().startCount(), "no replica was started again");
+        assertEquals(REPLICAS, simulation.invariants().startCount(), "no replica is restarted");
     }
 
     @Test
-    void leaderCrashRestartsNothing() {
+    void keepsTasksRunningWhenLeaderCrashes() {
         ClusterSimulation simulation = clusterWithServices();
         int leader = simulation.leader();
         simulation.crash(leader);
@@ -32,11 +32,11 @@
         assertTrue(simulation.hasLeader() && simulation.leader() != leader, "another controller leads");
         simulation.start(leader);
         simulation.runUntil(120_000);
-        assertNothingRestarted(simulation);
+        assertNoTaskRestarted(simulation);
     }
 
     @Test
-    void crashOfAllControllersRestartsNothing() {
+    void keepsTasksRunningWhenAllControllersCrash() {
         ClusterSimulation simulation = clusterWithServices();
         for (int i = 0; i < 3; i++) {
             simulation.crash(i);
@@ -44,14 +44,14 @@
             simulation.schedule(simulation.now() + 6_000 + 500L * i, () -> simulation.start(controller));
         }
         simulation.runUntil(120_000);
-        assertNothingRestarted(simulation);
+        assertNoTaskRestarted(simulation);
     }
 
-    // A paused leader has received no heartbeat when it resumes, and may not have heard
-    // of its successor either.
+    // When a paused leader resumes, it has received no heartbeats, and may not have been informed of its successor. It
+    // must not declare machines lost.
     @ParameterizedTest
     @ValueSource(longs = {3_000L, 9_000L, 30_000L, 70_000L})
-    void pausedLeaderThatResumesGivesUpNoMachine(long pauseMs) {
+    void resumedLeaderDeclaresNoMachineLost(long pauseMs) {
         ClusterSimulation simulation = clusterWithServices();
         String leader = Hosts.controller(simulation.leader());
         simulation.pauseController(simulation.leader(), pauseMs);
@@ -59,24 +59,24 @@
         simulation.runUntil(simulation.now() + pauseMs + 2_000);
         simulation.network().heal(leader, Hosts.ALL);
         simulation.runUntil(simulation.now() + 30_000);
-        assertNothingRestarted(simulation);
+        assertNoTaskRestarted(simulation);
         assertEquals(0, simulation.counter("machines.given_up"));
     }
 
-    // The grace counts from the time up to which the leader knows all cancellations.
+    // The grace period starts at the time up to which the leader has received all cancellations.
     @Test
-    void outageLongerThanGraceAndLeaseRestartsNothing() {
+    void keepsTasksRunningWhenStoreOutageExceedsGracePeriodAndLease() {
         ClusterSimulation simulation = clusterWithServices();
         simulation.store().setOutage(true);
         simulation.runUntil(simulation.now() + 60_000);
         simulation.store().setOutage(false);
         simulation.runUntil(simulation.now() + 30_000);
-        assertNothingRestarted(simulation);
+        assertNoTaskRestarted(simulation);
     }
 
-    // Whether a leader is able to lead is not judged by its access to the state service alone.
+    // Access to the state service is not sufficient for a leader: it must also reach agents.
     @Test
-    void leaderPartitionedFromAllAgentsHandsOver() {
+    void handsOverWhenLeaderIsPartitionedFromAllAgents() {
         ClusterSimulation simulation = clusterWithServices();
         int leader = simulation.leader();
         List<String> machines = simulation.agents().machineIds();
@@ -85,23 +85,23 @@
         assertTrue(simulation.hasLeader() && simulation.leader() != leader, "another controller leads");
         machines.forEach(machine -> simulation.network().heal(Hosts.controller(leader), machine));
         simulation.runUntil(simulation.now() + 30_000);
-        assertNothingRestarted(simulation);
+        assertNoTaskRestarted(simulation);
     }
 
-    // The leases of a few agents count more than a takeover of a second.
+    // A takeover, which takes a second, is preferred to letting the leases of a few agents expire.
     @Test
-    void leaderPartitionedFromOneAgentHandsOver() {
+    void handsOverWhenLeaderIsPartitionedFromOneAgent() {
         ClusterSimulation simulation = clusterWithServices();
         int leader = simulation.leader();
         String machine = simulation.agents().machineIds().get(0);
         simulation.network().partition(Hosts.controller(leader), machine);
         simulation.runUntil(simulation.now() + 30_000);
         assertTrue(simulation.hasLeader() && simulation.leader() != leader, "another controller leads");
-        assertNothingRestarted(simulation);
+        assertNoTaskRestarted(simulation);
     }
 
     @Test
-    void leaderPartitionedFromAllButItsAgentsIsReplaced() {
+    void replacesLeaderThatOnlyAgentsReach() {
         ClusterSimulation simulation = clusterWithServices();
         int leader = simulation.leader();
         for (String other : List.of(Hosts.controller(0), Hosts.controller(1), Hosts.controller(2), Hosts.STORE)) {
@@ -109,13 +109,13 @@
         }
         simulation.runUntil(simulation.now() + 30_000);
         assertTrue(simulation.hasLeader() && simulation.leader() != leader, "another controller leads");
-        assertNothingRestarted(simulation);
+        assertNoTaskRestarted(simulation);
     }
 
-    // Unaccounted tasks: a machine that is silent to the new leader may get responses from the former one for
-    // longer than the recovery window lasts, and its tasks run on.
+    // Unaccounted tasks: a machine that cannot reach the new leader may still get responses from the previous one, for
+    // longer than the recovery window. Its tasks keep running meanwhile.
     @Test
-    void tasksThatOnlyTheFormerLeaderReachesRunNowhereElse() {
+    void restartsTasksOnlyAfterHoldWhenOnlyPreviousLeaderReachesMachine() {
         ClusterSimulation simulation = clusterWithServices();
         int leader = simulation.leader();
         String machine = simulation.agents().machineIds().get(0);
@@ -126,28 +126,29 @@
             }
         }
         simulation.network().partition(Hosts.controller(leader), Hosts.STORE);
-        // No other machine may show the new token to the former leader.
+        // No other machine may reveal the new fencing token to the previous leader.
         simulation.agents().machineIds().stream()
                 .filter(other -> !other.equals(machine))
                 .forEach(other -> simulation.network().partition(Hosts.controller(leader), other));
         simulation.runUntil(simulation.now() + 90_000);
         assertEquals(List.of(), simulation.invariants().violations());
-        assertEquals(REPLICAS, simulation.invariants().runningTasks().size(), "placed again after the hold");
+        assertEquals(
+                REPLICAS, simulation.invariants().runningTasks().size(), "replicas are placed again after the hold");
     }
 
-    // The leader must not take machines that receive nothing for a fault of its own, nor rent others
-    // for them without bound: half of them receive nothing for several leases, while their heartbeats arrive.
+    // Inbound traffic of half of the machines is blocked for several leases, while their heartbeats arrive. The leader
+    // must not attribute this to a fault of its own, nor rent an unbounded number of replacements.
     @Test
-    void machinesWithInboundBlockedDeposeNobodyAndAreNotReplacedWithoutBound() {
+    void keepsLeaderAndLimitsScaleOutWhenInboundTrafficIsBlocked() {
         ClusterSimulation simulation = clusterWithServices();
         int leader = simulation.leader();
-        int before = simulation.agents().machineIds().size();
-        List<String> blocked = simulation.agents().machineIds().subList(0, (before + 1) / 2);
+        int machinesBefore = simulation.agents().machineIds().size();
+        List<String> blocked = simulation.agents().machineIds().subList(0, (machinesBefore + 1) / 2);
         blocked.forEach(machine -> simulation.network().setInboundBlocked(machine, true));
-        int maxMachines = before;
+        int maxMachines = machinesBefore;
         for (int second = 0; second < 90; second++) {
             if (second == 40) {
-                // By now their leases have expired, and they look empty.
+                // By now the leases of these machines have expired, and the machines seem to be empty.
                 simulation.users().submitUntilAccepted(JobRequests.service("j-000090", "blue", 2, 2));
             }
             simulation.runUntil(simulation.now() + 1_000);
@@ -155,21 +156,23 @@
             if (second == 60) {
                 assertTrue(
                         simulation.invariants().runningTasks().contains("j-000090/0"),
-                        "not placed where nothing arrives");
+                        "the task is placed on a machine that receives commands");
             }
         }
-        assertEquals(leader, simulation.leader(), "the leader stays");
-        assertTrue(maxMachines <= 2 * before + 1, maxMachines + " machines where " + before + " do");
+        assertEquals(leader, simulation.leader(), "the leader is not replaced");
+        assertTrue(
+                maxMachines <= 2 * machinesBefore + 1,
+                maxMachines + " machines in use, but " + machinesBefore + " are sufficient");
         blocked.forEach(machine -> simulation.network().setInboundBlocked(machine, false));
         simulation.runUntil(simulation.now() + 40_000);
         assertEquals(List.of(), simulation.invariants().violations());
         assertEquals(List.of(), simulation.invariants().missingReplicas());
     }
 
-    // The lease of the former process is still valid, and the other controllers may not have noticed.
+    // The lease of the previous process is still valid, and the other controllers may not have noticed the crash.
     @ParameterizedTest
     @ValueSource(longs = {50L, 200L, 600L})
-    void leaderThatIsBackAtOnceRestartsNothing(long downMs) {
+    void keepsTasksRunningWhenLeaderRestartsImmediately(long downMs) {
         ClusterSimulation simulation = clusterWithServices();
         int leader = simulation.leader();
         simulation.crash(leader);
@@ -178,25 +181,28 @@
         simulation.runUntil(simulation.now() + 8_000);
         assertTrue(simulation.hasLeader(), "there is a leader again");
         simulation.runUntil(simulation.now() + 60_000);
-        assertNothingRestarted(simulation);
+        assertNoTaskRestarted(simulation);
     }
 
-    // A machine is back before its silence shows: its new agent counts its epochs from the first or
-    // from the next one, and what ran there is gone.
+    // A machine has rebooted before its missing heartbeats are noticed. Its new agent counts epochs from the first or
+    // from the next one, and the tasks that ran on the machine are gone.
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void replicasRunAgainAfterAMachineRebooted(boolean epochKept) {
+    void restartsReplicasAfterMachineReboot(boolean epochKept) {
         ClusterSimulation simulation = clusterWithServices();
         String machine = simulation.agents().machineIds().get(0);
         simulation.agents().reboot(machine, epochKept);
         simulation.runUntil(simulation.now() + 15_000);
         assertEquals(List.of(), simulation.invariants().violations());
-        assertEquals(List.of(), simulation.invariants().missingReplicas(), "long before a hold would have ended");
+        assertEquals(
+                List.of(),
+                simulation.invariants().missingReplicas(),
+                "replicas run again long before a hold would have ended");
     }
 
-    // Late duplicates of a lost machine's heartbeats must not show it as alive.
+    // Delayed duplicates of a lost machine's heartbeats must not make it appear responsive.
     @Test
-    void duplicateHeartbeatsDoNotDelayALostMachinesReplicas() {
+    void restartsReplicasOfLostMachineDespiteDuplicateHeartbeats() {
         ClusterSimulation simulation = clusterWithServices();
         simulation.network().duplicateMessageShare(1);
         simulation.runUntil(simulation.now() + 30_000);
@@ -204,13 +210,16 @@
         simulation.network().partition(machine, Hosts.ALL);
         simulation.runUntil(simulation.now() + 36_000);
         assertEquals(List.of(), simulation.invariants().violations());
-        assertEquals(List.of(), simulation.invariants().missingReplicas(), "placed again when the hold has ended");
+        assertEquals(
+                List.of(),
+                simulation.invariants().missingReplicas(),
+                "replicas are placed again when the hold has ended");
     }
 
-    // To a new leader a late duplicate looks like a machine's first heartbeat in the recovery window, and hides what
-    // was started since. The machine itself is partitioned for less than its lease, so all of that runs on.
+    // A new leader could mistake a delayed duplicate for a machine's first heartbeat in the recovery window, and miss
+    // the tasks started since. The machines are partitioned for less than their lease, so these tasks keep running.
     @Test
-    void duplicateHeartbeatsTellANewLeaderNothing() {
+    void newLeaderIgnoresDuplicateHeartbeats() {
         ClusterSimulation simulation = clusterWithServices();
         simulation.network().duplicateMessageShare(1);
         simulation.runUntil(simulation.now() + 20_000);
@@ -230,9 +239,9 @@
         assertEquals(List.of(), simulation.invariants().violations());
     }
 
-    // Cancellations that can't reach the leader: it responds to its agents for the grace at the most.
+    // The cancellation cannot reach the leader, which answers its agents for at most the grace period.
     @Test
-    void jobCancelledWithoutAPartitionedLeaderEndsInTime() {
+    void endsCancelledJobInTimeWhenLeaderIsPartitioned() {
         ClusterSimulation simulation = clusterWithServices();
         int leader = simulation.leader();
         for (String other : List.of(Hosts.controller(0), Hosts.controller(1), Hosts.controller(2), Hosts.STORE)) {
@@ -250,10 +259,10 @@
         assertTrue(simulation.invariants().runningTasks().stream().noneMatch(task -> task.startsWith("j-000001/")));
     }
 
-    // Jobs that the leader learns of in no ordinary way: the notice is lost with a partition between controllers,
-    // and the changes are gone from the state service before the leader can watch again.
+    // The leader is partitioned from its peers and loses the notice of a job. The state service compacts its history
+    // before the leader can watch again, so the leader does not see the change there either.
     @Test
-    void jobRunsThatTheLeaderLearnsOfByNeitherNoticeNorWatch() {
+    void runsJobWhenLeaderReceivesNeitherNoticeNorWatchEvent() {
         ClusterSimulation simulation = clusterWithServices();
         int leader = simulation.leader();
         for (int i = 0; i < 3; i++) {
@@ -276,7 +285,7 @@
     }
 
     @Test
-    void replicasOfAFailedMachineMoveOnce() {
+    void movesReplicasOfFailedMachineOnce() {
         ClusterSimulation simulation = clusterWithServices();
         String machine = simulation.agents().machineIds().get(0);
         simulation.cloud().fail(machine, simulation.now());
@@ -286,25 +295,25 @@
     }
 
     @Test
-    void usersGetAnErrorAtOnceDuringAnOutage() {
+    void returnsErrorImmediatelyDuringStoreOutage() {
         ClusterSimulation simulation = clusterWithServices();
         simulation.store().setOutage(true);
         simulation.runUntil(simulation.now() + 2_000);
         long sentAt = simulation.now();
-        long[] answeredAt = new long[1];
+        long[] respondedAt = new long[1];
         int[] status = new int[1];
         simulation.users().sendRequest(0, "GET", "/submissions/j-000001", reply -> {
-            answeredAt[0] = simulation.now();
+            respondedAt[0] = simulation.now();
             status[0] = reply.status();
         });
         simulation.runUntil(sentAt + 1_000);
         assertEquals(503, status[0]);
-        assertTrue(answeredAt[0] - sentAt < 10, "at once");
+        assertTrue(respondedAt[0] - sentAt < 10, "the response is immediate");
     }
 
-    // A controller must not count as unable because it has no requests.
+    // A controller must not be reported as not ready because it receives no requests.
     @Test
-    void controllerWithoutRequestsIsReady() {
+    void reportsReadyWithoutAnyRequests() {
         ClusterSimulation simulation = new ClusterSimulation(7, 3);
         simulation.runUntil(60_000);
         for (int i = 0; i < 3; i++) {
@@ -316,32 +325,32 @@
     }
 
     @Test
-    void invalidRequestsGetTheStatusOfTheProtocol() {
+    void returnsProtocolStatusForInvalidRequests() {
         ClusterSimulation simulation = clusterWithServices();
-        ObjectNode good = JobRequests.array("j-000100", "blue", 2, 2, 5);
+        ObjectNode valid = JobRequests.array("j-000100", "blue", 2, 2, 5);
         assertEquals(
                 400, status(simulation, "POST", "/submissions", Json.object().put("id", "j-000101")));
         assertEquals(
-                400, status(simulation, "POST", "/submissions", good.deepCopy().put("shards", 0)));
+                400, status(simulation, "POST", "/submissions", valid.deepCopy().put("shards", 0)));
         assertEquals(
-                400, status(simulation, "POST", "/submissions", good.deepCopy().put("shards", 1.5)));
+                400, status(simulation, "POST", "/submissions", valid.deepCopy().put("shards", 1.5)));
         assertEquals(
-                400, status(simulation, "POST", "/submissions", good.deepCopy().put("cpus", -1.0)));
+                400, status(simulation, "POST", "/submissions", valid.deepCopy().put("cpus", -1.0)));
         assertEquals(
-                400, status(simulation, "POST", "/submissions", good.deepCopy().put("id", "x")));
+                400, status(simulation, "POST", "/submissions", valid.deepCopy().put("id", "x")));
         assertEquals(
-                400, status(simulation, "POST", "/submissions", good.deepCopy().put("urgency", "soon")));
+                400, status(simulation, "POST", "/submissions", valid.deepCopy().put("urgency", "soon")));
         assertEquals(
-                422, status(simulation, "POST", "/submissions", good.deepCopy().put("crew", "nobody")));
+                422, status(simulation, "POST", "/submissions", valid.deepCopy().put("crew", "nobody")));
         assertEquals(
-                422, status(simulation, "POST", "/submissions", good.deepCopy().put("cpus", 99.0)));
+                422, status(simulation, "POST", "/submissions", valid.deepCopy().put("cpus", 99.0)));
         assertEquals(422, status(simulation, "POST", "/submissions", JobRequests.service("j-000102", "red", 30, 2)));
         assertEquals(404, status(simulation, "GET", "/submissions/j-999999"));
         assertEquals(404, status(simulation, "GET", "/nothing"));
         assertEquals(405, status(simulation, "DELETE", "/submissions"));
-        assertEquals(201, status(simulation, "POST", "/submissions", good));
+        assertEquals(201, status(simulation, "POST", "/submissions", valid));
         assertEquals(
-                200, status(simulation, "POST", "/submissions", good.deepCopy().put("shards", "many")));
+                200, status(simulation, "POST", "/submissions", valid.deepCopy().put("shards", "many")));
     }
 
     private static int status(ClusterSimulation simulation, String method, String path) {
