--- a/src/main/java/io/quartzgw/app/AgentReachability.java
+++ b/src/main/java/io/quartzgw/app/AgentReachability.java
@@ -11,14 +11,14 @@
  */
 final class AgentReachability {
     /** An agent that was not answered for this many heartbeat intervals is silent. */
-    private static final int SILENT_HEARTBEATS = 2;
+    private static final int UNRESPONSIVE_HEARTBEATS = 2;
     /** A failover is short: it costs less than the leases of so large a part of the agents. */
     private static final double PARTITIONED_FRACTION = 0.25;
 
     private final EventLoop eventLoop;
     private final ClusterState cluster;
     private final PeerExchange peers;
-    private final long silentMs;
+    private final long unresponsiveAfterMs;
     private final long electedAt;
 
     /** @param heartbeatMs the agents' heartbeat interval */
@@ -26,25 +26,25 @@
         this.eventLoop = eventLoop;
         this.cluster = cluster;
         this.peers = peers;
-        this.silentMs = SILENT_HEARTBEATS * heartbeatMs;
+        this.unresponsiveAfterMs = UNRESPONSIVE_HEARTBEATS * heartbeatMs;
         this.electedAt = eventLoop.nowMs();
     }
 
     /** Whether many agents are silent here, and a good part of them reaches another controller. */
-    boolean partitioned() {
+    boolean isPartitioned() {
         long running = 0;
         long silent = 0;
         for (Machine machine : cluster.machines()) {
             if (machine.status() == Machine.Status.UP && !machine.reservationExpired()) {
                 running++;
-                silent += isSilent(machine) ? 1 : 0;
+                silent += isUnresponsive(machine) ? 1 : 0;
             }
         }
         return silent > PARTITIONED_FRACTION * running && peers.agentsReachingOthers() > silent / 2;
     }
 
-    private boolean isSilent(Machine machine) {
+    private boolean isUnresponsive(Machine machine) {
         long lastResponseAt = Math.max(machine.liveness().lastResponseAt(), electedAt);
-        return eventLoop.nowMs() - lastResponseAt >= silentMs;
+        return eventLoop.nowMs() - lastResponseAt >= unresponsiveAfterMs;
     }
 }
--- a/src/main/java/io/quartzgw/app/Controller.java
+++ b/src/main/java/io/quartzgw/app/Controller.java
@@ -18,10 +18,10 @@
 import io.quartzgw.leadership.WriteBudgetExchange;
 import io.quartzgw.store.StoreClient;
 import io.quartzgw.submission.Admission;
-import io.quartzgw.submission.JobCountsCodec;
 import io.quartzgw.submission.JobStore;
 import io.quartzgw.submission.OpenJob;
 import io.quartzgw.submission.SubmissionHandler;
+import io.quartzgw.submission.TaskCountPageCodec;
 import java.util.Optional;
 import java.util.function.Supplier;
 
@@ -56,12 +56,12 @@
         this.settings = settings;
         this.processMetrics = processMetrics;
         this.store = new StoreClient(
-                eventLoop, settings.state(), settings.storeLimits().perController(settings.size()));
+                eventLoop, settings.state(), settings.storeLimits().perController(settings.controllerCount()));
         this.cloud = new CloudClient(eventLoop, settings.cloud(), settings.cloudLimits());
         this.timing = LeadershipTiming.of(
                 settings.agentTiming().heartbeatMs() / 1000.0,
                 settings.agentTiming().leaseMs() / 1000.0,
-                settings.cancelS());
+                settings.cancelLimitS());
         long cancelMs = settings.agentTiming().cancelMs();
         this.cancellations = new CancellationRegistry(eventLoop, cancelMs);
         this.watermark =
@@ -77,7 +77,13 @@
 
     private PeerExchange.Participants peerParticipants(Settings settings) {
         WriteBudgetExchange writeBudget = new WriteBudgetExchange(
-                eventLoop, leadership, store, settings.storeLimits(), timing, settings.member(), settings.size());
+                eventLoop,
+                leadership,
+                store,
+                settings.storeLimits(),
+                timing,
+                settings.member(),
+                settings.controllerCount());
         return new PeerExchange.Participants(leadership, store, cancellations, watermark, writeBudget);
     }
 
@@ -85,12 +91,12 @@
     public void start() {
         RequestRouter router = new RequestRouter(eventLoop, requestHandlers());
         eventLoop.onRequest(router::route);
-        eventLoop.onBatchBegin(new PauseDetector(eventLoop, leadership, timing.leaseMs())::batchBegins);
+        eventLoop.onBatchBegin(new PauseDetector(eventLoop, leadership, timing.leaseMs())::onBatchBegin);
         eventLoop.onBatchEnd(() -> leader.ifPresent(LeaderRuntime::afterBatch));
         cancellations.setListener(job -> leader.ifPresent(runtime -> runtime.jobCancelled(job)));
         catalog.start();
         leadership.start(new LeadershipChanges());
-        peers.start(new PeerPayloads(this::nextCountPage, this::applyCountPage, this::applyNotice));
+        peers.start(new PeerPayloads(this::nextTaskCountPage, this::applyTaskCountPage, this::applyNotice));
     }
 
     public boolean isLeading() {
@@ -168,12 +174,12 @@
 
     // ---- jobs
 
-    private Optional<JsonNode> nextCountPage(int maxJobs) {
-        return leader.map(runtime -> JobCountsCodec.encode(runtime.nextCountPage(maxJobs)));
+    private Optional<JsonNode> nextTaskCountPage(int maxJobs) {
+        return leader.map(runtime -> TaskCountPageCodec.encode(runtime.nextTaskCountPage(maxJobs)));
     }
 
-    private void applyCountPage(JsonNode page) {
-        submissions.taskCounts(JobCountsCodec.decode(page));
+    private void applyTaskCountPage(JsonNode page) {
+        submissions.taskCounts(TaskCountPageCodec.decode(page));
     }
 
     private void applyNotice(JsonNode notice) {
--- a/src/main/java/io/quartzgw/app/ControllerProcess.java
+++ b/src/main/java/io/quartzgw/app/ControllerProcess.java
@@ -23,14 +23,14 @@
 /** A running controller: the core on its eventLoopThread thread, and one I/O thread for all sockets. */
 final class ControllerProcess {
     private static final int BUFFER_BYTES = 8 * 1024;
-    private static final int POOLED_BUFFERS = 128;
+    private static final int MAX_POOLED_BUFFERS = 128;
     /** Live agents and users send far more often; a dead one's connection only takes a socket. */
-    private static final int IDLE_HEARTBEATS = 6;
+    private static final int IDLE_TIMEOUT_HEARTBEATS = 6;
 
     private static final long STACK_BYTES = 256 * 1024;
 
     private final ProcessMetrics metrics = new ProcessMetrics();
-    private final Map<Long, Long> startedNanos = new ConcurrentHashMap<>();
+    private final Map<Long, Long> requestStartNanos = new ConcurrentHashMap<>();
     private final EventLoop eventLoop;
     private final Controller controller;
     private final EventLoopThread eventLoopThread;
@@ -42,10 +42,10 @@
     ControllerProcess(Settings settings, long process) throws IOException {
         this.eventLoop = new EventLoop(process);
         this.controller = new Controller(eventLoop, settings, process, metrics::snapshot);
-        SocketBudget sockets = SocketBudget.of(settings.sockets());
+        SocketBudget sockets = SocketBudget.of(settings.maxSockets());
         // A client has one request under way: all that are connected may ask a new leader at once, and none of
         // them is better served by a refusal that sends it to another controller first.
-        this.eventLoopThread = new EventLoopThread(eventLoop, sockets.clientConnections(), this::perform);
+        this.eventLoopThread = new EventLoopThread(eventLoop, sockets.clientConnections(), this::performEffect);
         this.thread = new Thread(null, eventLoopThread, "owner", STACK_BYTES);
         this.ioWorker = Xnio.getInstance()
                 .createWorker(OptionMap.builder()
@@ -55,7 +55,7 @@
                         .set(Options.STACK_SIZE, STACK_BYTES)
                         .set(Options.TCP_NODELAY, true)
                         .getMap());
-        ByteBufferPool buffers = new DefaultByteBufferPool(true, BUFFER_BYTES, POOLED_BUFFERS, 4);
+        ByteBufferPool buffers = new DefaultByteBufferPool(true, BUFFER_BYTES, MAX_POOLED_BUFFERS, 4);
         this.client = new HttpClient(ioWorker, buffers, sockets.pooledConnections());
         this.server = new HttpServer(
                 ioWorker,
@@ -63,7 +63,7 @@
                 settings.clientListen(),
                 settings.peerListen(),
                 sockets,
-                (int) (IDLE_HEARTBEATS * settings.agentTiming().heartbeatMs()),
+                (int) (IDLE_TIMEOUT_HEARTBEATS * settings.agentTiming().heartbeatMs()),
                 this::receive);
     }
 
@@ -89,18 +89,18 @@
     }
 
     private boolean receive(Request request) {
-        startedNanos.put(request.exchange(), System.nanoTime());
+        requestStartNanos.put(request.exchange(), System.nanoTime());
         if (eventLoopThread.offerRequest(new Command.Arrived(request))) {
             return true;
         }
-        startedNanos.remove(request.exchange());
+        requestStartNanos.remove(request.exchange());
         metrics.refused();
         return false;
     }
 
-    private void perform(Effect effect) {
+    private void performEffect(Effect effect) {
         if (effect instanceof Effect.Answer answer) {
-            Long startedAt = startedNanos.remove(answer.exchange());
+            Long startedAt = requestStartNanos.remove(answer.exchange());
             if (startedAt != null) {
                 metrics.served(answer.response().status(), System.nanoTime() - startedAt);
             }
--- a/src/main/java/io/quartzgw/app/FleetScaling.java
+++ b/src/main/java/io/quartzgw/app/FleetScaling.java
@@ -10,20 +10,20 @@
  * pause between two runs.
  */
 final class FleetScaling {
-    private static final double PAUSE_HEARTBEATS = 0.1;
+    private static final double COOLDOWN_HEARTBEATS = 0.1;
 
     private final EventLoop eventLoop;
     private final FleetManager fleet;
-    private final long pauseMs;
+    private final long cooldownMs;
     private boolean started;
-    private boolean due;
-    private boolean paused;
+    private boolean runDue;
+    private boolean coolingDown;
 
     /** @param heartbeatMs the agents' heartbeat interval */
     FleetScaling(EventLoop eventLoop, FleetManager fleet, long heartbeatMs) {
         this.eventLoop = eventLoop;
         this.fleet = fleet;
-        this.pauseMs = (long) (PAUSE_HEARTBEATS * heartbeatMs);
+        this.cooldownMs = (long) (COOLDOWN_HEARTBEATS * heartbeatMs);
     }
 
     /** Starts the fleet manager when this is called for the first time. */
@@ -35,8 +35,8 @@
     }
 
     /** Makes a run due, since the cluster state has changed. */
-    void request() {
-        due = true;
+    void requestRun() {
+        runDue = true;
     }
 
     /**
@@ -45,11 +45,11 @@
      * @param windowClosed whether the allocations on all machines are known, as far as they will be
      */
     void runIfDue(List<UnplacedTasks> unplaced, boolean windowClosed) {
-        if (!due || paused) {
+        if (!runDue || coolingDown) {
             return;
         }
-        paused = true;
-        due = fleet.scale(unplaced, windowClosed);
-        eventLoop.after(pauseMs, () -> paused = false);
+        coolingDown = true;
+        runDue = fleet.scale(unplaced, windowClosed);
+        eventLoop.after(cooldownMs, () -> coolingDown = false);
     }
 }
--- a/src/main/java/io/quartzgw/app/HeartbeatEndpoint.java
+++ b/src/main/java/io/quartzgw/app/HeartbeatEndpoint.java
@@ -29,11 +29,11 @@
     private final Leadership leadership;
     private final PeerExchange peers;
     private final String member;
-    private final Supplier<Optional<LeaderRuntime>> leader;
+    private final Supplier<Optional<LeaderRuntime>> leaderRuntime;
 
     /**
      * @param member this controller's name
-     * @param leader what this controller does as the leader, while it leads
+     * @param leaderRuntime what this controller does as the leader, while it leads
      */
     HeartbeatEndpoint(
             EventLoop eventLoop,
@@ -45,7 +45,7 @@
         this.leadership = leadership;
         this.peers = peers;
         this.member = member;
-        this.leader = leader;
+        this.leaderRuntime = leader;
     }
 
     void serve(Request request) {
@@ -57,37 +57,37 @@
         Heartbeat heartbeat = decoded.get();
         // Before anything else: a higher token than this leader's ends its leadership.
         leadership.observeTerm(heartbeat.fencingToken());
-        Optional<LeaderRuntime> leading = leader.get().filter(runtime -> leadership.mayRenewAgentLeases());
+        Optional<LeaderRuntime> leading = leaderRuntime.get().filter(runtime -> leadership.mayRenewAgentLeases());
         if (leading.isPresent()) {
             ReceivedHeartbeat received = leading.get().receive(heartbeat);
             // Later in this batch a job may be cancelled, a task may be stopped, or the term may end.
             eventLoop.afterCommands(() -> respond(request.exchange(), leading.get(), received));
         } else {
-            turnAway(request.exchange(), heartbeat);
+            redirectAgent(request.exchange(), heartbeat);
         }
     }
 
     private void respond(long exchange, LeaderRuntime receiver, ReceivedHeartbeat received) {
-        boolean stillLeading = leader.get().filter(receiver::equals).isPresent();
+        boolean stillLeading = leaderRuntime.get().filter(receiver::equals).isPresent();
         if (stillLeading && leadership.mayRenewAgentLeases()) {
-            answer(exchange, receiver.respond(received));
+            sendResponse(exchange, receiver.respond(received));
         } else {
-            turnAway(exchange, received.heartbeat());
+            redirectAgent(exchange, received.heartbeat());
         }
     }
 
-    private void turnAway(long exchange, Heartbeat heartbeat) {
+    private void redirectAgent(long exchange, Heartbeat heartbeat) {
         peers.recordRedirectedAgent(heartbeat.machine(), heartbeat.address());
-        eventLoop.answer(exchange, redirect());
+        eventLoop.answer(exchange, redirectResponse());
     }
 
-    private void answer(long exchange, HeartbeatResponse response) {
+    private void sendResponse(long exchange, HeartbeatResponse response) {
         // The process may be paused before the response leaves.
         long validUntilMs = response.startsTasks() ? leadership.confirmedUntilMs() : Effect.ALWAYS_VALID;
         eventLoop.answer(exchange, Response.json(OK, HeartbeatResponseCodec.encode(response)), validUntilMs);
     }
 
-    private Response redirect() {
+    private Response redirectResponse() {
         return leadership
                 .leader()
                 .filter(leaderMember -> !leaderMember.equals(member))
--- a/src/main/java/io/quartzgw/app/LeaderPolicies.java
+++ b/src/main/java/io/quartzgw/app/LeaderPolicies.java
@@ -9,7 +9,7 @@
 /** Derives the policies of a leader's parts from the settings. */
 final class LeaderPolicies {
     /** The clocks of two controllers are each within the time bound of true time. */
-    private static final int CLOCKS_COMPARED = 2;
+    private static final int CLOCKS_PER_SKEW = 2;
 
     private LeaderPolicies() {}
 
@@ -28,7 +28,7 @@
     }
 
     static long maxClockSkewMs(Settings settings) {
-        return CLOCKS_COMPARED * (long) settings.timeBoundMs();
+        return CLOCKS_PER_SKEW * (long) settings.clockErrorBoundMs();
     }
 
     // Where work within the guarantee has an objective, its capacity is rented before the work arrives.
--- a/src/main/java/io/quartzgw/app/LeaderRuntime.java
+++ b/src/main/java/io/quartzgw/app/LeaderRuntime.java
@@ -26,9 +26,9 @@
 import io.quartzgw.scheduling.SchedulingPolicy;
 import io.quartzgw.scheduling.StopReason;
 import io.quartzgw.startlog.StartLog;
-import io.quartzgw.submission.JobCounts;
 import io.quartzgw.submission.JobStore;
 import io.quartzgw.submission.OpenJob;
+import io.quartzgw.submission.TaskCountPage;
 import io.quartzgw.submission.TerminalState;
 
 /**
@@ -36,14 +36,14 @@
  * leader's parts, passes events between them, and drives them once a batch and on a timer.
  */
 final class LeaderRuntime {
-    private static final double TICK_LEASES = 0.03;
+    private static final double TICK_INTERVAL_LEASES = 0.03;
     /** After it resigned for lack of heartbeats, this controller is no candidate for this many intervals. */
-    private static final int BACK_OFF_HEARTBEATS = 6;
+    private static final int RESIGNATION_BACKOFF_HEARTBEATS = 6;
 
     private final EventLoop eventLoop;
     private final Settings settings;
     private final Leadership leadership;
-    private final JobStore jobs;
+    private final JobStore jobStore;
     private final CancellationRegistry cancellations;
     private final LeaderTerm term;
     private final ClusterState cluster;
@@ -52,11 +52,11 @@
     private final ProgressRecorder progress;
     private final FailoverRecovery recovery;
     private final Scheduler scheduler;
-    private final MachineRecords records;
+    private final MachineRecords machineRecords;
     private final FleetManager fleet;
     private final FleetScaling fleetScaling;
-    private final OpenJobWatcher openJobs;
-    private final JobCountPager countPages;
+    private final OpenJobWatcher openJobWatcher;
+    private final TaskCountPager taskCountPager;
     private final AgentReachability reachability;
 
     /** @param previousLeaderActiveUntilMs when a previous leader can last answer a heartbeat */
@@ -64,7 +64,7 @@
         this.eventLoop = services.eventLoop();
         this.settings = services.settings();
         this.leadership = services.leadership();
-        this.jobs = services.jobs();
+        this.jobStore = services.jobs();
         this.cancellations = services.cancellations();
         this.term = new LeaderTerm(leadership);
         this.cluster = new ClusterState(eventLoop, term.number());
@@ -75,15 +75,15 @@
         this.agents = new AgentManager(
                 context,
                 agentTiming,
-                SocketBudget.of(settings.sockets()).agentCalls(),
+                SocketBudget.of(settings.maxSockets()).agentCalls(),
                 cancellations::contains,
                 startLog,
-                new EndedJobLookup(eventLoop, jobs, cancellations, term, recoveryTiming.retryMs()),
+                new EndedJobLookup(eventLoop, jobStore, cancellations, term, recoveryTiming.retryMs()),
                 new AgentEvents());
         this.progress = new ProgressRecorder(
                 eventLoop, services.store(), term, agentTiming.heartbeatMs(), new ProgressEvents());
         this.scheduler = newScheduler();
-        this.records = new MachineRecords(
+        this.machineRecords = new MachineRecords(
                 eventLoop,
                 services.store(),
                 term,
@@ -92,8 +92,8 @@
                 agents::requestStarts);
         this.fleet = newFleet(services, recoveryTiming);
         this.fleetScaling = new FleetScaling(eventLoop, fleet, agentTiming.heartbeatMs());
-        this.openJobs = newOpenJobWatcher(services);
-        this.countPages = new JobCountPager(cluster);
+        this.openJobWatcher = newOpenJobWatcher(services);
+        this.taskCountPager = new TaskCountPager(cluster);
         this.reachability = new AgentReachability(eventLoop, cluster, services.peers(), agentTiming.heartbeatMs());
         this.recovery = newRecovery(services, context, previousLeaderActiveUntilMs);
     }
@@ -101,15 +101,15 @@
     private FailoverRecovery newRecovery(
             ControllerServices services, LeaderContext context, long previousLeaderActiveUntilMs) {
         FailoverRecovery.Collaborators collaborators = new FailoverRecovery.Collaborators(
-                services.store(), services.peers(), agents, progress, records, startLog);
+                services.store(), services.peers(), agents, progress, machineRecords, startLog);
         RecoveryTiming timing = RecoveryTiming.of(settings.agentTiming());
         return new FailoverRecovery(
-                context, collaborators, timing, previousLeaderActiveUntilMs, this::knownTerminal, openJobs);
+                context, collaborators, timing, previousLeaderActiveUntilMs, this::isKnownTerminal, openJobWatcher);
     }
 
     private Scheduler newScheduler() {
         SchedulingPolicy policy = LeaderPolicies.scheduling(settings);
-        return new Scheduler(eventLoop, cluster, policy, this::cloudExhausted, new AgentTaskLauncher(agents));
+        return new Scheduler(eventLoop, cluster, policy, this::isCloudExhausted, new AgentTaskLauncher(agents));
     }
 
     private FleetManager newFleet(ControllerServices services, RecoveryTiming recoveryTiming) {
@@ -120,7 +120,7 @@
                 settings.agentTiming().leaseMs());
         FleetContext context = new FleetContext(
                 eventLoop, services.cloud(), term, cluster, LeaderPolicies.fleet(settings, recoveryTiming));
-        return new FleetManager(context, services.catalog(), records, consolidation, new FleetEvents());
+        return new FleetManager(context, services.catalog(), machineRecords, consolidation, new FleetEvents());
     }
 
     private OpenJobWatcher newOpenJobWatcher(ControllerServices services) {
@@ -131,11 +131,11 @@
                 cluster,
                 services.watermark(),
                 settings.agentTiming().heartbeatMs(),
-                new OpenJobWatcher.JobEvents(this::knownTerminal, this::terminate));
+                new OpenJobWatcher.JobEvents(this::isKnownTerminal, this::terminate));
     }
 
     // The scheduler is built before the fleet that it asks.
-    private boolean cloudExhausted() {
+    private boolean isCloudExhausted() {
         return fleet.isExhausted();
     }
 
@@ -145,11 +145,13 @@
     }
 
     private void tick() {
-        if (term.isCurrent() && reachability.partitioned()) {
-            leadership.resign(BACK_OFF_HEARTBEATS * settings.agentTiming().heartbeatMs());
+        if (term.isCurrent() && reachability.isPartitioned()) {
+            leadership.resign(
+                    RESIGNATION_BACKOFF_HEARTBEATS * settings.agentTiming().heartbeatMs());
         }
         if (term.isCurrent()) {
-            eventLoop.after((long) (TICK_LEASES * settings.agentTiming().leaseMs()), this::tick);
+            eventLoop.after(
+                    (long) (TICK_INTERVAL_LEASES * settings.agentTiming().leaseMs()), this::tick);
             if (term.isConfirmed()) {
                 // A leader whose process was paused has received no heartbeat meanwhile, and another leader may have
                 // answered them: only a confirmed term may judge machines by their silence.
@@ -181,7 +183,7 @@
             agents.permitInheritedStarts(scheduler::isWithinQuota);
             if (term.isConfirmed() && cluster.takeChanged()) {
                 scheduler.schedule();
-                fleetScaling.request();
+                fleetScaling.requestRun();
             }
             fleetScaling.startOnce();
             if (term.isConfirmed()) {
@@ -191,7 +193,7 @@
         agents.sendPendingCommands();
         startLog.flush();
         if (recovery.isStateLoaded()) {
-            records.flush();
+            machineRecords.flush();
             progress.flush();
         }
     }
@@ -199,11 +201,11 @@
     // ---- jobs
 
     void jobAccepted(OpenJob job) {
-        openJobs.accepted(job);
+        openJobWatcher.jobAccepted(job);
     }
 
-    private boolean knownTerminal(String id) {
-        return jobs.terminalState(id).isPresent() || cancellations.contains(id);
+    private boolean isKnownTerminal(String id) {
+        return jobStore.terminalState(id).isPresent() || cancellations.contains(id);
     }
 
     void jobCancelled(String id) {
@@ -224,8 +226,8 @@
     }
 
     /** The next page of task counts for display, of this many jobs at the most. */
-    JobCounts nextCountPage(int maxJobs) {
-        return countPages.next(maxJobs);
+    TaskCountPage nextTaskCountPage(int maxJobs) {
+        return taskCountPager.nextPage(maxJobs);
     }
 
     // ---- events between the parts
@@ -250,7 +252,7 @@
 
         @Override
         public void recordNeeded(Machine machine) {
-            records.markUsed(machine);
+            machineRecords.markUsed(machine);
         }
 
         @Override
@@ -272,7 +274,7 @@
 
         @Override
         public void jobCompleted(Job job, TerminalState state) {
-            jobs.recordTerminal(job.id(), state);
+            jobStore.recordTerminal(job.id(), state);
             terminate(job.id());
         }
 
--- a/src/main/java/io/quartzgw/app/Main.java
+++ b/src/main/java/io/quartzgw/app/Main.java
@@ -16,7 +16,7 @@
         description = "Runs one controller of a quartzgw cluster until it is killed.",
         footer = {"", "The variable LOG_LEVEL (error, info, debug) says how much is logged to standard error."})
 public final class Main implements Callable<Integer> {
-    private static final int UNUSABLE = 2;
+    private static final int INVALID_SETTINGS_STATUS = 2;
 
     @Option(names = "--config", paramLabel = "FILE", required = true, description = "the settings file (TOML)")
     private Path config;
@@ -45,14 +45,14 @@
             settings = SettingsReader.read(config);
         } catch (InvalidSettingsException e) {
             System.err.println("quartzgw: " + e.getMessage());
-            return UNUSABLE;
+            return INVALID_SETTINGS_STATUS;
         }
         if (checkOnly) {
             System.out.println("settings of " + settings.member() + " are usable");
             return 0;
         }
         Logger log = LoggerFactory.getLogger(Main.class);
-        ControllerProcess service = new ControllerProcess(settings, processNumber(settings.member()));
+        ControllerProcess service = new ControllerProcess(settings, newProcessNumber(settings.member()));
         service.start();
         log.atInfo()
                 .addKeyValue("member", settings.member())
@@ -66,7 +66,7 @@
     // Unlike any other process of the member, and a seed: members that start in the same instant have to
     // draw different numbers. A member may be back within a fraction of a second while its time of day
     // wanders, so the steady clock goes in as well.
-    private static long processNumber(String member) {
+    private static long newProcessNumber(String member) {
         long mixed = System.currentTimeMillis() * 1_000_003
                 + System.nanoTime() * 31
                 + ProcessHandle.current().pid();
--- a/src/main/java/io/quartzgw/app/OpenJobWatcher.java
+++ b/src/main/java/io/quartzgw/app/OpenJobWatcher.java
@@ -20,7 +20,7 @@
 /** Keeps the leader's open jobs in step with the state service, by its watch and by other controllers' notices. */
 final class OpenJobWatcher implements StoreClient.Watcher {
     /** How long one poll of the watch may wait: its answer is complete up to the moment at which it was sent. */
-    private static final double WATCH_HEARTBEATS = 0.6;
+    private static final double POLL_TIMEOUT_HEARTBEATS = 0.6;
 
     private final EventLoop eventLoop;
     private final StoreClient store;
@@ -34,10 +34,10 @@
     /**
      * The leader's part in watching jobs.
      *
-     * @param knownTerminal whether a job is known to be cancelled or done, whatever else is read of it
-     * @param onTerminated receives the id of each job that is terminal in the state service
+     * @param isKnownTerminal whether a job is known to be cancelled or done, whatever else is read of it
+     * @param onTerminal receives the id of each job that is terminal in the state service
      */
-    record JobEvents(Predicate<String> knownTerminal, Consumer<String> onTerminated) {}
+    record JobEvents(Predicate<String> isKnownTerminal, Consumer<String> onTerminal) {}
 
     OpenJobWatcher(
             EventLoop eventLoop,
@@ -57,7 +57,7 @@
     }
 
     /** Applies a notice that a job was accepted. */
-    void accepted(OpenJob job) {
+    void jobAccepted(OpenJob job) {
         // A notice may be delayed until the job is terminal: below its own revision the watch knows better.
         if (job.revision() > watchedRevision) {
             add(job);
@@ -66,7 +66,7 @@
 
     // The watch or a notice may bring the acceptance of a job after its end was known.
     private void add(OpenJob job) {
-        if (!events.knownTerminal().test(job.spec().id())) {
+        if (!events.isKnownTerminal().test(job.spec().id())) {
             cluster.add(job);
         }
     }
@@ -84,7 +84,7 @@
 
     @Override
     public long pollMs() {
-        return (long) (WATCH_HEARTBEATS * heartbeatMs);
+        return (long) (POLL_TIMEOUT_HEARTBEATS * heartbeatMs);
     }
 
     @Override
@@ -93,7 +93,7 @@
             change.newValue()
                     .ifPresentOrElse(
                             record -> add(JobRecordCodec.decodeOpen(record, change.revision())),
-                            () -> events.onTerminated().accept(change.key().substring(JobKeys.OPEN.length())));
+                            () -> events.onTerminal().accept(change.key().substring(JobKeys.OPEN.length())));
         }
     }
 
@@ -130,6 +130,6 @@
                 .map(Job::id)
                 .filter(id -> !ids.contains(id))
                 .toList();
-        missing.forEach(events.onTerminated());
+        missing.forEach(events.onTerminal());
     }
 }
--- a/src/main/java/io/quartzgw/app/PauseDetector.java
+++ b/src/main/java/io/quartzgw/app/PauseDetector.java
@@ -9,33 +9,33 @@
 final class PauseDetector {
     private static final Logger LOG = LoggerFactory.getLogger(PauseDetector.class);
     /** Timers begin a batch several times in a leader's lease; with a gap of this fraction of it some were missed. */
-    private static final double PAUSE_LEASES = 0.5;
+    private static final double MIN_PAUSE_LEASES = 0.5;
 
     private final EventLoop eventLoop;
     private final Leadership leadership;
-    private final long pauseMs;
+    private final long minPauseMs;
     private long lastBatchAtMs;
 
     /** @param leaseMs the duration of the leader's lease */
     PauseDetector(EventLoop eventLoop, Leadership leadership, long leaseMs) {
         this.eventLoop = eventLoop;
         this.leadership = leadership;
-        this.pauseMs = (long) (PAUSE_LEASES * leaseMs);
+        this.minPauseMs = (long) (MIN_PAUSE_LEASES * leaseMs);
         this.lastBatchAtMs = eventLoop.nowMs();
     }
 
     /** A batch begins: compares the clock with the one of the batch before. */
-    void batchBegins() {
+    void onBatchBegin() {
         long gapMs = eventLoop.nowMs() - lastBatchAtMs;
         lastBatchAtMs = eventLoop.nowMs();
-        if (gapMs >= pauseMs) {
+        if (gapMs >= minPauseMs) {
             eventLoop.increment("process.pauses", 1);
             eventLoop.increment("process.paused_ms", gapMs);
-            log(gapMs);
+            logPause(gapMs);
         }
     }
 
-    private void log(long durationMs) {
+    private void logPause(long durationMs) {
         LOG.atInfo()
                 .addKeyValue("duration_ms", durationMs)
                 .addKeyValue("leading", leadership.leading())
--- a/src/main/java/io/quartzgw/app/RequestRouter.java
+++ b/src/main/java/io/quartzgw/app/RequestRouter.java
@@ -39,10 +39,10 @@
     /**
      * What serves the requests of each path of the peer listener.
      *
-     * @param message serves the messages of other controllers
+     * @param peerMessage serves the messages of other controllers
      * @param metrics serves operators' requests for counters
      */
-    record PeerHandlers(Consumer<Request> message, Consumer<Request> metrics) {}
+    record PeerHandlers(Consumer<Request> peerMessage, Consumer<Request> metrics) {}
 
     RequestRouter(EventLoop eventLoop, Handlers handlers) {
         this.eventLoop = eventLoop;
@@ -74,7 +74,7 @@
     private void routePeerRequest(Request request) {
         switch (request.path()) {
             case PeerExchange.PATH ->
-                requireMethod("POST", request, handlers.peer().message());
+                requireMethod("POST", request, handlers.peer().peerMessage());
             case METRICS_PATH -> requireMethod("GET", request, handlers.peer().metrics());
             default -> answerNotFound(request);
         }
--- a/src/main/java/io/quartzgw/app/Settings.java
+++ b/src/main/java/io/quartzgw/app/Settings.java
@@ -23,16 +23,16 @@
         Map<String, Endpoint> peers,
         Endpoint cloud,
         Endpoint state,
-        int size,
+        int controllerCount,
         List<String> zones,
-        double timeBoundMs,
+        double clockErrorBoundMs,
         Map<String, TeamQuota> teams,
         List<Objective> objectives,
         AgentTiming agentTiming,
-        double cancelS,
+        double cancelLimitS,
         StoreLimits storeLimits,
         CloudLimits cloudLimits,
-        int sockets) {
+        int maxSockets) {
 
     /**
      * A service-level objective of a class of jobs; the class is empty where it holds for all.
--- a/src/main/java/io/quartzgw/app/SettingsReader.java
+++ b/src/main/java/io/quartzgw/app/SettingsReader.java
@@ -24,9 +24,9 @@
     /** A job's end takes two writes in one transaction. */
     private static final int MIN_TRANSACTION_WRITES = 2;
 
-    private static final String HEARTBEAT = "facts.workers.report_s";
-    private static final String LEASE = "facts.workers.lease_s";
-    private static final String CANCEL = "facts.workers.cancel_s";
+    private static final String HEARTBEAT_FIELD = "facts.workers.report_s";
+    private static final String LEASE_FIELD = "facts.workers.lease_s";
+    private static final String CANCEL_FIELD = "facts.workers.cancel_s";
 
     private SettingsReader() {}
 
@@ -45,27 +45,27 @@
         if (!facts.isObject()) {
             throw new InvalidSettingsException("facts: missing");
         }
-        String member = text(root, "member", "member");
+        String member = requiredText(root, "member", "member");
         Map<String, Endpoint> peers = peers(root, member);
         AgentTiming agentTiming = agentTiming(facts);
         return new Settings(
                 member,
-                text(root, "site", "site"),
+                requiredText(root, "site", "site"),
                 endpoint(root, "client_listen", "client_listen"),
                 endpoint(root, "peer_listen", "peer_listen"),
                 peers,
                 endpoint(root.path("external"), "cloud", "external.cloud"),
                 endpoint(root.path("external"), "state", "external.state"),
-                size(facts, peers),
+                controllerCount(facts, peers),
                 zones(facts),
                 facts.path("time_bound_ms").asDouble(0),
                 teams(facts),
                 objectives(facts),
                 agentTiming,
-                positive(facts, CANCEL),
+                positiveNumber(facts, CANCEL_FIELD),
                 storeLimits(facts),
                 cloudLimits(facts),
-                (int) atLeast(facts, "facts.limits.sockets", SocketBudget.minimumFor(peers.size())));
+                (int) numberAtLeast(facts, "facts.limits.sockets", SocketBudget.minimumFor(peers.size())));
     }
 
     private static JsonNode parse(String toml) throws InvalidSettingsException {
@@ -77,31 +77,32 @@
     }
 
     private static AgentTiming agentTiming(JsonNode facts) throws InvalidSettingsException {
-        double heartbeatS = positive(facts, HEARTBEAT);
-        double leaseS = positive(facts, LEASE);
-        double cancelS = positive(facts, CANCEL);
+        double heartbeatS = positiveNumber(facts, HEARTBEAT_FIELD);
+        double leaseS = positiveNumber(facts, LEASE_FIELD);
+        double cancelS = positiveNumber(facts, CANCEL_FIELD);
         if (leaseS <= heartbeatS) {
-            throw new InvalidSettingsException(LEASE + ": has to be longer than report_s");
+            throw new InvalidSettingsException(LEASE_FIELD + ": has to be longer than report_s");
         }
         if (cancelS <= leaseS) {
-            throw new InvalidSettingsException(CANCEL + ": has to be longer than lease_s");
+            throw new InvalidSettingsException(CANCEL_FIELD + ": has to be longer than lease_s");
         }
         if (LeadershipTiming.graceSeconds(heartbeatS, leaseS, cancelS) < heartbeatS / 2) {
-            throw new InvalidSettingsException(CANCEL + ": has to exceed lease_s by 2.5 times report_s");
+            throw new InvalidSettingsException(CANCEL_FIELD + ": has to exceed lease_s by 2.5 times report_s");
         }
         return new AgentTiming(millis(heartbeatS), millis(leaseS), millis(cancelS));
     }
 
     private static StoreLimits storeLimits(JsonNode facts) throws InvalidSettingsException {
         return new StoreLimits(
-                positive(facts, "facts.state.rps"),
-                positive(facts, "facts.state.write_rps"),
-                (int) (positive(facts, "facts.state.value_kb") * BYTES_PER_KB),
-                (int) atLeast(facts, "facts.state.txn_ops", MIN_TRANSACTION_WRITES));
+                positiveNumber(facts, "facts.state.rps"),
+                positiveNumber(facts, "facts.state.write_rps"),
+                (int) (positiveNumber(facts, "facts.state.value_kb") * BYTES_PER_KB),
+                (int) numberAtLeast(facts, "facts.state.txn_ops", MIN_TRANSACTION_WRITES));
     }
 
     private static CloudLimits cloudLimits(JsonNode facts) throws InvalidSettingsException {
-        return new CloudLimits(positive(facts, "facts.cloud.rps"), millis(atLeast(facts, "facts.cloud.list_lag_s", 0)));
+        return new CloudLimits(
+                positiveNumber(facts, "facts.cloud.rps"), millis(numberAtLeast(facts, "facts.cloud.list_lag_s", 0)));
     }
 
     private static long millis(double seconds) {
@@ -111,7 +112,7 @@
     private static Map<String, Endpoint> peers(JsonNode root, String member) throws InvalidSettingsException {
         Map<String, Endpoint> peers = new LinkedHashMap<>();
         for (JsonNode node : root.path("known")) {
-            String name = text(node, "member", "known.member");
+            String name = requiredText(node, "member", "known.member");
             if (!name.equals(member)) {
                 peers.put(name, endpoint(node, "endpoint", "known.endpoint"));
             }
@@ -119,7 +120,7 @@
         return peers;
     }
 
-    private static int size(JsonNode facts, Map<String, Endpoint> peers) throws InvalidSettingsException {
+    private static int controllerCount(JsonNode facts, Map<String, Endpoint> peers) throws InvalidSettingsException {
         JsonNode size = facts.path("size");
         if (size.isMissingNode()) {
             return peers.size() + 1;
@@ -144,13 +145,13 @@
     private static Map<String, TeamQuota> teams(JsonNode facts) throws InvalidSettingsException {
         Map<String, TeamQuota> teams = new LinkedHashMap<>();
         for (JsonNode node : facts.path("teams")) {
-            String name = text(node, "name", "facts.teams.name");
+            String name = requiredText(node, "name", "facts.teams.name");
             TeamQuota team = new TeamQuota(
                     name,
-                    amount(node, "cpus"),
-                    amount(node, "cpus_max"),
-                    amount(node, "gpus"),
-                    amount(node, "gpus_max"));
+                    optionalAmount(node, "cpus"),
+                    optionalAmount(node, "cpus_max"),
+                    optionalAmount(node, "gpus"),
+                    optionalAmount(node, "gpus_max"));
             teams.put(name, team);
         }
         if (teams.isEmpty()) {
@@ -159,7 +160,7 @@
         return teams;
     }
 
-    private static double amount(JsonNode team, String field) throws InvalidSettingsException {
+    private static double optionalAmount(JsonNode team, String field) throws InvalidSettingsException {
         JsonNode value = team.path(field);
         if (value.isMissingNode()) {
             return 0;
@@ -182,7 +183,7 @@
         return objectives;
     }
 
-    private static String text(JsonNode node, String field, String name) throws InvalidSettingsException {
+    private static String requiredText(JsonNode node, String field, String name) throws InvalidSettingsException {
         JsonNode value = node.path(field);
         if (!value.isTextual() || value.textValue().isBlank()) {
             throw new InvalidSettingsException(name + ": missing");
@@ -192,14 +193,14 @@
 
     private static Endpoint endpoint(JsonNode node, String field, String name) throws InvalidSettingsException {
         try {
-            return Endpoint.parse(text(node, field, name));
+            return Endpoint.parse(requiredText(node, field, name));
         } catch (IllegalArgumentException e) {
             throw new InvalidSettingsException(name + ": " + e.getMessage());
         }
     }
 
-    private static double positive(JsonNode facts, String name) throws InvalidSettingsException {
-        double value = atLeast(facts, name, 0);
+    private static double positiveNumber(JsonNode facts, String name) throws InvalidSettingsException {
+        double value = numberAtLeast(facts, name, 0);
         if (value == 0) {
             throw new InvalidSettingsException(name + ": has to be more than 0");
         }
@@ -207,7 +208,7 @@
     }
 
     /** @param name the field's full name, of the form {@code facts.table.field} */
-    private static double atLeast(JsonNode facts, String name, double least) throws InvalidSettingsException {
+    private static double numberAtLeast(JsonNode facts, String name, double least) throws InvalidSettingsException {
         JsonNode value = facts.at(name.substring("facts".length()).replace('.', '/'));
         if (value.isMissingNode()) {
             throw new InvalidSettingsException(name + ": missing");
--- a/src/main/java/io/quartzgw/app/JobCountPager.java
+++ b/src/main/java/io/quartzgw/app/TaskCountPager.java
@@ -2,17 +2,17 @@
 
 import io.quartzgw.scheduling.ClusterState;
 import io.quartzgw.scheduling.Job;
-import io.quartzgw.submission.JobCounts;
+import io.quartzgw.submission.TaskCountPage;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
 /** Pages the counts of running and done tasks for display: thousands of jobs exceed one message. */
-final class JobCountPager {
+final class TaskCountPager {
     private final ClusterState cluster;
     /** The last job of the last page. */
-    private String lastPagedJob = "";
+    private String previousPageEnd = "";
 
-    JobCountPager(ClusterState cluster) {
+    TaskCountPager(ClusterState cluster) {
         this.cluster = cluster;
     }
 
@@ -21,21 +21,21 @@
      *
      * @param maxJobs how many jobs it may name
      */
-    JobCounts next(int maxJobs) {
-        String afterJob = lastPagedJob;
-        Map<String, JobCounts.TaskCounts> page = new LinkedHashMap<>();
-        lastPagedJob = "";
+    TaskCountPage nextPage(int maxJobs) {
+        String afterJob = previousPageEnd;
+        Map<String, TaskCountPage.TaskCounts> page = new LinkedHashMap<>();
+        previousPageEnd = "";
         for (Job job : cluster.jobsAfter(afterJob)) {
             int running = job.runningCount();
             if (running > 0 || job.doneCount() > 0) {
                 if (page.size() == maxJobs) {
-                    return new JobCounts(afterJob, lastPagedJob, page);
+                    return new TaskCountPage(afterJob, previousPageEnd, page);
                 }
-                page.put(job.id(), new JobCounts.TaskCounts(job.doneCount(), running));
+                page.put(job.id(), new TaskCountPage.TaskCounts(job.doneCount(), running));
             }
-            lastPagedJob = job.id();
+            previousPageEnd = job.id();
         }
-        lastPagedJob = "";
-        return new JobCounts(afterJob, null, page);
+        previousPageEnd = "";
+        return new TaskCountPage(afterJob, null, page);
     }
 }
--- a/src/main/java/io/quartzgw/submission/Admission.java
+++ b/src/main/java/io/quartzgw/submission/Admission.java
@@ -17,7 +17,7 @@
     }
 
     /** Why the job can never run, or empty when it can. */
-    public Optional<String> refusal(JobSpec job, Collection<MachineType> types) {
+    public Optional<String> rejectionReason(JobSpec job, Collection<MachineType> types) {
         TeamQuota team = teams.get(job.team());
         if (team == null) {
             return Optional.of("unknown crew");
--- a/src/main/java/io/quartzgw/submission/JobCodec.java
+++ b/src/main/java/io/quartzgw/submission/JobCodec.java
@@ -15,10 +15,10 @@
 
 /** JSON encoding of job specifications with the protocol's field names; decoding checks every field. */
 public final class JobCodec {
-    private static final Pattern ID = Pattern.compile("j-[0-9]{1,32}");
+    private static final Pattern JOB_ID = Pattern.compile("j-[0-9]{1,32}");
     private static final int MAX_TASKS = 100_000;
-    private static final int MAX_NAME = 200;
-    private static final int MAX_TYPES = 64;
+    private static final int MAX_TEXT_LENGTH = 200;
+    private static final int MAX_MACHINE_TYPES = 64;
     private static final Map<String, JobShape> SHAPES =
             Map.of("array", JobShape.ARRAY, "gang", JobShape.GANG, "daemon", JobShape.SERVICE);
     private static final Map<String, Priority> PRIORITIES = Map.of(
@@ -27,8 +27,8 @@
     private JobCodec() {}
 
     /** Whether the text, which may be null, is a job id. */
-    public static boolean validId(String id) {
-        return id != null && ID.matcher(id).matches();
+    public static boolean isValidJobId(String id) {
+        return id != null && JOB_ID.matcher(id).matches();
     }
 
     /**
@@ -37,38 +37,39 @@
      * @throws InvalidJobException when a field is missing or malformed
      */
     public static JobSpec decode(JsonNode node) throws InvalidJobException {
-        String id = text(node, "id");
-        if (!validId(id)) {
+        String id = requiredText(node, "id");
+        if (!isValidJobId(id)) {
             throw new InvalidJobException("id: not a job id");
         }
-        JobShape shape = choice(node, "shape", SHAPES);
+        JobShape shape = enumValue(node, "shape", SHAPES);
         JsonNode tasks = node.path("shards");
         if (!tasks.isIntegralNumber() || !tasks.canConvertToInt() || tasks.asInt() < 1 || tasks.asInt() > MAX_TASKS) {
             throw new InvalidJobException("shards: a whole number from 1 to " + MAX_TASKS);
         }
-        Resources demand = new Resources(amount(node, "cpus"), amount(node, "gpus"), amount(node, "ram_gb"));
+        Resources demand = new Resources(
+                nonNegativeNumber(node, "cpus"), nonNegativeNumber(node, "gpus"), nonNegativeNumber(node, "ram_gb"));
         if (demand.equals(Resources.NONE)) {
             throw new InvalidJobException("cpus: a task has to take something of its machine");
         }
-        Double deadline = node.hasNonNull("due_by_s") ? (Double) amount(node, "due_by_s") : null;
+        Double deadline = node.hasNonNull("due_by_s") ? (Double) nonNegativeNumber(node, "due_by_s") : null;
         return new JobSpec(
                 id,
-                text(node, "workload"),
-                text(node, "crew"),
+                requiredText(node, "workload"),
+                requiredText(node, "crew"),
                 shape,
-                choice(node, "urgency", PRIORITIES),
+                enumValue(node, "urgency", PRIORITIES),
                 tasks.asInt(),
                 demand,
-                text(node, "bundle"),
-                amount(node, "pull_gb"),
-                types(node),
-                node.hasNonNull("yard") ? text(node, "yard") : null,
-                flag(node, "together"),
-                flag(node, "scatter"),
-                flag(node, "loaner"),
-                amount(node, "runtime_guess_s"),
-                amount(node, "snapshot_every_s"),
-                amount(node, "snapshot_cost_s"),
+                requiredText(node, "bundle"),
+                nonNegativeNumber(node, "pull_gb"),
+                optionalMachineTypes(node),
+                node.hasNonNull("yard") ? requiredText(node, "yard") : null,
+                requiredBoolean(node, "together"),
+                requiredBoolean(node, "scatter"),
+                requiredBoolean(node, "loaner"),
+                nonNegativeNumber(node, "runtime_guess_s"),
+                nonNegativeNumber(node, "snapshot_every_s"),
+                nonNegativeNumber(node, "snapshot_cost_s"),
                 deadline);
     }
 
@@ -78,8 +79,8 @@
                 .put("id", job.id())
                 .put("workload", job.jobClass())
                 .put("crew", job.team())
-                .put("shape", spelling(SHAPES, job.shape()))
-                .put("urgency", spelling(PRIORITIES, job.priority()))
+                .put("shape", wireName(SHAPES, job.shape()))
+                .put("urgency", wireName(PRIORITIES, job.priority()))
                 .put("shards", job.tasks())
                 .put("cpus", job.demand().cpus())
                 .put("gpus", job.demand().gpus())
@@ -105,17 +106,17 @@
         return node;
     }
 
-    private static String text(JsonNode node, String field) throws InvalidJobException {
+    private static String requiredText(JsonNode node, String field) throws InvalidJobException {
         JsonNode value = node.path(field);
         if (!value.isTextual()
                 || value.textValue().isEmpty()
-                || value.textValue().length() > MAX_NAME) {
-            throw new InvalidJobException(field + ": a text of 1 to " + MAX_NAME + " characters");
+                || value.textValue().length() > MAX_TEXT_LENGTH) {
+            throw new InvalidJobException(field + ": a text of 1 to " + MAX_TEXT_LENGTH + " characters");
         }
         return value.textValue();
     }
 
-    private static double amount(JsonNode node, String field) throws InvalidJobException {
+    private static double nonNegativeNumber(JsonNode node, String field) throws InvalidJobException {
         JsonNode value = node.path(field);
         if (!value.isNumber() || !Double.isFinite(value.doubleValue()) || value.doubleValue() < 0) {
             throw new InvalidJobException(field + ": a number, 0 or more");
@@ -123,7 +124,7 @@
         return value.doubleValue();
     }
 
-    private static boolean flag(JsonNode node, String field) throws InvalidJobException {
+    private static boolean requiredBoolean(JsonNode node, String field) throws InvalidJobException {
         JsonNode value = node.path(field);
         if (value.isMissingNode() || value.isNull()) {
             throw new InvalidJobException(field + ": missing");
@@ -134,15 +135,15 @@
         return value.booleanValue();
     }
 
-    private static <T> T choice(JsonNode node, String field, Map<String, T> choices) throws InvalidJobException {
-        T chosen = choices.get(text(node, field));
+    private static <T> T enumValue(JsonNode node, String field, Map<String, T> choices) throws InvalidJobException {
+        T chosen = choices.get(requiredText(node, field));
         if (chosen == null) {
             throw new InvalidJobException(field + ": unknown");
         }
         return chosen;
     }
 
-    private static <T> String spelling(Map<String, T> choices, T value) {
+    private static <T> String wireName(Map<String, T> choices, T value) {
         return choices.entrySet().stream()
                 .filter(entry -> entry.getValue().equals(value))
                 .findFirst()
@@ -150,17 +151,17 @@
                 .getKey();
     }
 
-    private static Set<String> types(JsonNode node) throws InvalidJobException {
+    private static Set<String> optionalMachineTypes(JsonNode node) throws InvalidJobException {
         if (!node.hasNonNull("host_types")) {
             return null;
         }
         JsonNode array = node.get("host_types");
-        if (!array.isArray() || array.size() > MAX_TYPES) {
+        if (!array.isArray() || array.size() > MAX_MACHINE_TYPES) {
             throw new InvalidJobException("host_types: a list of names, or null");
         }
         Set<String> types = new LinkedHashSet<>();
         for (JsonNode item : array) {
-            if (!item.isTextual() || item.textValue().length() > MAX_NAME) {
+            if (!item.isTextual() || item.textValue().length() > MAX_TEXT_LENGTH) {
                 throw new InvalidJobException("host_types: a list of names, or null");
             }
             types.add(item.textValue());
--- a/src/main/java/io/quartzgw/submission/JobRecordCodec.java
+++ b/src/main/java/io/quartzgw/submission/JobRecordCodec.java
@@ -9,7 +9,7 @@
 public final class JobRecordCodec {
     private static final String ACCEPTED_AT = "accepted_ms";
     private static final String PHASE = "phase";
-    private static final String DONE_TASKS = "done";
+    private static final String COMPLETED_TASKS = "done";
 
     private JobRecordCodec() {}
 
@@ -34,17 +34,17 @@
 
     /** Encodes the record of a terminal job. */
     public static ObjectNode encodeTerminal(TerminalState state) {
-        return Json.object().put(PHASE, phase(state)).put(DONE_TASKS, state.doneTasks());
+        return Json.object().put(PHASE, phase(state)).put(COMPLETED_TASKS, state.completedTasks());
     }
 
     /** Decodes the record of a terminal job. */
     static TerminalState decodeTerminal(JsonNode record) {
         return new TerminalState(
                 record.path(PHASE).asText().equals(JobResponses.CANCELLED),
-                record.path(DONE_TASKS).asInt());
+                record.path(COMPLETED_TASKS).asInt());
     }
 
     private static String phase(TerminalState state) {
-        return state.cancelled() ? JobResponses.CANCELLED : JobResponses.DONE;
+        return state.cancelled() ? JobResponses.CANCELLED : JobResponses.COMPLETED;
     }
 }
--- a/src/main/java/io/quartzgw/submission/JobResponses.java
+++ b/src/main/java/io/quartzgw/submission/JobResponses.java
@@ -7,7 +7,7 @@
 /** The responses to users, with the protocol's field names and phases. */
 final class JobResponses {
     static final String CANCELLED = "withdrawn";
-    static final String DONE = "done";
+    static final String COMPLETED = "done";
     private static final String PENDING = "pending";
     private static final String RUNNING = "running";
     /** When a user should retry while the state service is unavailable. */
@@ -23,17 +23,17 @@
     }
 
     /** The job is open. */
-    static Response open(String id, JobCounts.TaskCounts counts) {
+    static Response open(String id, TaskCountPage.TaskCounts counts) {
         ObjectNode body = body(id, counts.running() > 0 ? RUNNING : PENDING)
-                .put("done", counts.done())
+                .put("done", counts.completed())
                 .put("running", counts.running());
         return Response.json(200, body);
     }
 
     /** The job is terminal. */
     static Response terminal(String id, TerminalState state) {
-        ObjectNode body = body(id, state.cancelled() ? CANCELLED : DONE)
-                .put("done", state.doneTasks())
+        ObjectNode body = body(id, state.cancelled() ? CANCELLED : COMPLETED)
+                .put("done", state.completedTasks())
                 .put("running", 0);
         return Response.json(200, body);
     }
--- a/src/main/java/io/quartzgw/submission/JobStore.java
+++ b/src/main/java/io/quartzgw/submission/JobStore.java
@@ -21,14 +21,14 @@
  * once only revalidates its revision, for many jobs in one request.
  */
 public final class JobStore {
-    private static final int CACHE_SIZE = 20_000;
+    private static final int MAX_CACHED_JOBS = 20_000;
 
     private final StoreClient store;
     private final Cache<String, TerminalState> terminalStates = newCache();
     /** The revisions of open records that this controller has read or written. */
     private final Cache<String, Long> openRevisions = newCache();
 
-    private final Map<String, SharedRead> reads = new HashMap<>();
+    private final Map<String, SharedRead> readsInFlight = new HashMap<>();
     private final OpenJobRevalidation revalidation;
 
     /** What the state service knows of a job. */
@@ -52,7 +52,7 @@
         record New(OpenJob job) implements AcceptResult {}
 
         /** A job with this id exists already. */
-        record Known() implements AcceptResult {}
+        record AlreadyExists() implements AcceptResult {}
 
         /** Whether the job was recorded is not known. */
         record Unknown() implements AcceptResult {}
@@ -61,7 +61,7 @@
     /** Callers that share one read; those that come while it is in flight wait for the next one. */
     private static final class SharedRead {
         private final List<Consumer<LookupResult>> callers = new ArrayList<>();
-        private final List<Consumer<LookupResult>> next = new ArrayList<>();
+        private final List<Consumer<LookupResult>> nextCallers = new ArrayList<>();
     }
 
     /** @param store the state service */
@@ -72,7 +72,7 @@
 
     private static <V> Cache<String, V> newCache() {
         return Caffeine.newBuilder()
-                .maximumSize(CACHE_SIZE)
+                .maximumSize(MAX_CACHED_JOBS)
                 .executor(Runnable::run)
                 .build();
     }
@@ -100,11 +100,11 @@
     }
 
     private void read(String id, Consumer<LookupResult> callback) {
-        SharedRead inFlight = reads.get(id);
+        SharedRead inFlight = readsInFlight.get(id);
         if (inFlight != null) {
             // A read in flight may have been answered before this call: its result could be older than one that the
             // caller already has.
-            inFlight.next.add(callback);
+            inFlight.nextCallers.add(callback);
             return;
         }
         SharedRead read = new SharedRead();
@@ -114,7 +114,7 @@
 
     // A job moves from open to terminal in one transaction, so reading in this order can't miss it.
     private void startRead(String id, SharedRead read) {
-        reads.put(id, read);
+        readsInFlight.put(id, read);
         store.read(JobKeys.open(id), result -> onOpenRecord(id, read, result));
     }
 
@@ -143,11 +143,11 @@
     }
 
     private void finishRead(String id, SharedRead read, LookupResult result) {
-        if (read.next.isEmpty()) {
-            reads.remove(id);
+        if (read.nextCallers.isEmpty()) {
+            readsInFlight.remove(id);
         } else {
             SharedRead following = new SharedRead();
-            following.callers.addAll(read.next);
+            following.callers.addAll(read.nextCallers);
             startRead(id, following);
         }
         read.callers.forEach(caller -> caller.accept(result));
@@ -170,7 +170,9 @@
             openRevisions.put(spec.id(), committed.revision());
             return new AcceptResult.New(new OpenJob(spec, committed.revision(), acceptedAt));
         }
-        return outcome instanceof TransactionOutcome.Conflict ? new AcceptResult.Known() : new AcceptResult.Unknown();
+        return outcome instanceof TransactionOutcome.Conflict
+                ? new AcceptResult.AlreadyExists()
+                : new AcceptResult.Unknown();
     }
 
     /**
--- a/src/main/java/io/quartzgw/submission/OpenJobRevalidation.java
+++ b/src/main/java/io/quartzgw/submission/OpenJobRevalidation.java
@@ -24,8 +24,8 @@
 
     private final StoreClient store;
     private final Cache<String, Long> openRevisions;
-    private final BiConsumer<String, Consumer<LookupResult>> read;
-    private final Map<String, List<Consumer<LookupResult>>> waiting = new LinkedHashMap<>();
+    private final BiConsumer<String, Consumer<LookupResult>> readJob;
+    private final Map<String, List<Consumer<LookupResult>>> waitingCallers = new LinkedHashMap<>();
     private boolean inFlight;
 
     /** A job whose revision is being checked, and the callers that wait for the result. */
@@ -33,26 +33,26 @@
 
     /**
      * @param openRevisions the known revisions; those that have changed are removed
-     * @param read reads a job whose revision is not known or has changed
+     * @param readJob reads a job whose revision is not known or has changed
      */
     OpenJobRevalidation(
             StoreClient store, Cache<String, Long> openRevisions, BiConsumer<String, Consumer<LookupResult>> read) {
         this.store = store;
         this.openRevisions = openRevisions;
-        this.read = read;
+        this.readJob = read;
     }
 
     /** Revalidates the record of a job that was open before. */
     void request(String id, Consumer<LookupResult> callback) {
-        waiting.computeIfAbsent(id, key -> new ArrayList<>()).add(callback);
+        waitingCallers.computeIfAbsent(id, key -> new ArrayList<>()).add(callback);
         sendNextBatch();
     }
 
     private void sendNextBatch() {
-        if (inFlight || waiting.isEmpty()) {
+        if (inFlight || waitingCallers.isEmpty()) {
             return;
         }
-        List<Check> batch = takeBatch();
+        List<Check> batch = takeNextBatch();
         if (batch.isEmpty()) {
             return;
         }
@@ -66,17 +66,17 @@
         });
     }
 
-    private List<Check> takeBatch() {
+    private List<Check> takeNextBatch() {
         List<Check> batch = new ArrayList<>();
         Iterator<Map.Entry<String, List<Consumer<LookupResult>>>> entries =
-                waiting.entrySet().iterator();
+                waitingCallers.entrySet().iterator();
         while (entries.hasNext() && batch.size() < PRECONDITIONS_PER_WRITE * store.maxTransactionWrites()) {
             Map.Entry<String, List<Consumer<LookupResult>>> entry = entries.next();
             entries.remove();
             String id = entry.getKey();
             Long revision = openRevisions.getIfPresent(id);
             if (revision == null) {
-                entry.getValue().forEach(caller -> read.accept(id, caller));
+                entry.getValue().forEach(caller -> readJob.accept(id, caller));
             } else {
                 batch.add(new Check(id, revision, entry.getValue()));
             }
@@ -90,10 +90,12 @@
         } else if (outcome instanceof TransactionOutcome.Conflict conflict) {
             if (conflict.failedKeys().contains(JobKeys.open(check.id()))) {
                 openRevisions.invalidate(check.id());
-                check.callers().forEach(caller -> read.accept(check.id(), caller));
+                check.callers().forEach(caller -> readJob.accept(check.id(), caller));
             } else {
                 // The conflict need not name every key that has changed: check again without those that it named.
-                waiting.computeIfAbsent(check.id(), key -> new ArrayList<>()).addAll(check.callers());
+                waitingCallers
+                        .computeIfAbsent(check.id(), key -> new ArrayList<>())
+                        .addAll(check.callers());
             }
         } else {
             check.callers().forEach(caller -> caller.accept(new LookupResult.Unavailable()));
--- a/src/main/java/io/quartzgw/submission/SubmissionCheck.java
+++ b/src/main/java/io/quartzgw/submission/SubmissionCheck.java
@@ -16,7 +16,7 @@
     /** The result of a check. */
     sealed interface Result {
         /** The submission names no valid job id. */
-        record NotAJob(Response response) implements Result {}
+        record InvalidJobId(Response response) implements Result {}
 
         /** The job can't be accepted; the response is for a job that was not accepted before. */
         record Rejected(String id, Response response) implements Result {}
@@ -36,8 +36,8 @@
     Result check(byte[] requestBody, long wallClockMs) {
         JsonNode body = Json.readOrNull(requestBody);
         String id = body == null ? null : body.path("id").textValue();
-        if (!JobCodec.validId(id)) {
-            return new Result.NotAJob(JobResponses.malformed("not a job: a JSON object with a job id is due"));
+        if (!JobCodec.isValidJobId(id)) {
+            return new Result.InvalidJobId(JobResponses.malformed("not a job: a JSON object with a job id is due"));
         }
         try {
             JobSpec spec = JobCodec.decode(body);
@@ -55,6 +55,6 @@
         if (!machineTypes.isKnown()) {
             return Optional.of(JobResponses.machineTypesUnknown());
         }
-        return admission.refusal(spec, machineTypes.all()).map(JobResponses::notAdmitted);
+        return admission.rejectionReason(spec, machineTypes.all()).map(JobResponses::notAdmitted);
     }
 }
--- a/src/main/java/io/quartzgw/submission/SubmissionHandler.java
+++ b/src/main/java/io/quartzgw/submission/SubmissionHandler.java
@@ -18,7 +18,7 @@
     /** The path of submissions; all requests of users begin with it. */
     public static final String PATH = "/submissions";
 
-    private static final String ABORT = "/abort";
+    private static final String ABORT_SUFFIX = "/abort";
     private static final int MAX_ABORT_ATTEMPTS = 4;
 
     /** Is notified of jobs before a user is. */
@@ -35,7 +35,7 @@
     private final JobStore jobs;
     private final SubmissionCheck submissionCheck;
     private final Listener listener;
-    private final TreeMap<String, JobCounts.TaskCounts> taskCounts = new TreeMap<>();
+    private final TreeMap<String, TaskCountPage.TaskCounts> taskCounts = new TreeMap<>();
 
     /** @param listener is notified of accepted jobs, and of cancellations before a user is */
     public SubmissionHandler(
@@ -53,27 +53,27 @@
     }
 
     /** Updates the leader's task counts for display. */
-    public void taskCounts(JobCounts page) {
-        page.mergeInto(taskCounts);
+    public void taskCounts(TaskCountPage page) {
+        page.replaceRangeIn(taskCounts);
     }
 
     /** Serves a request whose path begins with {@link #PATH}. */
     public void serve(Request request) {
         String rest = request.path().substring(PATH.length());
         if (rest.isEmpty()) {
-            if (allowed(request, "POST")) {
+            if (requireMethod(request, "POST")) {
                 submit(request);
             }
-        } else if (rest.endsWith(ABORT) && rest.length() > ABORT.length() + 1) {
-            if (allowed(request, "POST")) {
-                abort(request, rest.substring(1, rest.length() - ABORT.length()));
+        } else if (rest.endsWith(ABORT_SUFFIX) && rest.length() > ABORT_SUFFIX.length() + 1) {
+            if (requireMethod(request, "POST")) {
+                abort(request, rest.substring(1, rest.length() - ABORT_SUFFIX.length()));
             }
-        } else if (allowed(request, "GET")) {
+        } else if (requireMethod(request, "GET")) {
             poll(request, rest.substring(1));
         }
     }
 
-    private boolean allowed(Request request, String method) {
+    private boolean requireMethod(Request request, String method) {
         if (!request.method().equals(method)) {
             answer(request, JobResponses.methodNotAllowed());
             return false;
@@ -88,8 +88,8 @@
         if (result instanceof SubmissionCheck.Result.Admitted admitted) {
             accept(request, admitted.spec());
         } else if (result instanceof SubmissionCheck.Result.Rejected rejected) {
-            answerUnlessKnown(request, rejected.id(), rejected.response());
-        } else if (result instanceof SubmissionCheck.Result.NotAJob notAJob) {
+            answerUnlessJobExists(request, rejected.id(), rejected.response());
+        } else if (result instanceof SubmissionCheck.Result.InvalidJobId notAJob) {
             answer(request, notAJob.response());
         }
     }
@@ -108,15 +108,15 @@
         if (result instanceof JobStore.AcceptResult.New created) {
             answer(request, JobResponses.accepted(id));
             listener.accepted(created.job());
-        } else if (result instanceof JobStore.AcceptResult.Known) {
-            answerUnlessKnown(request, id, JobResponses.conflict());
+        } else if (result instanceof JobStore.AcceptResult.AlreadyExists) {
+            answerUnlessJobExists(request, id, JobResponses.conflict());
         } else {
             answer(request, JobResponses.storeUnavailable());
         }
     }
 
     // A repeat of an accepted submission gets its state with 200, whatever its body says now.
-    private void answerUnlessKnown(Request request, String id, Response response) {
+    private void answerUnlessJobExists(Request request, String id, Response response) {
         lookUp(request, id, found -> {
             if (found instanceof JobStore.LookupResult.NotFound) {
                 answer(request, response);
@@ -129,7 +129,7 @@
     // ---- poll
 
     private void poll(Request request, String id) {
-        if (!JobCodec.validId(id)) {
+        if (!JobCodec.isValidJobId(id)) {
             answer(request, JobResponses.notFound());
             return;
         }
@@ -153,7 +153,7 @@
 
     private void answerState(Request request, String id, JobStore.LookupResult found) {
         if (found instanceof JobStore.LookupResult.Open) {
-            answer(request, JobResponses.open(id, countsOf(id)));
+            answer(request, JobResponses.open(id, taskCountsOf(id)));
         } else if (found instanceof JobStore.LookupResult.Terminal terminal) {
             if (terminal.state().cancelled()) {
                 // The response to the abort itself may have been lost: this user may be the first to learn of it.
@@ -168,7 +168,7 @@
     // ---- abort
 
     private void abort(Request request, String id) {
-        if (!JobCodec.validId(id)) {
+        if (!JobCodec.isValidJobId(id)) {
             answer(request, JobResponses.notFound());
             return;
         }
@@ -186,7 +186,7 @@
     }
 
     private void cancel(Request request, String id, long revision, int attemptsLeft) {
-        jobs.cancel(id, revision, countsOf(id).done(), outcome -> {
+        jobs.cancel(id, revision, taskCountsOf(id).completed(), outcome -> {
             if (outcome instanceof TransactionOutcome.Committed) {
                 listener.cancelled(id);
                 answer(request, JobResponses.cancelled(id));
@@ -199,8 +199,8 @@
         });
     }
 
-    private JobCounts.TaskCounts countsOf(String id) {
-        return taskCounts.getOrDefault(id, JobCounts.TaskCounts.NONE);
+    private TaskCountPage.TaskCounts taskCountsOf(String id) {
+        return taskCounts.getOrDefault(id, TaskCountPage.TaskCounts.NONE);
     }
 
     private void answer(Request request, Response response) {
--- a/src/main/java/io/quartzgw/submission/JobCounts.java
+++ b/src/main/java/io/quartzgw/submission/TaskCountPage.java
@@ -9,16 +9,16 @@
  * @param after the range begins after this id
  * @param upTo the last id of the range, or null when it has no end
  */
-public record JobCounts(String after, String upTo, Map<String, TaskCounts> jobs) {
+public record TaskCountPage(String after, String upTo, Map<String, TaskCounts> countsByJob) {
 
     /** How many of a job's tasks are done and running. */
-    public record TaskCounts(int done, int running) {
+    public record TaskCounts(int completed, int running) {
         static final TaskCounts NONE = new TaskCounts(0, 0);
     }
 
     /** Replaces all counts of this page's range by those of the page. */
-    void mergeInto(TreeMap<String, TaskCounts> known) {
+    void replaceRangeIn(TreeMap<String, TaskCounts> known) {
         (upTo == null ? known.tailMap(after, false) : known.subMap(after, false, upTo, true)).clear();
-        known.putAll(jobs);
+        known.putAll(countsByJob);
     }
 }
--- a/src/main/java/io/quartzgw/submission/TerminalState.java
+++ b/src/main/java/io/quartzgw/submission/TerminalState.java
@@ -4,6 +4,6 @@
  * The final state of a job, which never changes.
  *
  * @param cancelled whether the job was cancelled; otherwise it is done
- * @param doneTasks how many tasks were done, for display
+ * @param completedTasks how many tasks were done, for display
  */
-public record TerminalState(boolean cancelled, int doneTasks) {}
+public record TerminalState(boolean cancelled, int completedTasks) {}
--- a/src/test/java/io/quartzgw/app/BadInputTest.java
+++ b/src/test/java/io/quartzgw/app/BadInputTest.java
@@ -21,9 +21,9 @@
 /** What the client listener answers to requests that it can't take, as users see it over HTTP. */
 @Timeout(60)
 class BadInputTest {
-    private static final String JOBS = "/submissions";
-    private static final int TOO_LONG = 70_000;
-    private static final int TRIES = 200;
+    private static final String SUBMISSIONS_PATH = "/submissions";
+    private static final int OVERSIZED_BODY_BYTES = 70_000;
+    private static final int MAX_POLLS = 200;
 
     @TempDir
     Path folder;
@@ -57,78 +57,93 @@
         return send(method, path, body).statusCode();
     }
 
-    private static ObjectNode job(String id) {
+    private static ObjectNode validJob(String id) {
         return JobRequests.array(id, "blue", 1, 1, 1);
     }
 
-    private void untilReady() throws Exception {
-        for (int i = 0; i < TRIES && status("GET", "/ready", "") != 200; i++) {
+    private void awaitReady() throws Exception {
+        for (int i = 0; i < MAX_POLLS && status("GET", "/ready", "") != 200; i++) {
             LoopbackCluster.pause(50);
         }
         assertEquals(200, status("GET", "/ready", ""));
     }
 
     @Test
-    void malformedSubmissionsGet400() throws Exception {
-        untilReady();
+    void rejectsMalformedSubmissionsWith400() throws Exception {
+        awaitReady();
         List<String> bodies = new ArrayList<>(List.of("", "{", "[]", "17", "null", "{}", "{\"id\":\"j-1\"}"));
-        ObjectNode good = job("j-000001");
+        ObjectNode good = validJob("j-000001");
         good.fieldNames().forEachRemaining(field -> {
             if (!good.path(field).isNull() && !field.equals("each_longer_s")) {
                 bodies.add(good.deepCopy().without(field).toString());
             }
         });
-        bodies.add(job("j-000001").put("shards", "one").toString());
-        bodies.add(job("j-000001").put("cpus", -1.0).toString());
-        bodies.add(job("j-000001").put("urgency", "now").toString());
+        bodies.add(validJob("j-000001").put("shards", "one").toString());
+        bodies.add(validJob("j-000001").put("cpus", -1.0).toString());
+        bodies.add(validJob("j-000001").put("urgency", "now").toString());
         List<String> accepted = new ArrayList<>();
         for (String body : bodies) {
-            if (status("POST", JOBS, body) != 400) {
+            if (status("POST", SUBMISSIONS_PATH, body) != 400) {
                 accepted.add(body);
             }
         }
         assertEquals(List.of(), accepted);
-        assertEquals(404, status("GET", JOBS + "/j-000001", ""));
+        assertEquals(404, status("GET", SUBMISSIONS_PATH + "/j-000001", ""));
     }
 
     @Test
-    void jobsThatCanNeverRunGet422() throws Exception {
-        untilReady();
-        assertEquals(422, status("POST", JOBS, job("j-000001").put("cpus", 99.0).toString()));
+    void rejectsUnsatisfiableJobsWith422() throws Exception {
+        awaitReady();
         assertEquals(
-                422, status("POST", JOBS, job("j-000002").put("crew", "nobody").toString()));
+                422,
+                status(
+                        "POST",
+                        SUBMISSIONS_PATH,
+                        validJob("j-000001").put("cpus", 99.0).toString()));
         assertEquals(
-                422, status("POST", JOBS, job("j-000003").put("yard", "nowhere").toString()));
+                422,
+                status(
+                        "POST",
+                        SUBMISSIONS_PATH,
+                        validJob("j-000002").put("crew", "nobody").toString()));
+        assertEquals(
+                422,
+                status(
+                        "POST",
+                        SUBMISSIONS_PATH,
+                        validJob("j-000003").put("yard", "nowhere").toString()));
     }
 
     @Test
-    void whatIsUnknownOrNotAllowedIsSaidSo() throws Exception {
-        untilReady();
-        assertEquals(404, status("GET", JOBS + "/j-999999", ""));
-        assertEquals(404, status("POST", JOBS + "/j-999999/abort", "{}"));
+    void returnsMatchingClientErrorForInvalidRequests() throws Exception {
+        awaitReady();
+        assertEquals(404, status("GET", SUBMISSIONS_PATH + "/j-999999", ""));
+        assertEquals(404, status("POST", SUBMISSIONS_PATH + "/j-999999/abort", "{}"));
         assertEquals(404, status("GET", "/nowhere", ""));
-        assertEquals(405, status("DELETE", JOBS + "/j-999999", ""));
-        assertEquals(405, status("GET", JOBS, ""));
+        assertEquals(405, status("DELETE", SUBMISSIONS_PATH + "/j-999999", ""));
+        assertEquals(405, status("GET", SUBMISSIONS_PATH, ""));
         assertEquals(405, status("GET", "/hello", ""));
         assertEquals(405, status("POST", "/ready", ""));
         assertEquals(400, status("POST", "/hello", "{\"host\":7}"));
-        assertEquals(413, status("POST", JOBS, " ".repeat(TOO_LONG)));
+        assertEquals(413, status("POST", SUBMISSIONS_PATH, " ".repeat(OVERSIZED_BODY_BYTES)));
     }
 
     // Guards users against a wait: what can't be decided is refused at once, with the time to come back.
     @Test
-    void whatCannotBeDecidedGets503WithRetryAfter() throws Exception {
-        untilReady();
+    void returns503WithRetryAfterDuringStoreOutage() throws Exception {
+        awaitReady();
         cluster.storeOutage(true);
-        HttpResponse<String> refused = send("POST", JOBS, job("j-000001").toString());
-        for (int i = 0; i < TRIES && refused.statusCode() != 503; i++) {
+        HttpResponse<String> refused =
+                send("POST", SUBMISSIONS_PATH, validJob("j-000001").toString());
+        for (int i = 0; i < MAX_POLLS && refused.statusCode() != 503; i++) {
             LoopbackCluster.pause(50);
-            refused = send("POST", JOBS, job("j-00" + (1_000 + i)).toString());
+            refused = send(
+                    "POST", SUBMISSIONS_PATH, validJob("j-00" + (1_000 + i)).toString());
         }
         assertEquals(503, refused.statusCode());
         int retryAfterS =
                 Integer.parseInt(refused.headers().firstValue("Retry-After").orElse("0"));
         assertTrue(retryAfterS >= 1 && retryAfterS <= 30, "within what users heed");
-        assertEquals(503, status("GET", JOBS + "/j-999999", ""));
+        assertEquals(503, status("GET", SUBMISSIONS_PATH + "/j-999999", ""));
     }
 }
--- a/src/test/java/io/quartzgw/app/EndToEndTest.java
+++ b/src/test/java/io/quartzgw/app/EndToEndTest.java
@@ -19,7 +19,7 @@
 
     @Test
     @Timeout(120)
-    void jobsRunThroughTheLossOfAController(@TempDir Path folder) throws Exception {
+    void runsJobsBeforeAndAfterLossOfController(@TempDir Path folder) throws Exception {
         try (LoopbackCluster cluster = new LoopbackCluster(3)) {
             ControllerProcess[] controllers = new ControllerProcess[3];
             for (int i = 0; i < 3; i++) {
@@ -27,14 +27,14 @@
                 controllers[i].start();
             }
             ObjectNode array = JobRequests.array("j-000001", "blue", 3, 2, 0.3);
-            until(() -> isAccepted(cluster.submit(0, array)));
-            until(() -> phase(cluster, 1, "j-000001").equals("done"));
+            awaitCondition(() -> isAccepted(cluster.submit(0, array)));
+            awaitCondition(() -> phase(cluster, 1, "j-000001").equals("done"));
 
-            until(() -> isAccepted(cluster.submit(1, JobRequests.service("j-000002", "blue", 2, 2))));
-            until(() -> phase(cluster, 2, "j-000002").equals("running"));
+            awaitCondition(() -> isAccepted(cluster.submit(1, JobRequests.service("j-000002", "blue", 2, 2))));
+            awaitCondition(() -> phase(cluster, 2, "j-000002").equals("running"));
             controllers[0].stop();
-            until(() -> isAccepted(cluster.submit(1, JobRequests.array("j-000003", "blue", 2, 2, 0.3))));
-            until(() -> phase(cluster, 2, "j-000003").equals("done"));
+            awaitCondition(() -> isAccepted(cluster.submit(1, JobRequests.array("j-000003", "blue", 2, 2, 0.3))));
+            awaitCondition(() -> phase(cluster, 2, "j-000003").equals("done"));
             Reply cancelled = cluster.request(2, "POST", "/submissions/j-000002/abort", Json.object());
             assertEquals(200, cancelled.status());
             assertEquals("withdrawn", cancelled.json().path("phase").asText());
@@ -78,7 +78,7 @@
                 .asText();
     }
 
-    private static void until(BooleanSupplier condition) {
+    private static void awaitCondition(BooleanSupplier condition) {
         for (int i = 0; i < 500 && !condition.getAsBoolean(); i++) {
             LoopbackCluster.pause(100);
         }
--- a/src/test/java/io/quartzgw/app/LogEventsTest.java
+++ b/src/test/java/io/quartzgw/app/LogEventsTest.java
@@ -22,7 +22,7 @@
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
 
     @Test
-    void pausedLeaderIsSeenInTheLogAndInTheCounters() throws IOException {
+    void logsAndCountsPauseOfLeader() throws IOException {
         ClusterSimulation simulation = ClusterFixtures.clusterWithServices();
         int leader = simulation.leader();
         PrintStream standardError = System.err;
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void heartbeatsAnsweredByAnUnconfirmedLeaderAreCounted() {
+    void countsHeartbeatResponsesOfUnconfirmedLeader() {
         ClusterSimulation simulation = ClusterFixtures.clusterWithServices();
         simulation.runChecked(PAUSE_MS);
         assertEquals(0, simulation.counter("responses.unconfirmed"));
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void unansweredStartOfACancelledJobIsSeenInTheLogAndInTheGauges() throws IOException {
+    void logsAndCountsUnansweredStartOfCancelledJob() throws IOException {
         ClusterSimulation simulation = ClusterFixtures.clusterWithServices();
         simulation.users().submitUntilAccepted(JobRequests.array("j-000700", "blue", 4, 4, 90));
         simulation.runChecked(30_000);
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void logOfStartsIsSeenInTheLogAndInTheCounters() throws IOException {
+    void logsAndCountsInheritedStartsAndUnreadableStartLog() throws IOException {
         ClusterSimulation simulation = ClusterFixtures.clusterWithServices();
         PrintStream standardError = System.err;
         System.setErr(new PrintStream(log, true, StandardCharsets.UTF_8));
--- a/src/test/java/io/quartzgw/app/SettingsReaderTest.java
+++ b/src/test/java/io/quartzgw/app/SettingsReaderTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class SettingsReaderTest {
-    private static final String GOOD =
+    private static final String VALID_SETTINGS =
             """
             member = "rig-0"
             site = "x"
@@ -53,8 +53,8 @@
             """;
 
     @Test
-    void readsWhatThePlatformHandsOver() throws InvalidSettingsException {
-        Settings settings = SettingsReader.read(GOOD);
+    void readsValidSettings() throws InvalidSettingsException {
+        Settings settings = SettingsReader.read(VALID_SETTINGS);
         assertEquals("rig-0", settings.member());
         assertEquals(16_000, settings.agentTiming().leaseMs());
         assertEquals(Map.of("c", List.of(60.0)), settings.completionObjectives());
@@ -74,9 +74,9 @@
         "cpus = 4.0, cpus = -1.0, facts.teams.cpus",
         "size = 2, size = 0, facts.size"
     })
-    void namesTheFieldThatIsWrong(String right, String wrong, String field) {
-        InvalidSettingsException error =
-                assertThrows(InvalidSettingsException.class, () -> SettingsReader.read(GOOD.replace(right, wrong)));
+    void namesInvalidFieldInError(String right, String wrong, String field) {
+        InvalidSettingsException error = assertThrows(
+                InvalidSettingsException.class, () -> SettingsReader.read(VALID_SETTINGS.replace(right, wrong)));
         assertEquals(field, error.getMessage().split(":", 2)[0]);
     }
 }
