--- a/src/main/java/io/quartzgw/app/AcceptedJobNotice.java
+++ b/src/main/java/io/quartzgw/app/AcceptedJobNotice.java
@@ -7,7 +7,7 @@
 import io.quartzgw.submission.OpenJob;
 import java.util.Optional;
 
-/** The notice with which a controller tells the leader of a job that it has accepted, as a part of a peer message. */
+/** JSON encoding of the notice of an accepted job that a controller sends to the leader in a peer message. */
 final class AcceptedJobNotice {
     private static final String REVISION = "revision";
     private static final String JOB = "accepted";
@@ -20,7 +20,7 @@
         return notice;
     }
 
-    /** The job, or nothing when the notice is of another kind. */
+    /** Returns the job, or empty if the notice is of another kind. */
     static Optional<OpenJob> decode(JsonNode notice) {
         if (!notice.has(JOB)) {
             return Optional.empty();
--- a/src/main/java/io/quartzgw/app/AgentReachability.java
+++ b/src/main/java/io/quartzgw/app/AgentReachability.java
@@ -6,13 +6,13 @@
 import io.quartzgw.scheduling.Machine;
 
 /**
- * Tells whether the leader is partitioned from its agents. Such a partition leaves the leader's own lease untouched
- * while the agents' leases expire; the other controllers see it, since agents that get no answer here turn up there.
+ * Detects that the leader is partitioned from its agents. During such a partition the agents' leases expire, but the
+ * leader's own lease does not. Other controllers notice it, since agents without a response send heartbeats to them.
  */
 final class AgentReachability {
-    /** An agent that was not answered for this many heartbeat intervals is silent. */
+    /** An agent is unresponsive if this leader has not responded to it for this many heartbeat intervals. */
     private static final int UNRESPONSIVE_HEARTBEATS = 2;
-    /** A failover is short: it costs less than the leases of so large a part of the agents. */
+    /** A short failover costs less than the expiry of more than this fraction of the agents' leases. */
     private static final double PARTITIONED_FRACTION = 0.25;
 
     private final EventLoop eventLoop;
@@ -30,17 +30,17 @@
         this.electedAt = eventLoop.nowMs();
     }
 
-    /** Whether many agents are silent here, and a good part of them reaches another controller. */
+    /** Whether many agents are unresponsive, and more than half as many agents reach another controller. */
     boolean isPartitioned() {
         long running = 0;
-        long silent = 0;
+        long unresponsive = 0;
         for (Machine machine : cluster.machines()) {
             if (machine.status() == Machine.Status.UP && !machine.reservationExpired()) {
                 running++;
-                silent += isUnresponsive(machine) ? 1 : 0;
+                unresponsive += isUnresponsive(machine) ? 1 : 0;
             }
         }
-        return silent > PARTITIONED_FRACTION * running && peers.agentsReachingOthers() > silent / 2;
+        return unresponsive > PARTITIONED_FRACTION * running && peers.agentsReachingOthers() > unresponsive / 2;
     }
 
     private boolean isUnresponsive(Machine machine) {
--- a/src/main/java/io/quartzgw/app/Controller.java
+++ b/src/main/java/io/quartzgw/app/Controller.java
@@ -26,8 +26,8 @@
 import java.util.function.Supplier;
 
 /**
- * The deterministic core of one controller: every package's part, wired around one event loop. It owns what lasts as
- * long as the process; what lasts for one term of this controller's leadership is in a {@link LeaderRuntime}.
+ * The deterministic core of one controller: the components of all packages, wired around one event loop. Owns the
+ * components that live as long as the process; a {@link LeaderRuntime} owns those that live for one term of leadership.
  */
 public final class Controller {
     private static final int READINESS_RETRY_S = 1;
@@ -48,8 +48,8 @@
     private Optional<LeaderRuntime> leader = Optional.empty();
 
     /**
-     * @param process a number that no other process of this member has had
-     * @param processMetrics the process's own part of what the peer listener serves under {@code /metrics}
+     * @param process number of this process, unique among all processes of this controller
+     * @param processMetrics supplies the process section of the metrics that the peer listener serves
      */
     public Controller(EventLoop eventLoop, Settings settings, long process, Supplier<JsonNode> processMetrics) {
         this.eventLoop = eventLoop;
@@ -87,7 +87,7 @@
         return new PeerExchange.Participants(leadership, store, cancellations, watermark, writeBudget);
     }
 
-    /** Starts every part; to be called inside the event loop's first batch. */
+    /** Starts all components; must be called within the event loop's first batch. */
     public void start() {
         RequestRouter router = new RequestRouter(eventLoop, requestHandlers());
         eventLoop.onRequest(router::route);
@@ -107,7 +107,7 @@
         return leadership.term();
     }
 
-    /** Whether this controller knows a job as cancelled, so that it must start none of its tasks. */
+    /** Whether this controller knows that a job is cancelled, so it must not start any of the job's tasks. */
     public boolean isKnownCancelled(String job) {
         return cancellations.contains(job);
     }
@@ -124,9 +124,9 @@
                 new RequestRouter.PeerHandlers(peers::serve, this::serveMetrics));
     }
 
-    // A controller that has sent the state service nothing for a while is ready all the same: only failures count.
-    // Without the state service users get no answer, so it is not ready; but when no controller reaches it, leaving
-    // the load balancer would only reset every user's connection.
+    // Only failed requests to the state service count: a controller that has sent none for a while stays ready. A
+    // controller that can't reach the state service can't serve users, so it is not ready. The exception is an outage
+    // for all controllers: leaving the load balancer would then only reset every user's connection.
     private void serveReadiness(Request request) {
         boolean ready = leadership.hasReadStore()
                 && catalog.isKnown()
@@ -157,8 +157,8 @@
     private final class LeadershipChanges implements Leadership.Listener {
         @Override
         public void elected(long term, long termRevision) {
-            // A previous leader answers agents for its grace after the moment up to which it knows every
-            // cancellation; this controller has announced none to it since the election.
+            // A previous leader responds to agents for its grace period after the time up to which it knows every
+            // cancellation. This controller has announced no cancellation to it since the election.
             long previousLeaderActiveUntil = eventLoop.nowMs() + timing.graceMs();
             LeaderRuntime runtime = new LeaderRuntime(services(), previousLeaderActiveUntil);
             leader = Optional.of(runtime);
@@ -179,7 +179,7 @@
     }
 
     private void applyTaskCountPage(JsonNode page) {
-        submissions.taskCounts(TaskCountPageCodec.decode(page));
+        submissions.updateTaskCounts(TaskCountPageCodec.decode(page));
     }
 
     private void applyNotice(JsonNode notice) {
--- a/src/main/java/io/quartzgw/app/ControllerProcess.java
+++ b/src/main/java/io/quartzgw/app/ControllerProcess.java
@@ -20,11 +20,14 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** A running controller: the core on its eventLoopThread thread, and one I/O thread for all sockets. */
+/** A running controller process: the core on its event loop thread, and one I/O thread for all sockets. */
 final class ControllerProcess {
     private static final int BUFFER_BYTES = 8 * 1024;
     private static final int MAX_POOLED_BUFFERS = 128;
-    /** Live agents and users send far more often; a dead one's connection only takes a socket. */
+    /**
+     * Idle timeout of connections, in heartbeat intervals. Live agents and users send far more often, and the
+     * connection of a dead client only occupies a socket.
+     */
     private static final int IDLE_TIMEOUT_HEARTBEATS = 6;
 
     private static final long STACK_BYTES = 256 * 1024;
@@ -43,8 +46,8 @@
         this.eventLoop = new EventLoop(process);
         this.controller = new Controller(eventLoop, settings, process, metrics::snapshot);
         SocketBudget sockets = SocketBudget.of(settings.maxSockets());
-        // A client has one request under way: all that are connected may ask a new leader at once, and none of
-        // them is better served by a refusal that sends it to another controller first.
+        // The queue has room for one request per connection, since a client has one request in flight. All clients
+        // may send to a new leader at the same time, and a rejection would only send them to another controller first.
         this.eventLoopThread = new EventLoopThread(eventLoop, sockets.clientConnections(), this::performEffect);
         this.thread = new Thread(null, eventLoopThread, "owner", STACK_BYTES);
         this.ioWorker = Xnio.getInstance()
--- a/src/main/java/io/quartzgw/app/ControllerServices.java
+++ b/src/main/java/io/quartzgw/app/ControllerServices.java
@@ -11,7 +11,7 @@
 import io.quartzgw.store.StoreClient;
 import io.quartzgw.submission.JobStore;
 
-/** The parts that every controller has, whether it leads or not, and on which a leader's parts are built. */
+/** Components of every controller, leader or not, on which the leader's components are built. */
 record ControllerServices(
         EventLoop eventLoop,
         Settings settings,
--- a/src/main/java/io/quartzgw/app/EndedJobLookup.java
+++ b/src/main/java/io/quartzgw/app/EndedJobLookup.java
@@ -7,7 +7,7 @@
 import io.quartzgw.submission.JobStore;
 import java.util.function.Consumer;
 
-/** Looks up in the state service how jobs have ended, and tries again until that is known or the term has ended. */
+/** Looks up the terminal states of jobs in the state service, and retries until it responds or the term has ended. */
 final class EndedJobLookup implements EndedJobs {
     private final EventLoop eventLoop;
     private final JobStore jobs;
@@ -41,7 +41,7 @@
         if (result instanceof JobStore.LookupResult.Terminal terminal) {
             onEnd.accept(terminal.state().cancelled() ? cancelled(job) : new End.Done());
         } else if (result instanceof JobStore.LookupResult.NotFound) {
-            // Nothing tells that it is done, so it must not be started.
+            // No record says that the job completed, so its tasks must not be started.
             onEnd.accept(cancelled(job));
         } else {
             eventLoop.after(retryMs, () -> lookUp(job, onEnd));
--- a/src/main/java/io/quartzgw/app/FleetScaling.java
+++ b/src/main/java/io/quartzgw/app/FleetScaling.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * Paces the scaling of the fleet. It examines every machine and waiting job, and a rental takes far longer than the
- * pause between two runs.
+ * Limits how often the fleet is scaled. A run examines every machine and waiting job, and renting a machine takes far
+ * longer than the cooldown between two runs.
  */
 final class FleetScaling {
     private static final double COOLDOWN_HEARTBEATS = 0.1;
@@ -26,7 +26,7 @@
         this.cooldownMs = (long) (COOLDOWN_HEARTBEATS * heartbeatMs);
     }
 
-    /** Starts the fleet manager when this is called for the first time. */
+    /** Starts the fleet manager on the first call. */
     void startOnce() {
         if (!started) {
             started = true;
@@ -34,22 +34,22 @@
         }
     }
 
-    /** Makes a run due, since the cluster state has changed. */
+    /** Requests a run after a change of the cluster state. */
     void requestRun() {
         runDue = true;
     }
 
     /**
-     * Scales the fleet if a run is due and the pause is over.
+     * Scales the fleet if a run is due and the cooldown is over.
      *
-     * @param windowClosed whether the allocations on all machines are known, as far as they will be
+     * @param recoveryWindowClosed whether recovery no longer waits for heartbeats that report allocations
      */
-    void runIfDue(List<UnplacedTasks> unplaced, boolean windowClosed) {
+    void runIfDue(List<UnplacedTasks> unplaced, boolean recoveryWindowClosed) {
         if (!runDue || coolingDown) {
             return;
         }
         coolingDown = true;
-        runDue = fleet.scale(unplaced, windowClosed);
+        runDue = fleet.scale(unplaced, recoveryWindowClosed);
         eventLoop.after(cooldownMs, () -> coolingDown = false);
     }
 }
--- a/src/main/java/io/quartzgw/app/HeartbeatEndpoint.java
+++ b/src/main/java/io/quartzgw/app/HeartbeatEndpoint.java
@@ -16,8 +16,8 @@
 import java.util.function.Supplier;
 
 /**
- * Serves agents' heartbeats. The leader answers them, for as long as it may renew their leases; every other controller
- * names the leader and remembers whom it redirected.
+ * Serves agents' heartbeats. The leader responds as long as it may renew the agents' leases. Every other controller
+ * redirects agents to the leader, and records which agents it has redirected.
  */
 final class HeartbeatEndpoint {
     private static final int MISDIRECTED_REQUEST = 421;
@@ -33,19 +33,19 @@
 
     /**
      * @param member this controller's name
-     * @param leaderRuntime what this controller does as the leader, while it leads
+     * @param leaderRuntime the runtime of the current term; empty while this controller is not the leader
      */
     HeartbeatEndpoint(
             EventLoop eventLoop,
             Leadership leadership,
             PeerExchange peers,
             String member,
-            Supplier<Optional<LeaderRuntime>> leader) {
+            Supplier<Optional<LeaderRuntime>> leaderRuntime) {
         this.eventLoop = eventLoop;
         this.leadership = leadership;
         this.peers = peers;
         this.member = member;
-        this.leaderRuntime = leader;
+        this.leaderRuntime = leaderRuntime;
     }
 
     void serve(Request request) {
@@ -55,22 +55,23 @@
             return;
         }
         Heartbeat heartbeat = decoded.get();
-        // Before anything else: a higher token than this leader's ends its leadership.
+        // Must come first: a fencing token above this leader's term ends its leadership.
         leadership.observeTerm(heartbeat.fencingToken());
-        Optional<LeaderRuntime> leading = leaderRuntime.get().filter(runtime -> leadership.mayRenewAgentLeases());
-        if (leading.isPresent()) {
-            ReceivedHeartbeat received = leading.get().receive(heartbeat);
-            // Later in this batch a job may be cancelled, a task may be stopped, or the term may end.
-            eventLoop.afterCommands(() -> respond(request.exchange(), leading.get(), received));
+        Optional<LeaderRuntime> runtime = leaderRuntime.get().filter(current -> leadership.mayRenewAgentLeases());
+        if (runtime.isPresent()) {
+            ReceivedHeartbeat received = runtime.get().receive(heartbeat);
+            // Deferred, since a job may be cancelled, a task stopped, or the term may end later in this batch.
+            eventLoop.afterCommands(() -> respond(request.exchange(), runtime.get(), received));
         } else {
             redirectAgent(request.exchange(), heartbeat);
         }
     }
 
-    private void respond(long exchange, LeaderRuntime receiver, ReceivedHeartbeat received) {
-        boolean stillLeading = leaderRuntime.get().filter(receiver::equals).isPresent();
+    private void respond(long exchange, LeaderRuntime receivingRuntime, ReceivedHeartbeat received) {
+        boolean stillLeading =
+                leaderRuntime.get().filter(receivingRuntime::equals).isPresent();
         if (stillLeading && leadership.mayRenewAgentLeases()) {
-            sendResponse(exchange, receiver.respond(received));
+            sendResponse(exchange, receivingRuntime.respond(received));
         } else {
             redirectAgent(exchange, received.heartbeat());
         }
@@ -82,7 +83,7 @@
     }
 
     private void sendResponse(long exchange, HeartbeatResponse response) {
-        // The process may be paused before the response leaves.
+        // A response with starts expires with the leader's confirmation: the process may be paused before it is sent.
         long validUntilMs = response.startsTasks() ? leadership.confirmedUntilMs() : Effect.ALWAYS_VALID;
         eventLoop.answer(exchange, Response.json(OK, HeartbeatResponseCodec.encode(response)), validUntilMs);
     }
--- a/src/main/java/io/quartzgw/app/InvalidSettingsException.java
+++ b/src/main/java/io/quartzgw/app/InvalidSettingsException.java
@@ -1,6 +1,6 @@
 package io.quartzgw.app;
 
-/** Settings that a controller can't start with; the message names the field. */
+/** Thrown if a controller can't start with its settings; the message names the invalid field. */
 public final class InvalidSettingsException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/io/quartzgw/app/LeaderPolicies.java
+++ b/src/main/java/io/quartzgw/app/LeaderPolicies.java
@@ -6,9 +6,9 @@
 import io.quartzgw.scheduling.SchedulingPolicy;
 import io.quartzgw.scheduling.ServiceLevelObjectives;
 
-/** Derives the policies of a leader's parts from the settings. */
+/** Derives the policies of the leader's components from the settings. */
 final class LeaderPolicies {
-    /** The clocks of two controllers are each within the time bound of true time. */
+    /** Two controllers' clocks may deviate from true time in opposite directions, each by the error bound. */
     private static final int CLOCKS_PER_SKEW = 2;
 
     private LeaderPolicies() {}
@@ -31,7 +31,7 @@
         return CLOCKS_PER_SKEW * (long) settings.clockErrorBoundMs();
     }
 
-    // Where work within the guarantee has an objective, its capacity is rented before the work arrives.
+    // If jobs within the guaranteed quota have an objective, their capacity is rented before they arrive.
     private static double reservedCpus(Settings settings) {
         return settings.hasObjective("guarantee")
                 ? settings.teams().values().stream()
--- a/src/main/java/io/quartzgw/app/LeaderRuntime.java
+++ b/src/main/java/io/quartzgw/app/LeaderRuntime.java
@@ -32,12 +32,15 @@
 import io.quartzgw.submission.TerminalState;
 
 /**
- * Everything that this controller does as the leader of one term; a later term starts with a new one. It builds the
- * leader's parts, passes events between them, and drives them once a batch and on a timer.
+ * The leader's side of a controller for one term; each term has its own instance. Builds the leader's components,
+ * passes events between them, and runs them after each batch and on a timer.
  */
 final class LeaderRuntime {
     private static final double TICK_INTERVAL_LEASES = 0.03;
-    /** After it resigned for lack of heartbeats, this controller is no candidate for this many intervals. */
+    /**
+     * How long this controller does not stand for election after it resigned because it was partitioned from its
+     * agents, in heartbeat intervals.
+     */
     private static final int RESIGNATION_BACKOFF_HEARTBEATS = 6;
 
     private final EventLoop eventLoop;
@@ -59,7 +62,7 @@
     private final TaskCountPager taskCountPager;
     private final AgentReachability reachability;
 
-    /** @param previousLeaderActiveUntilMs when a previous leader can last answer a heartbeat */
+    /** @param previousLeaderActiveUntilMs the latest time at which a previous leader can respond to a heartbeat */
     LeaderRuntime(ControllerServices services, long previousLeaderActiveUntilMs) {
         this.eventLoop = services.eventLoop();
         this.settings = services.settings();
@@ -134,7 +137,7 @@
                 new OpenJobWatcher.JobEvents(this::isKnownTerminal, this::terminate));
     }
 
-    // The scheduler is built before the fleet that it asks.
+    // The fleet manager does not exist yet when the scheduler is built, so the scheduler calls it through this method.
     private boolean isCloudExhausted() {
         return fleet.isExhausted();
     }
@@ -153,8 +156,8 @@
             eventLoop.after(
                     (long) (TICK_INTERVAL_LEASES * settings.agentTiming().leaseMs()), this::tick);
             if (term.isConfirmed()) {
-                // A leader whose process was paused has received no heartbeat meanwhile, and another leader may have
-                // answered them: only a confirmed term may judge machines by their silence.
+                // A paused process receives no heartbeats, and another leader may have answered them. Only a
+                // confirmed leader may conclude from missing heartbeats that a machine is unresponsive.
                 recovery.releaseExpiredReservations();
             }
             cluster.markChanged();
@@ -173,7 +176,7 @@
         return agents.respond(received);
     }
 
-    /** Schedules, scales and sends what the batch has made due. */
+    /** Runs scheduling and fleet scaling if due, and sends pending commands and writes. */
     void afterBatch() {
         if (!term.isCurrent()) {
             return;
@@ -225,12 +228,12 @@
         progress.forgetJob(job.id());
     }
 
-    /** The next page of task counts for display, of this many jobs at the most. */
+    /** Returns the next page of task counts for display, with at most {@code maxJobs} jobs. */
     TaskCountPage nextTaskCountPage(int maxJobs) {
         return taskCountPager.nextPage(maxJobs);
     }
 
-    // ---- events between the parts
+    // ---- events between components
 
     private final class FleetEvents implements FleetManager.Listener {
         @Override
--- a/src/main/java/io/quartzgw/app/Main.java
+++ b/src/main/java/io/quartzgw/app/Main.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The command line. */
+/** Command line entry point. */
 @Command(
         name = "quartzgw",
         mixinStandardHelpOptions = true,
@@ -26,7 +26,7 @@
 
     /** Runs the command line and exits with its status. */
     public static void main(String[] args) {
-        // Before the first logger is made.
+        // Must be set before the first logger is created.
         String level = System.getenv().getOrDefault("LOG_LEVEL", "info");
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", level);
         System.setProperty("org.slf4j.simpleLogger.log.io.undertow", level.equals("debug") ? "info" : "error");
@@ -52,20 +52,20 @@
             return 0;
         }
         Logger log = LoggerFactory.getLogger(Main.class);
-        ControllerProcess service = new ControllerProcess(settings, newProcessNumber(settings.member()));
-        service.start();
+        ControllerProcess controller = new ControllerProcess(settings, newProcessNumber(settings.member()));
+        controller.start();
         log.atInfo()
                 .addKeyValue("member", settings.member())
                 .addKeyValue("client_listen", settings.clientListen())
                 .addKeyValue("peer_listen", settings.peerListen())
                 .log("controller started");
-        service.join();
+        controller.join();
         return 0;
     }
 
-    // Unlike any other process of the member, and a seed: members that start in the same instant have to
-    // draw different numbers. A member may be back within a fraction of a second while its time of day
-    // wanders, so the steady clock goes in as well.
+    // Unique among all processes of the member. Also a random seed: members that start at the same time must draw
+    // different numbers. A member may restart within a fraction of a second while its wall clock drifts, so the
+    // monotonic clock is mixed in as well.
     private static long newProcessNumber(String member) {
         long mixed = System.currentTimeMillis() * 1_000_003
                 + System.nanoTime() * 31
@@ -73,7 +73,7 @@
         return (mixed * 31 + member.hashCode()) & Long.MAX_VALUE;
     }
 
-    /** The version from the jar's manifest. */
+    /** Reads the version from the jar's manifest. */
     static final class Version implements CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() {
--- a/src/main/java/io/quartzgw/app/OpenJobWatcher.java
+++ b/src/main/java/io/quartzgw/app/OpenJobWatcher.java
@@ -17,9 +17,12 @@
 import java.util.function.Predicate;
 import java.util.stream.Collectors;
 
-/** Keeps the leader's open jobs in step with the state service, by its watch and by other controllers' notices. */
+/** Keeps the leader's open jobs in sync with the state service, through a watch and other controllers' notices. */
 final class OpenJobWatcher implements StoreClient.Watcher {
-    /** How long one poll of the watch may wait: its answer is complete up to the moment at which it was sent. */
+    /**
+     * Timeout of one poll of the watch, in heartbeat intervals. A response is only complete up to the time at which its
+     * poll was sent.
+     */
     private static final double POLL_TIMEOUT_HEARTBEATS = 0.6;
 
     private final EventLoop eventLoop;
@@ -32,10 +35,10 @@
     private long watchedRevision = Long.MAX_VALUE;
 
     /**
-     * The leader's part in watching jobs.
+     * Callbacks to the leader.
      *
-     * @param isKnownTerminal whether a job is known to be cancelled or done, whatever else is read of it
-     * @param onTerminal receives the id of each job that is terminal in the state service
+     * @param isKnownTerminal whether a job is known to be cancelled or completed, even if an older read shows it open
+     * @param onTerminal receives the ID of each job that is terminal in the state service
      */
     record JobEvents(Predicate<String> isKnownTerminal, Consumer<String> onTerminal) {}
 
@@ -56,15 +59,16 @@
         this.events = events;
     }
 
-    /** Applies a notice that a job was accepted. */
+    /** Adds a job that this controller or, according to its notice, another one has accepted. */
     void jobAccepted(OpenJob job) {
-        // A notice may be delayed until the job is terminal: below its own revision the watch knows better.
+        // The job may have become terminal before a delayed notice arrives: the notice is ignored if the watch has
+        // already delivered the job's revision.
         if (job.revision() > watchedRevision) {
             add(job);
         }
     }
 
-    // The watch or a notice may bring the acceptance of a job after its end was known.
+    // The watch or a notice may deliver the acceptance of a job after its terminal state is known.
     private void add(OpenJob job) {
         if (!events.isKnownTerminal().test(job.spec().id())) {
             cluster.add(job);
@@ -122,7 +126,7 @@
         store.watch(JobKeys.OPEN, listing.revision(), listing.readAt(), this);
     }
 
-    // A job that was accepted before the listing and is missing from it has become terminal meanwhile.
+    // A job that was accepted before the listing and is missing from it has become terminal in the meantime.
     private void terminateMissing(List<OpenJob> open, long revision) {
         Set<String> ids = open.stream().map(job -> job.spec().id()).collect(Collectors.toSet());
         List<String> missing = cluster.jobs().stream()
--- a/src/main/java/io/quartzgw/app/PauseDetector.java
+++ b/src/main/java/io/quartzgw/app/PauseDetector.java
@@ -5,10 +5,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Notices that this process has stood still: that it was paused, or starved of processor time. */
+/** Detects that this process was paused or starved of CPU time. */
 final class PauseDetector {
     private static final Logger LOG = LoggerFactory.getLogger(PauseDetector.class);
-    /** Timers begin a batch several times in a leader's lease; with a gap of this fraction of it some were missed. */
+    /**
+     * Shortest gap between batches that counts as a pause, in leader leases. Timers start several batches within a
+     * lease, so some were missed in such a gap.
+     */
     private static final double MIN_PAUSE_LEASES = 0.5;
 
     private final EventLoop eventLoop;
@@ -24,7 +27,7 @@
         this.lastBatchAtMs = eventLoop.nowMs();
     }
 
-    /** A batch begins: compares the clock with the one of the batch before. */
+    /** Compares the start time of this batch with that of the previous one. */
     void onBatchBegin() {
         long gapMs = eventLoop.nowMs() - lastBatchAtMs;
         lastBatchAtMs = eventLoop.nowMs();
--- a/src/main/java/io/quartzgw/app/ProcessMetrics.java
+++ b/src/main/java/io/quartzgw/app/ProcessMetrics.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 
-/** What a controller process counts and times; latencies are kept in Micrometer's HdrHistograms. */
+/** Counters and timers of a controller process; latencies are kept in Micrometer's HdrHistograms. */
 final class ProcessMetrics {
     private static final double[] PERCENTILES = {0.5, 0.9, 0.99};
 
--- a/src/main/java/io/quartzgw/app/RequestRouter.java
+++ b/src/main/java/io/quartzgw/app/RequestRouter.java
@@ -9,8 +9,8 @@
 import java.util.function.Consumer;
 
 /**
- * Routes each inbound request by its listener, path and method. Requests on unknown paths and with other methods are
- * answered here.
+ * Routes each inbound request by its listener, path and method. Answers requests with an unknown path or a wrong method
+ * itself.
  */
 final class RequestRouter {
     private static final String READINESS_PATH = "/ready";
@@ -23,12 +23,12 @@
     private final Handlers handlers;
 
     /**
-     * What serves the requests of each path.
+     * Request handlers by path.
      *
      * @param submissions serves users' requests about jobs, and checks their methods itself
      * @param heartbeat serves agents' heartbeats
      * @param readiness serves the load balancer's health checks
-     * @param peer serves the requests on the peer listener
+     * @param peer handlers of the peer listener
      */
     record Handlers(
             Consumer<Request> submissions,
@@ -37,10 +37,10 @@
             PeerHandlers peer) {}
 
     /**
-     * What serves the requests of each path of the peer listener.
+     * Request handlers of the peer listener by path.
      *
-     * @param peerMessage serves the messages of other controllers
-     * @param metrics serves operators' requests for counters
+     * @param peerMessage serves messages of other controllers
+     * @param metrics serves operators' requests for metrics
      */
     record PeerHandlers(Consumer<Request> peerMessage, Consumer<Request> metrics) {}
 
@@ -49,7 +49,7 @@
         this.handlers = handlers;
     }
 
-    /** Routes a request; each is answered exactly once, at once or later. */
+    /** Routes a request. Each request is answered exactly once, immediately or later. */
     void route(Request request) {
         if (request.listener() == ListenerKind.PEER) {
             routePeerRequest(request);
--- a/src/main/java/io/quartzgw/app/Settings.java
+++ b/src/main/java/io/quartzgw/app/Settings.java
@@ -10,9 +10,10 @@
 import java.util.stream.Collectors;
 
 /**
- * The settings file that the platform hands over, validated.
+ * The validated settings file, which the platform provides.
  *
  * @param peers the other controllers' peer addresses by member name
+ * @param clockErrorBoundMs maximum deviation of a controller's clock from true time
  * @param objectives the service-level objectives of each class of jobs
  */
 public record Settings(
@@ -35,20 +36,20 @@
         int maxSockets) {
 
     /**
-     * A service-level objective of a class of jobs; the class is empty where it holds for all.
+     * A service-level objective of a class of jobs; an empty class stands for all jobs.
      *
-     * @param deadlineMultiple for a deadline, the multiple of the deadline that counts
+     * @param deadlineMultiple for an objective on deadlines, the multiple of the job's deadline to be met
      */
     public record Objective(String kind, String jobClass, double withinS, double deadlineMultiple, double share) {}
 
-    /** By class, the largest multiple of its jobs' deadlines within which they should be finished. */
+    /** Returns by job class the largest multiple of the deadline within which jobs should complete. */
     public Map<String, Double> deadlineObjectives() {
         return objectives.stream()
                 .filter(objective -> objective.kind().equals("deadline"))
                 .collect(Collectors.toMap(Objective::jobClass, Objective::deadlineMultiple, Math::max));
     }
 
-    /** By class, the times from submission within which its jobs should be finished. */
+    /** Returns by job class the times from submission within which jobs should complete. */
     public Map<String, List<Double>> completionObjectives() {
         return objectives.stream()
                 .filter(objective -> objective.kind().equals("finished"))
@@ -56,7 +57,7 @@
                         Objective::jobClass, Collectors.mapping(Objective::withinS, Collectors.toList())));
     }
 
-    /** By class, the time from submission within which its tasks should be started. */
+    /** Returns by job class the shortest time from submission within which tasks should be started. */
     public Map<String, Double> startObjectives() {
         return objectives.stream()
                 .filter(objective -> objective.kind().equals("wait"))
--- a/src/main/java/io/quartzgw/app/SettingsReader.java
+++ b/src/main/java/io/quartzgw/app/SettingsReader.java
@@ -21,7 +21,7 @@
 /** Reads and validates the settings file; unknown fields are ignored. */
 public final class SettingsReader {
     private static final int BYTES_PER_KB = 1024;
-    /** A job's end takes two writes in one transaction. */
+    /** Moving a job to its terminal state takes two writes in one transaction. */
     private static final int MIN_TRANSACTION_WRITES = 2;
 
     private static final String HEARTBEAT_FIELD = "facts.workers.report_s";
@@ -30,7 +30,7 @@
 
     private SettingsReader() {}
 
-    /** Reads and validates a settings file; the exception names the first unusable field. */
+    /** Reads and validates a settings file; the exception names the first invalid field. */
     public static Settings read(Path file) throws InvalidSettingsException {
         try {
             return read(Files.readString(file));
@@ -81,13 +81,13 @@
         double leaseS = positiveNumber(facts, LEASE_FIELD);
         double cancelS = positiveNumber(facts, CANCEL_FIELD);
         if (leaseS <= heartbeatS) {
-            throw new InvalidSettingsException(LEASE_FIELD + ": has to be longer than report_s");
+            throw new InvalidSettingsException(LEASE_FIELD + ": must be longer than report_s");
         }
         if (cancelS <= leaseS) {
-            throw new InvalidSettingsException(CANCEL_FIELD + ": has to be longer than lease_s");
+            throw new InvalidSettingsException(CANCEL_FIELD + ": must be longer than lease_s");
         }
         if (LeadershipTiming.graceSeconds(heartbeatS, leaseS, cancelS) < heartbeatS / 2) {
-            throw new InvalidSettingsException(CANCEL_FIELD + ": has to exceed lease_s by 2.5 times report_s");
+            throw new InvalidSettingsException(CANCEL_FIELD + ": must exceed lease_s by at least 2.5 times report_s");
         }
         return new AgentTiming(millis(heartbeatS), millis(leaseS), millis(cancelS));
     }
@@ -126,7 +126,7 @@
             return peers.size() + 1;
         }
         if (!size.isInt() || size.asInt() < 1) {
-            throw new InvalidSettingsException("facts.size: a whole number, 1 or more");
+            throw new InvalidSettingsException("facts.size: must be a whole number of at least 1");
         }
         return size.asInt();
     }
@@ -137,7 +137,7 @@
             zones.add(zone.asText());
         }
         if (zones.isEmpty()) {
-            throw new InvalidSettingsException("facts.zones: names no zone");
+            throw new InvalidSettingsException("facts.zones: must list at least one zone");
         }
         return zones;
     }
@@ -155,7 +155,7 @@
             teams.put(name, team);
         }
         if (teams.isEmpty()) {
-            throw new InvalidSettingsException("facts.teams: names no team");
+            throw new InvalidSettingsException("facts.teams: must list at least one team");
         }
         return teams;
     }
@@ -166,7 +166,7 @@
             return 0;
         }
         if (!value.isNumber() || !Double.isFinite(value.doubleValue()) || value.doubleValue() < 0) {
-            throw new InvalidSettingsException("facts.teams." + field + ": a number, 0 or more");
+            throw new InvalidSettingsException("facts.teams." + field + ": must be a number of at least 0");
         }
         return value.doubleValue();
     }
@@ -183,38 +183,40 @@
         return objectives;
     }
 
-    private static String requiredText(JsonNode node, String field, String name) throws InvalidSettingsException {
+    private static String requiredText(JsonNode node, String field, String fullName) throws InvalidSettingsException {
         JsonNode value = node.path(field);
         if (!value.isTextual() || value.textValue().isBlank()) {
-            throw new InvalidSettingsException(name + ": missing");
+            throw new InvalidSettingsException(fullName + ": missing");
         }
         return value.textValue();
     }
 
-    private static Endpoint endpoint(JsonNode node, String field, String name) throws InvalidSettingsException {
+    private static Endpoint endpoint(JsonNode node, String field, String fullName) throws InvalidSettingsException {
         try {
-            return Endpoint.parse(requiredText(node, field, name));
+            return Endpoint.parse(requiredText(node, field, fullName));
         } catch (IllegalArgumentException e) {
-            throw new InvalidSettingsException(name + ": " + e.getMessage());
+            throw new InvalidSettingsException(fullName + ": " + e.getMessage());
         }
     }
 
-    private static double positiveNumber(JsonNode facts, String name) throws InvalidSettingsException {
-        double value = numberAtLeast(facts, name, 0);
+    private static double positiveNumber(JsonNode facts, String fullName) throws InvalidSettingsException {
+        double value = numberAtLeast(facts, fullName, 0);
         if (value == 0) {
-            throw new InvalidSettingsException(name + ": has to be more than 0");
+            throw new InvalidSettingsException(fullName + ": must be greater than 0");
         }
         return value;
     }
 
-    /** @param name the field's full name, of the form {@code facts.table.field} */
-    private static double numberAtLeast(JsonNode facts, String name, double least) throws InvalidSettingsException {
-        JsonNode value = facts.at(name.substring("facts".length()).replace('.', '/'));
+    /** @param fullName the field's name, of the form {@code facts.table.field} */
+    private static double numberAtLeast(JsonNode facts, String fullName, double minimum)
+            throws InvalidSettingsException {
+        JsonNode value = facts.at(fullName.substring("facts".length()).replace('.', '/'));
         if (value.isMissingNode()) {
-            throw new InvalidSettingsException(name + ": missing");
+            throw new InvalidSettingsException(fullName + ": missing");
         }
-        if (!value.isNumber() || !Double.isFinite(value.doubleValue()) || value.doubleValue() < least) {
-            throw new InvalidSettingsException(name + ": a number, " + (least > 0 ? (int) least : 0) + " or more");
+        if (!value.isNumber() || !Double.isFinite(value.doubleValue()) || value.doubleValue() < minimum) {
+            throw new InvalidSettingsException(
+                    fullName + ": must be a number of at least " + (minimum > 0 ? (int) minimum : 0));
         }
         return value.doubleValue();
     }
--- a/src/main/java/io/quartzgw/app/TaskCountPager.java
+++ b/src/main/java/io/quartzgw/app/TaskCountPager.java
@@ -6,10 +6,10 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Pages the counts of running and done tasks for display: thousands of jobs exceed one message. */
+/** Pages the counts of running and completed tasks, since the counts of thousands of jobs exceed one message. */
 final class TaskCountPager {
     private final ClusterState cluster;
-    /** The last job of the last page. */
+    /** ID of the last job in the range of the previous page; empty before the first page. */
     private String previousPageEnd = "";
 
     TaskCountPager(ClusterState cluster) {
@@ -17,9 +17,9 @@
     }
 
     /**
-     * The next page, of open jobs that have any task running or done.
+     * Returns the next page of open jobs with running or completed tasks.
      *
-     * @param maxJobs how many jobs it may name
+     * @param maxJobs the maximum number of jobs on the page
      */
     TaskCountPage nextPage(int maxJobs) {
         String afterJob = previousPageEnd;
--- a/src/main/java/io/quartzgw/submission/Admission.java
+++ b/src/main/java/io/quartzgw/submission/Admission.java
@@ -16,7 +16,7 @@
         this.teams = teams;
     }
 
-    /** Why the job can never run, or empty when it can. */
+    /** Returns why the job can never run, or empty if it can. */
     public Optional<String> rejectionReason(JobSpec job, Collection<MachineType> types) {
         TeamQuota team = teams.get(job.team());
         if (team == null) {
--- a/src/main/java/io/quartzgw/submission/InvalidJobException.java
+++ b/src/main/java/io/quartzgw/submission/InvalidJobException.java
@@ -1,6 +1,6 @@
 package io.quartzgw.submission;
 
-/** A job specification is malformed; the message names the field. */
+/** Thrown if a job specification is malformed; the message names the field. */
 public final class InvalidJobException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/io/quartzgw/submission/JobCodec.java
+++ b/src/main/java/io/quartzgw/submission/JobCodec.java
@@ -26,7 +26,7 @@
 
     private JobCodec() {}
 
-    /** Whether the text, which may be null, is a job id. */
+    /** Whether a text is a valid job ID; false for null. */
     public static boolean isValidJobId(String id) {
         return id != null && JOB_ID.matcher(id).matches();
     }
@@ -34,7 +34,7 @@
     /**
      * Decodes and checks a submission.
      *
-     * @throws InvalidJobException when a field is missing or malformed
+     * @throws InvalidJobException if a field is missing or malformed
      */
     public static JobSpec decode(JsonNode node) throws InvalidJobException {
         String id = requiredText(node, "id");
@@ -136,11 +136,11 @@
     }
 
     private static <T> T enumValue(JsonNode node, String field, Map<String, T> choices) throws InvalidJobException {
-        T chosen = choices.get(requiredText(node, field));
-        if (chosen == null) {
+        T value = choices.get(requiredText(node, field));
+        if (value == null) {
             throw new InvalidJobException(field + ": unknown");
         }
-        return chosen;
+        return value;
     }
 
     private static <T> String wireName(Map<String, T> choices, T value) {
--- a/src/main/java/io/quartzgw/submission/JobKeys.java
+++ b/src/main/java/io/quartzgw/submission/JobKeys.java
@@ -1,8 +1,9 @@
 package io.quartzgw.submission;
 
 /**
- * Keys of job records in the state service. A job is under {@link #OPEN} with its specification until it moves, in one
- * transaction, to {@link #TERMINAL}: a failover reads open jobs only.
+ * Keys of job records in the state service. The record of an open job, with its specification, is under {@link #OPEN}.
+ * When the job ends, one transaction replaces it with a record under {@link #TERMINAL}, so a failover reads open jobs
+ * only.
  */
 public final class JobKeys {
     /** Prefix of the records of open jobs. */
--- a/src/main/java/io/quartzgw/submission/JobRecordCodec.java
+++ b/src/main/java/io/quartzgw/submission/JobRecordCodec.java
@@ -5,7 +5,7 @@
 import io.quartzgw.http.Json;
 import io.quartzgw.model.JobSpec;
 
-/** JSON encoding of the records that the state service keeps of open and terminal jobs. */
+/** JSON encoding of the records of open and terminal jobs in the state service. */
 public final class JobRecordCodec {
     private static final String ACCEPTED_AT = "accepted_ms";
     private static final String PHASE = "phase";
@@ -21,7 +21,7 @@
     /**
      * Decodes the record of an open job.
      *
-     * @throws IllegalStateException when the record is malformed: only this program writes it
+     * @throws IllegalStateException if the record is malformed; only this program writes it
      */
     public static OpenJob decodeOpen(JsonNode record, long revision) {
         try {
--- a/src/main/java/io/quartzgw/submission/JobResponses.java
+++ b/src/main/java/io/quartzgw/submission/JobResponses.java
@@ -12,7 +12,7 @@
     private static final String RUNNING = "running";
     /** When a user should retry while the state service is unavailable. */
     private static final int UNAVAILABLE_RETRY_S = 2;
-    /** When a user should retry after a conflict with another submission of the same id. */
+    /** When a user should retry after a conflict with another submission of the same ID. */
     private static final int CONFLICT_RETRY_S = 1;
 
     private JobResponses() {}
--- a/src/main/java/io/quartzgw/submission/JobStore.java
+++ b/src/main/java/io/quartzgw/submission/JobStore.java
@@ -16,22 +16,22 @@
 import java.util.function.Consumer;
 
 /**
- * Jobs in the state service. Terminal states are cached, since they never change. Whether a job is still open is read
- * again for every user, so that none gets an older answer than before; but a controller that has read the open record
- * once only revalidates its revision, for many jobs in one request.
+ * Job records in the state service. Terminal states are cached, since they never change. Whether a job is still open is
+ * checked for every request, so no user gets an older state than before. If the revision of the open record is known,
+ * only that is revalidated, for many jobs in one request.
  */
 public final class JobStore {
     private static final int MAX_CACHED_JOBS = 20_000;
 
     private final StoreClient store;
     private final Cache<String, TerminalState> terminalStates = newCache();
-    /** The revisions of open records that this controller has read or written. */
+    /** Revisions of the open records that this controller has read or written, by job ID. */
     private final Cache<String, Long> openRevisions = newCache();
 
     private final Map<String, SharedRead> readsInFlight = new HashMap<>();
     private final OpenJobRevalidation revalidation;
 
-    /** What the state service knows of a job. */
+    /** Result of a job lookup in the state service. */
     public sealed interface LookupResult {
         /** The job is open; the revision is that of its record. */
         record Open(long revision) implements LookupResult {}
@@ -39,26 +39,26 @@
         /** The job is terminal. */
         record Terminal(TerminalState state) implements LookupResult {}
 
-        /** No job has this id. */
+        /** No job has this ID. */
         record NotFound() implements LookupResult {}
 
         /** The state service did not respond. */
         record Unavailable() implements LookupResult {}
     }
 
-    /** How an acceptance ended. */
+    /** Result of recording a new job. */
     public sealed interface AcceptResult {
         /** The job was recorded. */
         record New(OpenJob job) implements AcceptResult {}
 
-        /** A job with this id exists already. */
+        /** A job with this ID already exists. */
         record AlreadyExists() implements AcceptResult {}
 
         /** Whether the job was recorded is not known. */
         record Unknown() implements AcceptResult {}
     }
 
-    /** Callers that share one read; those that come while it is in flight wait for the next one. */
+    /** Callers that share one read. Those that arrive while it is in flight wait for the next one. */
     private static final class SharedRead {
         private final List<Consumer<LookupResult>> callers = new ArrayList<>();
         private final List<Consumer<LookupResult>> nextCallers = new ArrayList<>();
@@ -77,17 +77,17 @@
                 .build();
     }
 
-    /** The terminal state of a job, if this controller knows that the job is terminal. */
+    /** Returns the terminal state of a job if this controller knows it. */
     public Optional<TerminalState> terminalState(String id) {
         return Optional.ofNullable(terminalStates.getIfPresent(id));
     }
 
-    /** Records that a job is terminal, according to a committed transaction or a read. */
+    /** Caches the terminal state of a job from a committed transaction or a read. */
     public void recordTerminal(String id, TerminalState state) {
         terminalStates.put(id, state);
     }
 
-    /** Looks a job up; the result is never older than the call. */
+    /** Looks up a job; the result is never older than the call. */
     public void lookUp(String id, Consumer<LookupResult> callback) {
         Optional<TerminalState> terminal = terminalState(id);
         if (terminal.isPresent()) {
@@ -102,8 +102,8 @@
     private void read(String id, Consumer<LookupResult> callback) {
         SharedRead inFlight = readsInFlight.get(id);
         if (inFlight != null) {
-            // A read in flight may have been answered before this call: its result could be older than one that the
-            // caller already has.
+            // The state service may have processed the read in flight before this call. Its result could be older than
+            // one that the caller has already received.
             inFlight.nextCallers.add(callback);
             return;
         }
@@ -146,14 +146,14 @@
         if (read.nextCallers.isEmpty()) {
             readsInFlight.remove(id);
         } else {
-            SharedRead following = new SharedRead();
-            following.callers.addAll(read.nextCallers);
-            startRead(id, following);
+            SharedRead nextRead = new SharedRead();
+            nextRead.callers.addAll(read.nextCallers);
+            startRead(id, nextRead);
         }
         read.callers.forEach(caller -> caller.accept(result));
     }
 
-    /** Records a new job, unless its id is known already. */
+    /** Records a new job unless one with its ID already exists. */
     public void accept(JobSpec spec, long acceptedAt, Consumer<AcceptResult> callback) {
         Transaction transaction = new Transaction()
                 .require(JobKeys.open(spec.id()), Transaction.NO_REVISION)
@@ -178,11 +178,11 @@
     /**
      * Cancels an open job, unless it has become terminal.
      *
-     * @param revision of the open record
-     * @param doneTasks how many of its tasks are done, for display
+     * @param revision the revision of the open record
+     * @param completedTasks the number of completed tasks, for display
      */
-    public void cancel(String id, long revision, int doneTasks, Consumer<TransactionOutcome> callback) {
-        TerminalState state = new TerminalState(true, doneTasks);
+    public void cancel(String id, long revision, int completedTasks, Consumer<TransactionOutcome> callback) {
+        TerminalState state = new TerminalState(true, completedTasks);
         Transaction transaction = new Transaction()
                 .require(JobKeys.open(id), revision)
                 .delete(JobKeys.open(id))
--- a/src/main/java/io/quartzgw/submission/OpenJob.java
+++ b/src/main/java/io/quartzgw/submission/OpenJob.java
@@ -3,9 +3,9 @@
 import io.quartzgw.model.JobSpec;
 
 /**
- * An accepted job that is not terminal, as the state service keeps it.
+ * An accepted job that is not terminal, as stored in the state service.
  *
- * @param revision of its record; it never changes while the job is open
- * @param acceptedAt time of day, in milliseconds, at the controller that accepted it
+ * @param revision revision of the job's record, which never changes while the job is open
+ * @param acceptedAt wall-clock time, in milliseconds, of the controller that accepted the job
  */
 public record OpenJob(JobSpec spec, long revision, long acceptedAt) {}
--- a/src/main/java/io/quartzgw/submission/OpenJobRevalidation.java
+++ b/src/main/java/io/quartzgw/submission/OpenJobRevalidation.java
@@ -15,11 +15,11 @@
 import java.util.function.Consumer;
 
 /**
- * Checks whether open records still have the revisions that this controller knows, many of them in one transaction that
- * only compares. Requests that come while a transaction is in flight wait for the next one.
+ * Checks whether open records still have their known revisions. One transaction without writes checks many records;
+ * requests that arrive while it is in flight wait for the next one.
  */
 final class OpenJobRevalidation {
-    /** The state service compares this many keys for each write that a transaction may hold. */
+    /** Preconditions that the state service allows in a transaction, per allowed write. */
     private static final int PRECONDITIONS_PER_WRITE = 4;
 
     private final StoreClient store;
@@ -28,11 +28,11 @@
     private final Map<String, List<Consumer<LookupResult>>> waitingCallers = new LinkedHashMap<>();
     private boolean inFlight;
 
-    /** A job whose revision is being checked, and the callers that wait for the result. */
+    /** A job whose revision is being checked, and the callers waiting for the result. */
     private record Check(String id, long revision, List<Consumer<LookupResult>> callers) {}
 
     /**
-     * @param openRevisions the known revisions; those that have changed are removed
+     * @param openRevisions the known revisions by job ID; changed ones are removed
      * @param readJob reads a job whose revision is not known or has changed
      */
     OpenJobRevalidation(
@@ -92,7 +92,7 @@
                 openRevisions.invalidate(check.id());
                 check.callers().forEach(caller -> readJob.accept(check.id(), caller));
             } else {
-                // The conflict need not name every key that has changed: check again without those that it named.
+                // A conflict need not name every key that has changed, so check the unnamed ones again.
                 waitingCallers
                         .computeIfAbsent(check.id(), key -> new ArrayList<>())
                         .addAll(check.callers());
--- a/src/main/java/io/quartzgw/submission/SubmissionCheck.java
+++ b/src/main/java/io/quartzgw/submission/SubmissionCheck.java
@@ -15,24 +15,24 @@
 
     /** The result of a check. */
     sealed interface Result {
-        /** The submission names no valid job id. */
+        /** The submission has no valid job ID. */
         record InvalidJobId(Response response) implements Result {}
 
-        /** The job can't be accepted; the response is for a job that was not accepted before. */
+        /** The job can't be accepted; the response applies unless a job with its ID exists. */
         record Rejected(String id, Response response) implements Result {}
 
         /** The job may be accepted. */
         record Admitted(JobSpec spec) implements Result {}
     }
 
-    /** @param maxRecordBytes the largest record that the state service takes */
+    /** @param maxRecordBytes the maximum size of a record in the state service */
     SubmissionCheck(MachineTypes machineTypes, Admission admission, int maxRecordBytes) {
         this.machineTypes = machineTypes;
         this.admission = admission;
         this.maxRecordBytes = maxRecordBytes;
     }
 
-    /** Checks the body of a submission that arrived at the given time of day. */
+    /** Checks the body of a submission that arrived at the given wall-clock time. */
     Result check(byte[] requestBody, long wallClockMs) {
         JsonNode body = Json.readOrNull(requestBody);
         String id = body == null ? null : body.path("id").textValue();
--- a/src/main/java/io/quartzgw/submission/SubmissionHandler.java
+++ b/src/main/java/io/quartzgw/submission/SubmissionHandler.java
@@ -11,22 +11,22 @@
 import java.util.function.Consumer;
 
 /**
- * Serves the users' requests: submit, poll and abort. A submission is decoded, checked, admitted, stored and answered,
- * in this order; every request is answered as soon as the state service has responded.
+ * Serves users' requests to submit, poll and abort jobs. A submission is decoded, checked, admitted, stored and
+ * answered, in this order. Every request is answered as soon as the state service has responded.
  */
 public final class SubmissionHandler {
-    /** The path of submissions; all requests of users begin with it. */
+    /** Path of submissions and prefix of the paths of all user requests. */
     public static final String PATH = "/submissions";
 
     private static final String ABORT_SUFFIX = "/abort";
     private static final int MAX_ABORT_ATTEMPTS = 4;
 
-    /** Is notified of jobs before a user is. */
+    /** Receives job events before the user receives the response. */
     public interface Listener {
-        /** A job was accepted; the leader should schedule it at once. */
+        /** A job was accepted; the leader should schedule it immediately. */
         void accepted(OpenJob job);
 
-        /** A user is about to learn that a job is cancelled, perhaps as the first one. */
+        /** A job's cancellation is about to be acknowledged to a user, possibly for the first time. */
         void cancelled(String id);
     }
 
@@ -37,7 +37,7 @@
     private final Listener listener;
     private final TreeMap<String, TaskCountPage.TaskCounts> taskCounts = new TreeMap<>();
 
-    /** @param listener is notified of accepted jobs, and of cancellations before a user is */
+    /** @param listener receives accepted jobs, and cancellations before they are acknowledged */
     public SubmissionHandler(
             EventLoop eventLoop,
             StoreClient store,
@@ -52,24 +52,24 @@
         this.listener = listener;
     }
 
-    /** Updates the leader's task counts for display. */
-    public void taskCounts(TaskCountPage page) {
+    /** Updates the displayed task counts with a page from the leader. */
+    public void updateTaskCounts(TaskCountPage page) {
         page.replaceRangeIn(taskCounts);
     }
 
     /** Serves a request whose path begins with {@link #PATH}. */
     public void serve(Request request) {
-        String rest = request.path().substring(PATH.length());
-        if (rest.isEmpty()) {
+        String pathSuffix = request.path().substring(PATH.length());
+        if (pathSuffix.isEmpty()) {
             if (requireMethod(request, "POST")) {
                 submit(request);
             }
-        } else if (rest.endsWith(ABORT_SUFFIX) && rest.length() > ABORT_SUFFIX.length() + 1) {
+        } else if (pathSuffix.endsWith(ABORT_SUFFIX) && pathSuffix.length() > ABORT_SUFFIX.length() + 1) {
             if (requireMethod(request, "POST")) {
-                abort(request, rest.substring(1, rest.length() - ABORT_SUFFIX.length()));
+                abort(request, pathSuffix.substring(1, pathSuffix.length() - ABORT_SUFFIX.length()));
             }
         } else if (requireMethod(request, "GET")) {
-            poll(request, rest.substring(1));
+            poll(request, pathSuffix.substring(1));
         }
     }
 
@@ -89,8 +89,8 @@
             accept(request, admitted.spec());
         } else if (result instanceof SubmissionCheck.Result.Rejected rejected) {
             answerUnlessJobExists(request, rejected.id(), rejected.response());
-        } else if (result instanceof SubmissionCheck.Result.InvalidJobId notAJob) {
-            answer(request, notAJob.response());
+        } else if (result instanceof SubmissionCheck.Result.InvalidJobId invalid) {
+            answer(request, invalid.response());
         }
     }
 
@@ -115,7 +115,7 @@
         }
     }
 
-    // A repeat of an accepted submission gets its state with 200, whatever its body says now.
+    // A repeated submission of an existing job gets the job's state with status 200, even if its body has changed.
     private void answerUnlessJobExists(Request request, String id, Response response) {
         lookUp(request, id, found -> {
             if (found instanceof JobStore.LookupResult.NotFound) {
@@ -136,8 +136,8 @@
         lookUp(request, id, found -> answerState(request, id, found));
     }
 
-    /** Looks a job up, and answers the request itself when the state service is unavailable. */
-    private void lookUp(Request request, String id, Consumer<JobStore.LookupResult> then) {
+    /** Looks up a job, and answers the request itself if the state service is unavailable. */
+    private void lookUp(Request request, String id, Consumer<JobStore.LookupResult> callback) {
         if (jobs.terminalState(id).isEmpty() && !store.reachable()) {
             answer(request, JobResponses.storeUnavailable());
             return;
@@ -146,7 +146,7 @@
             if (found instanceof JobStore.LookupResult.Unavailable) {
                 answer(request, JobResponses.storeUnavailable());
             } else {
-                then.accept(found);
+                callback.accept(found);
             }
         });
     }
@@ -156,7 +156,7 @@
             answer(request, JobResponses.open(id, taskCountsOf(id)));
         } else if (found instanceof JobStore.LookupResult.Terminal terminal) {
             if (terminal.state().cancelled()) {
-                // The response to the abort itself may have been lost: this user may be the first to learn of it.
+                // The response to the abort may have been lost, so this may be the first acknowledgement.
                 listener.cancelled(id);
             }
             answer(request, JobResponses.terminal(id, terminal.state()));
@@ -191,7 +191,7 @@
                 listener.cancelled(id);
                 answer(request, JobResponses.cancelled(id));
             } else if (outcome instanceof TransactionOutcome.Conflict && attemptsLeft > 1) {
-                // The job became terminal meanwhile: its first terminal state stands, so read which one it is.
+                // The job became terminal in the meantime. Its first terminal state is final, so read that one.
                 abort(request, id, attemptsLeft - 1);
             } else {
                 answer(request, JobResponses.storeUnavailable());
--- a/src/main/java/io/quartzgw/submission/TerminalState.java
+++ b/src/main/java/io/quartzgw/submission/TerminalState.java
@@ -3,7 +3,7 @@
 /**
  * The final state of a job, which never changes.
  *
- * @param cancelled whether the job was cancelled; otherwise it is done
- * @param completedTasks how many tasks were done, for display
+ * @param cancelled whether the job was cancelled; otherwise it completed
+ * @param completedTasks the number of completed tasks, for display
  */
 public record TerminalState(boolean cancelled, int completedTasks) {}
--- a/src/test/java/io/quartzgw/app/BadInputTest.java
+++ b/src/test/java/io/quartzgw/app/BadInputTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the client listener answers to requests that it can't take, as users see it over HTTP. */
+/** Responses of the client listener to requests that it rejects, as users see them over HTTP. */
 @Timeout(60)
 class BadInputTest {
     private static final String SUBMISSIONS_PATH = "/submissions";
@@ -72,22 +72,22 @@
     void rejectsMalformedSubmissionsWith400() throws Exception {
         awaitReady();
         List<String> bodies = new ArrayList<>(List.of("", "{", "[]", "17", "null", "{}", "{\"id\":\"j-1\"}"));
-        ObjectNode good = validJob("j-000001");
-        good.fieldNames().forEachRemaining(field -> {
-            if (!good.path(field).isNull() && !field.equals("each_longer_s")) {
-                bodies.add(good.deepCopy().without(field).toString());
+        ObjectNode valid = validJob("j-000001");
+        valid.fieldNames().forEachRemaining(field -> {
+            if (!valid.path(field).isNull() && !field.equals("each_longer_s")) {
+                bodies.add(valid.deepCopy().without(field).toString());
             }
         });
         bodies.add(validJob("j-000001").put("shards", "one").toString());
         bodies.add(validJob("j-000001").put("cpus", -1.0).toString());
         bodies.add(validJob("j-000001").put("urgency", "now").toString());
-        List<String> accepted = new ArrayList<>();
+        List<String> notRejected = new ArrayList<>();
         for (String body : bodies) {
             if (status("POST", SUBMISSIONS_PATH, body) != 400) {
-                accepted.add(body);
+                notRejected.add(body);
             }
         }
-        assertEquals(List.of(), accepted);
+        assertEquals(List.of(), notRejected);
         assertEquals(404, status("GET", SUBMISSIONS_PATH + "/j-000001", ""));
     }
 
@@ -128,22 +128,22 @@
         assertEquals(413, status("POST", SUBMISSIONS_PATH, " ".repeat(OVERSIZED_BODY_BYTES)));
     }
 
-    // Guards users against a wait: what can't be decided is refused at once, with the time to come back.
+    // A user must not wait for a state service that is down: the request is rejected immediately, with a retry time.
     @Test
     void returns503WithRetryAfterDuringStoreOutage() throws Exception {
         awaitReady();
         cluster.storeOutage(true);
-        HttpResponse<String> refused =
+        HttpResponse<String> response =
                 send("POST", SUBMISSIONS_PATH, validJob("j-000001").toString());
-        for (int i = 0; i < MAX_POLLS && refused.statusCode() != 503; i++) {
+        for (int i = 0; i < MAX_POLLS && response.statusCode() != 503; i++) {
             LoopbackCluster.pause(50);
-            refused = send(
+            response = send(
                     "POST", SUBMISSIONS_PATH, validJob("j-00" + (1_000 + i)).toString());
         }
-        assertEquals(503, refused.statusCode());
+        assertEquals(503, response.statusCode());
         int retryAfterS =
-                Integer.parseInt(refused.headers().firstValue("Retry-After").orElse("0"));
-        assertTrue(retryAfterS >= 1 && retryAfterS <= 30, "within what users heed");
+                Integer.parseInt(response.headers().firstValue("Retry-After").orElse("0"));
+        assertTrue(retryAfterS >= 1 && retryAfterS <= 30, "users honor values from 1 to 30 s");
         assertEquals(503, status("GET", SUBMISSIONS_PATH + "/j-999999", ""));
     }
 }
--- a/src/test/java/io/quartzgw/app/EndToEndTest.java
+++ b/src/test/java/io/quartzgw/app/EndToEndTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Three whole controllers over HTTP on loopback, with a simulated state service, cloud and agents. */
+/** Runs three controllers over HTTP on loopback, with a simulated state service, cloud and agents. */
 class EndToEndTest {
 
     @Test
@@ -82,6 +82,6 @@
         for (int i = 0; i < 500 && !condition.getAsBoolean(); i++) {
             LoopbackCluster.pause(100);
         }
-        assertTrue(condition.getAsBoolean(), "in time");
+        assertTrue(condition.getAsBoolean(), "condition not met in time");
     }
 }
--- a/src/test/java/io/quartzgw/app/LogEventsTest.java
+++ b/src/test/java/io/quartzgw/app/LogEventsTest.java
@@ -15,7 +15,10 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** What the log and the counters tell those on call of rare events. */
+/**
+ * Log events and counters that on-call engineers need to recognize paused leaders, unanswered starts and a lost or
+ * damaged start log. The README has to list the log events.
+ */
 class LogEventsTest {
     private static final long PAUSE_MS = 20_000;
 
@@ -59,9 +62,9 @@
         ClusterSimulation simulation = ClusterFixtures.clusterWithServices();
         simulation.users().submitUntilAccepted(JobRequests.array("j-000700", "blue", 4, 4, 90));
         simulation.runChecked(30_000);
-        List<String> withRoom = simulation.agents().machinesWithRoom(4);
-        assertEquals(1, withRoom.size(), "the tasks go to this machine");
-        String machine = withRoom.get(0);
+        List<String> machinesWithRoom = simulation.agents().machinesWithRoom(4);
+        assertEquals(1, machinesWithRoom.size(), "one machine has room for the tasks");
+        String machine = machinesWithRoom.get(0);
         PrintStream standardError = System.err;
         System.setErr(new PrintStream(log, true, StandardCharsets.UTF_8));
         try {
@@ -119,11 +122,11 @@
         }
     }
 
-    private void assertLogged(String event, String... parts) {
+    private void assertLogged(String event, String... fields) {
         boolean logged = log.toString(StandardCharsets.UTF_8)
                 .lines()
                 .filter(line -> line.endsWith(event))
-                .anyMatch(line -> List.of(parts).stream().allMatch(line::contains));
+                .anyMatch(line -> List.of(fields).stream().allMatch(line::contains));
         assertTrue(logged, event);
     }
 }
--- a/src/test/java/io/quartzgw/app/SettingsReaderTest.java
+++ b/src/test/java/io/quartzgw/app/SettingsReaderTest.java
@@ -74,9 +74,10 @@
         "cpus = 4.0, cpus = -1.0, facts.teams.cpus",
         "size = 2, size = 0, facts.size"
     })
-    void namesInvalidFieldInError(String right, String wrong, String field) {
+    void namesInvalidFieldInError(String validSetting, String invalidSetting, String field) {
         InvalidSettingsException error = assertThrows(
-                InvalidSettingsException.class, () -> SettingsReader.read(VALID_SETTINGS.replace(right, wrong)));
+                InvalidSettingsException.class,
+                () -> SettingsReader.read(VALID_SETTINGS.replace(validSetting, invalidSetting)));
         assertEquals(field, error.getMessage().split(":", 2)[0]);
     }
 }
