--- a/src/main/java/io/quartzgw/app/OpenJobWatcher.java
+++ b/src/main/java/io/quartzgw/app/OpenJobWatcher.java
@@ -17,10 +17,13 @@
 import java.util.function.Predicate;
 import java.util.stream.Collectors;
 
-/** Keeps the leader's open jobs in step with the state service, by its watch and by other controllers' notices. */
+/** Keeps the leader's open jobs in sync with the state service, through a watch and other controllers' notices. */
 final class OpenJobWatcher implements StoreClient.Watcher {
-    /** How long one poll of the watch may wait: its answer is complete up to the moment at which it was sent. */
-    private static final double WATCH_HEARTBEATS = 0.6;
+    /**
+     * Timeout of one poll of the watch, in heartbeat intervals. A response is only complete up to the time at which its
+     * poll was sent.
+     */
+    private static final double POLL_TIMEOUT_HEARTBEATS = 0.6;
 
     private final EventLoop eventLoop;
     private final StoreClient store;
@@ -32,12 +35,12 @@
     private long watchedRevision = Long.MAX_VALUE;
 
     /**
-     * The leader's part in watching jobs.
+     * Callbacks to the leader.
      *
-     * @param knownTerminal whether a job is known to be cancelled or done, whatever else is read of it
-     * @param onTerminated receives the id of each job that is terminal in the state service
+     * @param isKnownTerminal whether a job is known to be cancelled or completed, even if an older read shows it open
+     * @param onTerminal receives the ID of each job that is terminal in the state service
      */
-    record JobEvents(Predicate<String> knownTerminal, Consumer<String> onTerminated) {}
+    record JobEvents(Predicate<String> isKnownTerminal, Consumer<String> onTerminal) {}
 
     OpenJobWatcher(
             EventLoop eventLoop,
@@ -56,17 +59,18 @@
         this.events = events;
     }
 
-    /** Applies a notice that a job was accepted. */
-    void accepted(OpenJob job) {
-        // A notice may be delayed until the job is terminal: below its own revision the watch knows better.
+    /** Adds a job that this controller or, according to its notice, another one has accepted. */
+    void jobAccepted(OpenJob job) {
+        // The job may have become terminal before a delayed notice arrives: the notice is ignored if the watch has
+        // already delivered the job's revision.
         if (job.revision() > watchedRevision) {
             add(job);
         }
     }
 
-    // The watch or a notice may bring the acceptance of a job after its end was known.
+    // The watch or a notice may deliver the acceptance of a job after its terminal state is known.
     private void add(OpenJob job) {
-        if (!events.knownTerminal().test(job.spec().id())) {
+        if (!events.isKnownTerminal().test(job.spec().id())) {
             cluster.add(job);
         }
     }
@@ -84,7 +88,7 @@
 
     @Override
     public long pollMs() {
-        return (long) (WATCH_HEARTBEATS * heartbeatMs);
+        return (long) (POLL_TIMEOUT_HEARTBEATS * heartbeatMs);
     }
 
     @Override
@@ -93,7 +97,7 @@
             change.newValue()
                     .ifPresentOrElse(
                             record -> add(JobRecordCodec.decodeOpen(record, change.revision())),
-                            () -> events.onTerminated().accept(change.key().substring(JobKeys.OPEN.length())));
+                            () -> events.onTerminal().accept(change.key().substring(JobKeys.OPEN.length())));
         }
     }
 
@@ -122,7 +126,7 @@
         store.watch(JobKeys.OPEN, listing.revision(), listing.readAt(), this);
     }
 
-    // A job that was accepted before the listing and is missing from it has become terminal meanwhile.
+    // A job that was accepted before the listing and is missing from it has become terminal in the meantime.
     private void terminateMissing(List<OpenJob> open, long revision) {
         Set<String> ids = open.stream().map(job -> job.spec().id()).collect(Collectors.toSet());
         List<String> missing = cluster.jobs().stream()
@@ -130,6 +134,6 @@
                 .map(Job::id)
                 .filter(id -> !ids.contains(id))
                 .toList();
-        missing.forEach(events.onTerminated());
+        missing.forEach(events.onTerminal());
     }
 }
--- a/src/main/java/io/quartzgw/submission/Admission.java
+++ b/src/main/java/io/quartzgw/submission/Admission.java
@@ -16,8 +16,8 @@
         this.teams = teams;
     }
 
-    /** Why the job can never run, or empty when it can. */
-    public Optional<String> refusal(JobSpec job, Collection<MachineType> types) {
+    /** Returns why the job can never run, or empty if it can. */
+    public Optional<String> rejectionReason(JobSpec job, Collection<MachineType> types) {
         TeamQuota team = teams.get(job.team());
         if (team == null) {
             return Optional.of("unknown crew");
