--- a/src/main/java/io/quartzgw/fleet/CloudClient.java
+++ b/src/main/java/io/quartzgw/fleet/CloudClient.java
@@ -20,14 +20,14 @@
 
 /** Client of the cloud that keeps to its request limit; calls beyond it wait in order. */
 public final class CloudClient {
-    static final int MAX_RENTAL = 50;
-    static final int MAX_DELETE = 100;
+    static final int MAX_MACHINES_PER_RENTAL = 50;
+    static final int MAX_MACHINES_PER_DELETION = 100;
     private static final int LIST_PAGE_SIZE = 500;
     private static final int TIMEOUT_MS = 5_000;
     /**
      * The fraction of the limit that one controller uses: mostly the leader alone, the rest is for those that start.
      */
-    private static final double USED_FRACTION = 0.8;
+    private static final double BUDGET_FRACTION = 0.8;
 
     private final EventLoop eventLoop;
     private final Endpoint endpoint;
@@ -69,7 +69,7 @@
         this.eventLoop = eventLoop;
         this.drain = new CoalescedTask(eventLoop, this::drain);
         this.endpoint = endpoint;
-        this.budget = new TokenBucket(limits.requestsPerS() * USED_FRACTION, eventLoop.nowMs());
+        this.budget = new TokenBucket(limits.requestsPerS() * BUDGET_FRACTION, eventLoop.nowMs());
     }
 
     /** Reads the machine types by name; the callback gets none when the cloud did not respond. */
@@ -81,7 +81,7 @@
 
     /** Requests machines; a request name must never be used for a second, different request. */
     void rent(String request, MachineOffer offer, int count, Consumer<RentalResult> callback) {
-        ObjectNode body = CloudCodec.encodeRental(request, offer, Math.min(count, MAX_RENTAL));
+        ObjectNode body = CloudCodec.encodeRental(request, offer, Math.min(count, MAX_MACHINES_PER_RENTAL));
         submit(Call.post(endpoint, "/rentals", body, TIMEOUT_MS), reply -> callback.accept(rentalResult(reply)));
     }
 
@@ -94,7 +94,8 @@
     }
 
     /**
-     * Deletes at most {@link #MAX_DELETE} machines; the callback learns whether they certainly no longer exist.
+     * Deletes at most {@link #MAX_MACHINES_PER_DELETION} machines; the callback learns whether they certainly no longer
+     * exist.
      *
      * @param validUntilMs the moment from which on the request does not leave any more
      */
--- a/src/main/java/io/quartzgw/fleet/FencingPolicy.java
+++ b/src/main/java/io/quartzgw/fleet/FencingPolicy.java
@@ -23,40 +23,40 @@
 final class FencingPolicy {
     private static final Logger LOG = LoggerFactory.getLogger(FencingPolicy.class);
     /** A direct call in flight ends within this fraction of a reservation: until then its answer may still come. */
-    private static final double ANSWER_RESERVATIONS = 0.2;
+    private static final double RESPONSE_WAIT_RESERVATIONS = 0.2;
     /** An unreachable agent that has lost attempts gets this fraction of a reservation to answer a call again. */
-    private static final double REACHABLE_AGAIN_RESERVATIONS = 0.4;
+    private static final double UNREACHABLE_GRACE_RESERVATIONS = 0.4;
     /** A lost attempt that its reachable agent does not run again is waited for this long, in reservations. */
-    private static final double LOST_RESERVATIONS = 1;
+    private static final double LOST_ATTEMPT_GRACE_RESERVATIONS = 1;
     /** How long a machine in use is evacuated before it is deleted, in reservations. */
     private static final double EVACUATION_RESERVATIONS = 1.5;
     /** From this fraction of the time limit of a cancellation on, the number of evacuated machines does not count. */
-    private static final double OUT_OF_TURN_CANCEL_FRACTION = 0.5;
+    private static final double IGNORE_EVACUATION_LIMIT_CANCEL_FRACTION = 0.5;
     /** At this fraction of the limit the machine is deleted; the rest is for the cloud's answer. */
     private static final double DELETION_CANCEL_FRACTION = 0.8;
     /** The largest share of the machines that is evacuated for fencing at a time. */
-    private static final double MAX_EVACUATED_SHARE = 0.05;
+    private static final double MAX_EVACUATED_FRACTION = 0.05;
     /** Where the share is less, so many may be evacuated at a time. */
-    private static final int MIN_EVACUATED = 2;
+    private static final int MIN_EVACUATION_LIMIT = 2;
 
     private final EventLoop eventLoop;
     private final ClusterState cluster;
-    private final long answerMs;
-    private final long reachableAgainMs;
+    private final long responseWaitMs;
+    private final long unreachableGraceMs;
     private final long evacuationMs;
-    private final long lostMs;
-    private final long outOfTurnMs;
-    private final long deletionMs;
+    private final long lostAttemptGraceMs;
+    private final long ignoreEvacuationLimitMs;
+    private final long cancelDeletionMs;
 
     FencingPolicy(EventLoop eventLoop, ClusterState cluster, FleetManager.Policy policy) {
         this.eventLoop = eventLoop;
         this.cluster = cluster;
-        this.answerMs = (long) (ANSWER_RESERVATIONS * policy.reservationMs());
-        this.reachableAgainMs = (long) (REACHABLE_AGAIN_RESERVATIONS * policy.reservationMs());
+        this.responseWaitMs = (long) (RESPONSE_WAIT_RESERVATIONS * policy.reservationMs());
+        this.unreachableGraceMs = (long) (UNREACHABLE_GRACE_RESERVATIONS * policy.reservationMs());
         this.evacuationMs = (long) (EVACUATION_RESERVATIONS * policy.reservationMs());
-        this.lostMs = (long) (LOST_RESERVATIONS * policy.reservationMs());
-        this.outOfTurnMs = (long) (OUT_OF_TURN_CANCEL_FRACTION * policy.cancelMs());
-        this.deletionMs = (long) (DELETION_CANCEL_FRACTION * policy.cancelMs());
+        this.lostAttemptGraceMs = (long) (LOST_ATTEMPT_GRACE_RESERVATIONS * policy.reservationMs());
+        this.ignoreEvacuationLimitMs = (long) (IGNORE_EVACUATION_LIMIT_CANCEL_FRACTION * policy.cancelMs());
+        this.cancelDeletionMs = (long) (DELETION_CANCEL_FRACTION * policy.cancelMs());
     }
 
     /**
@@ -70,47 +70,52 @@
                 .toList();
         if (!needed.isEmpty()) {
             needed.stream().filter(machine -> !machine.isInUse()).forEach(this::fence);
-            evacuate(needed.stream().filter(Machine::isInUse).toList());
+            fenceWithinEvacuationLimit(needed.stream().filter(Machine::isInUse).toList());
         }
-        cluster.machines().forEach(confirmationEnding ? this::fenceNow : this::fenceOutOfTurn);
+        cluster.machines()
+                .forEach(
+                        confirmationEnding
+                                ? this::fenceIfCancelledTaskMayStart
+                                : this::fenceBeforeCancellationDeadline);
     }
 
     private boolean isFencingNeeded(Machine machine) {
-        return hasLongUnfenced(machine)
-                || hasUnreachableLost(machine)
-                || hasLongLost(machine)
+        return hasOverdueUnfencedAttempt(machine)
+                || hasUnreachableLostAttempt(machine)
+                || hasOverdueLostAttempt(machine)
                 || machine.fencing().cancelledStarts() > 0
                 || machine.fencing().hasUnknownStarts();
     }
 
-    private boolean hasLongUnfenced(Machine machine) {
+    private boolean hasOverdueUnfencedAttempt(Machine machine) {
         return machine.fencing().hasUnfenced()
                 && machine.fencing().unfenced().stream()
-                        .anyMatch(allocation -> allocation.isLostFor(answerMs, eventLoop.nowMs()));
+                        .anyMatch(allocation -> allocation.isLostFor(responseWaitMs, eventLoop.nowMs()));
     }
 
     // A reachable agent is sent the starts of lost attempts again.
-    private boolean hasUnreachableLost(Machine machine) {
+    private boolean hasUnreachableLostAttempt(Machine machine) {
         if (!machine.reservationExpired() && !machine.liveness().unreachable()) {
             return false;
         }
-        long waitMs = machine.reservationExpired() ? 0 : reachableAgainMs;
+        long waitMs = machine.reservationExpired() ? 0 : unreachableGraceMs;
         return machine.allocations().stream().anyMatch(allocation -> allocation.isLostFor(waitMs, eventLoop.nowMs()));
     }
 
     // A start is not sent again while its machine lacks room, nor while the inherited starts of a team exceed its quota
     // together: they would wait for each other.
-    private boolean hasLongLost(Machine machine) {
-        return machine.allocations().stream().anyMatch(allocation -> allocation.isLostFor(lostMs, eventLoop.nowMs()));
+    private boolean hasOverdueLostAttempt(Machine machine) {
+        return machine.allocations().stream()
+                .anyMatch(allocation -> allocation.isLostFor(lostAttemptGraceMs, eventLoop.nowMs()));
     }
 
     // Users were told that nothing of the job runs after a limit; a share of the machines may not stand against that.
-    private void fenceOutOfTurn(Machine machine) {
+    private void fenceBeforeCancellationDeadline(Machine machine) {
         OptionalLong cancelledAtMs = CancelledTasks.firstCancellationMs(machine);
-        if (cancelledAtMs.isEmpty() || eventLoop.nowMs() < cancelledAtMs.getAsLong() + outOfTurnMs) {
+        if (cancelledAtMs.isEmpty() || eventLoop.nowMs() < cancelledAtMs.getAsLong() + ignoreEvacuationLimitMs) {
             return;
         }
-        long deadline = cancelledAtMs.getAsLong() + deletionMs;
+        long deadline = cancelledAtMs.getAsLong() + cancelDeletionMs;
         if (deadline < machine.fencing().deadline()) {
             eventLoop.increment("fencing.out_of_turn", 1);
             fence(machine, deadline);
@@ -118,30 +123,30 @@
     }
 
     // The state service does not renew the leader's lease: it may be back only after the limit.
-    private void fenceNow(Machine machine) {
+    private void fenceIfCancelledTaskMayStart(Machine machine) {
         if (CancelledTasks.firstPossibleCancellationMs(machine).isPresent()) {
             fence(machine, eventLoop.nowMs());
         }
     }
 
     // Those for the sake of open jobs come first: nothing waits for a job that was cancelled.
-    private void evacuate(List<Machine> machines) {
-        long allowed = Math.max(MIN_EVACUATED, (long)
-                        (MAX_EVACUATED_SHARE * cluster.machines().size()))
-                - evacuating();
+    private void fenceWithinEvacuationLimit(List<Machine> machines) {
+        long allowed = Math.max(MIN_EVACUATION_LIMIT, (long)
+                        (MAX_EVACUATED_FRACTION * cluster.machines().size()))
+                - evacuatingMachines();
         machines.stream()
-                .sorted(Comparator.comparing(machine -> !holdsBackOpenJob(machine)))
+                .sorted(Comparator.comparing(machine -> !blocksOpenJob(machine)))
                 .limit(Math.max(0, allowed))
                 .forEach(this::fence);
     }
 
-    private long evacuating() {
+    private long evacuatingMachines() {
         return cluster.machines().stream()
                 .filter(machine -> machine.fencing().isBegun() && machine.isInUse())
                 .count();
     }
 
-    private static boolean holdsBackOpenJob(Machine machine) {
+    private static boolean blocksOpenJob(Machine machine) {
         return machine.fencing().unfenced().stream().map(Allocation::job).anyMatch(job -> !job.isTerminal());
     }
 
@@ -151,18 +156,18 @@
 
     private void fence(Machine machine, long deadline) {
         if (!machine.fencing().isBegun()) {
-            report(machine, deadline);
+            logFencing(machine, deadline);
         }
         machine.fence(deadline);
     }
 
-    private void report(Machine machine, long deadline) {
+    private void logFencing(Machine machine, long deadline) {
         eventLoop.increment("fencing.machines", 1);
         LOG.atInfo()
                 .addKeyValue("machine", machine.id())
                 .addKeyValue("reason", "fenced")
                 .addKeyValue("unfenced_attempts", machine.fencing().unfenced().size())
-                .addKeyValue("holds_back_open_job", holdsBackOpenJob(machine))
+                .addKeyValue("holds_back_open_job", blocksOpenJob(machine))
                 .addKeyValue("cancelled_starts", machine.fencing().cancelledStarts())
                 .addKeyValue("in_use", machine.isInUse())
                 .addKeyValue("evacuation_ms", Math.max(0, deadline - eventLoop.nowMs()))
--- a/src/main/java/io/quartzgw/fleet/FleetManager.java
+++ b/src/main/java/io/quartzgw/fleet/FleetManager.java
@@ -43,14 +43,14 @@
      */
     public record Policy(double reservedCpus, long reservationMs, long cancelMs, long listLagMs) {
         /** A machine is not silent if its last heartbeat is within this fraction of its reservation time. */
-        private static final double RECENT_RESERVATION_FRACTION = 0.25;
+        private static final double RECENT_HEARTBEAT_RESERVATIONS = 0.25;
 
         /**
          * Whether a machine is not silent. Its heartbeats also outrank the cloud's list, which may be outdated: the
          * machine may have come back.
          */
         boolean hasRecentHeartbeat(Machine machine, long now) {
-            return machine.liveness().heartbeatWithin((long) (RECENT_RESERVATION_FRACTION * reservationMs), now);
+            return machine.liveness().heartbeatWithin((long) (RECENT_HEARTBEAT_RESERVATIONS * reservationMs), now);
         }
     }
 
@@ -92,7 +92,7 @@
     private void remove(Machine machine) {
         cluster.remove(machine);
         records.drop(machine);
-        inventory.forget(machine);
+        inventory.stopTracking(machine);
         listener.removed(machine);
     }
 
@@ -135,7 +135,7 @@
         if (allocationsKnown) {
             scaleInPolicy.drainUnneeded(rentedCpus);
             if (booting.isEmpty() && requested.isEmpty()) {
-                scaleInPolicy.drainUnderused();
+                scaleInPolicy.drainUnderutilized();
             }
         }
         return scaleInRequests.deleteDrained() || more;
@@ -144,14 +144,14 @@
     private boolean scaleOut(
             List<UnplacedTasks> unplaced, List<Machine> booting, List<MachineOffer> requested, double rentedCpus) {
         Map<MachineOffer, Integer> wanted = planner.plan(
-                withoutReusableSlots(unplaced),
+                tasksNeedingMachines(unplaced),
                 booting,
                 requested,
                 scaleOutRequests::available,
                 reservedCpus - rentedCpus,
                 machinesPerZone());
         eventLoop.increment("fleet.plans", 1);
-        eventLoop.increment("fleet.looks", planner.takeMachinesExamined());
+        eventLoop.increment("fleet.looks", planner.getAndResetMachinesExamined());
         return scaleOutRequests.request(wanted);
     }
 
@@ -174,7 +174,7 @@
     // Where capacity is reserved for guaranteed quotas, all tasks get machines; elsewhere, tasks that can wait for a
     // slot
     // until their deadline do so.
-    private List<UnplacedTasks> withoutReusableSlots(List<UnplacedTasks> unplaced) {
+    private List<UnplacedTasks> tasksNeedingMachines(List<UnplacedTasks> unplaced) {
         if (reservedCpus > 0) {
             return unplaced;
         }
--- a/src/main/java/io/quartzgw/fleet/InventoryReconciler.java
+++ b/src/main/java/io/quartzgw/fleet/InventoryReconciler.java
@@ -20,10 +20,10 @@
 final class InventoryReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(InventoryReconciler.class);
     /** A machine list may be outdated by up to twice its lag; this is with a margin. */
-    private static final double OLDEST_LIST_LAGS = 2.2;
+    private static final double MAX_LIST_AGE_LAGS = 2.2;
 
-    private static final double LIST_EVERY_LAGS = 0.5;
-    private static final int MIN_LIST_MS = 2_000;
+    private static final double LIST_INTERVAL_LAGS = 0.5;
+    private static final int MIN_LIST_INTERVAL_MS = 2_000;
 
     private final EventLoop eventLoop;
     private final CloudClient cloud;
@@ -48,7 +48,7 @@
 
     /** Starts to read the list periodically. */
     void start() {
-        read();
+        readList();
     }
 
     /** Whether the list was read at least once. */
@@ -62,11 +62,11 @@
     }
 
     /** Forgets when a machine was listed. */
-    void forget(Machine machine) {
+    void stopTracking(Machine machine) {
         lastListedAt.remove(machine.id());
     }
 
-    private void read() {
+    private void readList() {
         if (!term.isCurrent()) {
             return;
         }
@@ -80,7 +80,8 @@
         }
         cloudResponds = list.isPresent();
         list.ifPresent(machines -> reconcileAll(machines, requestedAt));
-        eventLoop.after(Math.max(MIN_LIST_MS, (long) (LIST_EVERY_LAGS * policy.listLagMs())), this::read);
+        eventLoop.after(
+                Math.max(MIN_LIST_INTERVAL_MS, (long) (LIST_INTERVAL_LAGS * policy.listLagMs())), this::readList);
     }
 
     private void reconcileAll(List<CloudClient.ListedMachine> machines, long requestedAt) {
@@ -129,7 +130,7 @@
     private void removeAbsent(List<CloudClient.ListedMachine> machines, long requestedAt) {
         Set<String> present = new HashSet<>();
         machines.forEach(machine -> present.add(machine.id()));
-        long maxListAgeMs = (long) (OLDEST_LIST_LAGS * policy.listLagMs());
+        long maxListAgeMs = (long) (MAX_LIST_AGE_LAGS * policy.listLagMs());
         for (Machine machine : List.copyOf(cluster.machines())) {
             // For a machine of a former leader, the rental time is that of its record.
             long lastKnownAt = Math.max(machine.rentedAt(), lastListedAt.getOrDefault(machine.id(), Long.MIN_VALUE));
--- a/src/main/java/io/quartzgw/fleet/MachineRecords.java
+++ b/src/main/java/io/quartzgw/fleet/MachineRecords.java
@@ -42,18 +42,18 @@
     private final LeaderTerm term;
     private final ClusterState cluster;
     private final long maxClockSkewMs;
-    private final Consumer<Machine> used;
+    private final Consumer<Machine> onMarked;
     private final PackedRecords descriptions;
     private final PackedRecords marks;
     private final Set<Machine> pendingMarks = new LinkedHashSet<>();
     private final CoalescedTask flushLater;
-    private boolean dirty;
-    private boolean writing;
+    private boolean writeNeeded;
+    private boolean writeInFlight;
     private long nextBackgroundWriteAt;
 
     /**
      * @param maxClockSkewMs the maximum difference between the wall clocks of two controllers
-     * @param used is notified when a machine's mark is written
+     * @param onMarked is notified when a machine's mark is written
      */
     public MachineRecords(
             EventLoop eventLoop,
@@ -67,13 +67,13 @@
         this.term = term;
         this.cluster = cluster;
         this.maxClockSkewMs = maxClockSkewMs;
-        this.used = used;
-        this.descriptions = new PackedRecords(store, PREFIX, this::fencedTransaction);
-        this.marks = new PackedRecords(store, MARK_PREFIX, this::fencedTransaction);
+        this.onMarked = used;
+        this.descriptions = new PackedRecords(store, PREFIX, this::guardedTransaction);
+        this.marks = new PackedRecords(store, MARK_PREFIX, this::guardedTransaction);
         this.flushLater = new CoalescedTask(eventLoop, this::flush);
     }
 
-    private Transaction fencedTransaction() {
+    private Transaction guardedTransaction() {
         return new Transaction().require(Leadership.TERM_KEY, term.termRevision());
     }
 
@@ -115,7 +115,7 @@
         long rentedAtMs = eventLoop.wallClockMs() - (eventLoop.nowMs() - machine.rentedAt());
         // Rounded up, so that the recorded age is never above the actual one.
         descriptions.put(machine.id(), MachineRecordCodec.encodeDescription(machine, rentedAtMs / 1000 + 1), 0);
-        dirty = true;
+        writeNeeded = true;
     }
 
     /** Marks a machine as used; the first start on it waits until the mark is written. */
@@ -126,7 +126,7 @@
                 describe(machine);
             }
             marks.put(machine.id(), MachineRecordCodec.encodeMark(machine.address()), 0);
-            dirty = true;
+            writeNeeded = true;
         }
     }
 
@@ -136,21 +136,21 @@
         descriptions.removeLazily(machine.id());
         if (marks.contains(machine.id())) {
             marks.remove(machine.id());
-            dirty = true;
+            writeNeeded = true;
         }
     }
 
     /** Writes what is due, one write at a time: changes made meanwhile are written together by the next one. */
     public void flush() {
-        if (writing || !dirty || !term.isConfirmed()) {
+        if (writeInFlight || !writeNeeded || !term.isConfirmed()) {
             return;
         }
         if (pendingMarks.isEmpty() && eventLoop.nowMs() < nextBackgroundWriteAt) {
             flushLater.schedule(nextBackgroundWriteAt - eventLoop.nowMs());
             return;
         }
-        writing = true;
-        dirty = false;
+        writeInFlight = true;
+        writeNeeded = false;
         List<Machine> marked = List.copyOf(pendingMarks);
         int pages = descriptions.dirtyPageCount() + marks.dirtyPageCount();
         nextBackgroundWriteAt = eventLoop.nowMs() + store.pauseMsAfter(pages, BACKGROUND_FRACTION);
@@ -168,17 +168,17 @@
     private void onWritten(List<Machine> marked, boolean success) {
         if (!success) {
             eventLoop.after(RETRY_MS, () -> {
-                dirty = true;
-                writing = false;
+                writeNeeded = true;
+                writeInFlight = false;
             });
             return;
         }
-        writing = false;
+        writeInFlight = false;
         for (Machine machine : marked) {
             if (pendingMarks.remove(machine)) {
                 machine.markHasRunTasks();
                 if (cluster.contains(machine)) {
-                    used.accept(machine);
+                    onMarked.accept(machine);
                 }
             }
         }
--- a/src/main/java/io/quartzgw/fleet/ReusableSlots.java
+++ b/src/main/java/io/quartzgw/fleet/ReusableSlots.java
@@ -18,7 +18,7 @@
 
     private final long now;
     /** When the slot of each running batch task is free, by machine. */
-    private final Map<Machine, List<Long>> slots = new LinkedHashMap<>();
+    private final Map<Machine, List<Long>> slotFreeTimes = new LinkedHashMap<>();
 
     ReusableSlots(Iterable<Machine> machines, long now) {
         this.now = now;
@@ -31,7 +31,7 @@
                     free.add(now + (long) Math.max(0, remainingMs));
                 }
             }
-            slots.put(machine, free);
+            slotFreeTimes.put(machine, free);
         }
     }
 
@@ -42,7 +42,7 @@
         }
         long runtimeMs = (long) (job.spec().estimateS() * 1000 * ESTIMATE_MARGIN);
         int taken = 0;
-        for (Map.Entry<Machine, List<Long>> entry : slots.entrySet()) {
+        for (Map.Entry<Machine, List<Long>> entry : slotFreeTimes.entrySet()) {
             Machine machine = entry.getKey();
             if (!job.spec().allows(machine.type().name(), machine.zone(), machine.spot())
                     || !job.zoneAllowed(machine.zone())) {
--- a/src/main/java/io/quartzgw/fleet/ScaleInPolicy.java
+++ b/src/main/java/io/quartzgw/fleet/ScaleInPolicy.java
@@ -20,13 +20,13 @@
     /** Boot times vary; a machine that takes longer than this many usual boot times is given up. */
     private static final double MAX_BOOT_TIMES = 3;
     /** The minimum rental time that the cloud charges: no machine is deleted before. */
-    private static final int MIN_CHARGED_MS = 60_000;
+    private static final int MIN_RENTAL_MS = 60_000;
     /** How long before the end of the minimum rental time a machine may be drained. */
     private static final int DRAIN_AHEAD_MS = 2_000;
     /** A machine stays for a pause between two jobs, no longer: jobs with a deadline can wait for a boot. */
     private static final double IDLE_BOOT_TIMES = 0.2;
     /** A machine is lost after this many reservation times of silence. */
-    private static final double LOST_RESERVATIONS = 1.5;
+    private static final double LOST_MACHINE_RESERVATIONS = 1.5;
 
     private final EventLoop eventLoop;
     private final ClusterState cluster;
@@ -50,10 +50,10 @@
     void drainUnneeded(double rentedCpus) {
         double spareCpus = rentedCpus - policy.reservedCpus();
         Resources idle = idleCapacity();
-        Resources neededLater = demandOfSilentMachines();
+        Resources neededLater = demandOfUnresponsiveMachines();
         for (Machine machine : cluster.machines()) {
             double cpus = machine.type().size().cpus();
-            if (neverBooted(machine) || isLost(machine)) {
+            if (failedToBoot(machine) || isLost(machine)) {
                 drain(machine, machine.liveness().verified() ? "lost" : "never_booted");
             } else if (isIdle(machine)
                     && cpus <= spareCpus
@@ -90,7 +90,7 @@
     // Guards against scale-in shortly before capacity is needed: tasks that may run on a silent machine are not
     // pending,
     // but when its reservation expires they all are, and then the cloud may have no machine left to rent.
-    private Resources demandOfSilentMachines() {
+    private Resources demandOfUnresponsiveMachines() {
         Resources demand = Resources.NONE;
         for (Job job : cluster.jobsWithUnaccountedTasks()) {
             demand = demand.plus(job.spec().demand().times(job.unaccounted().cardinality()));
@@ -109,7 +109,7 @@
     }
 
     /** Drains an underutilized machine, one at a time. */
-    void drainUnderused() {
+    void drainUnderutilized() {
         boolean draining = cluster.machines().stream()
                 .anyMatch(machine -> machine.status() == Machine.Status.DRAINING && !machine.empty());
         if (policy.reservedCpus() > 0 || draining) {
@@ -121,7 +121,7 @@
     }
 
     private boolean minimumRentalElapsed(Machine machine) {
-        return eventLoop.nowMs() - machine.rentedAt() > MIN_CHARGED_MS - DRAIN_AHEAD_MS;
+        return eventLoop.nowMs() - machine.rentedAt() > MIN_RENTAL_MS - DRAIN_AHEAD_MS;
     }
 
     private boolean isIdle(Machine machine) {
@@ -134,7 +134,7 @@
                 && eventLoop.nowMs() - electedAt > idleMs;
     }
 
-    private boolean neverBooted(Machine machine) {
+    private boolean failedToBoot(Machine machine) {
         return machine.status() == Machine.Status.BOOTING
                 && (!machine.hasRunTasks() || machine.reservationExpired())
                 && eventLoop.nowMs() - Math.max(machine.rentedAt(), electedAt)
@@ -148,7 +148,7 @@
             return false;
         }
         AgentLiveness liveness = machine.liveness();
-        long maxSilenceMs = (long) (LOST_RESERVATIONS * policy.reservationMs());
+        long maxSilenceMs = (long) (LOST_MACHINE_RESERVATIONS * policy.reservationMs());
         boolean silentTooLong = machine.reservationExpired()
                 && eventLoop.nowMs() - Math.max(liveness.lastResponseAt(), electedAt) > maxSilenceMs;
         boolean unreachableTooLong =
--- a/src/main/java/io/quartzgw/fleet/ScaleInRequests.java
+++ b/src/main/java/io/quartzgw/fleet/ScaleInRequests.java
@@ -20,16 +20,16 @@
     private final CloudClient cloud;
     private final LeaderTerm term;
     private final ClusterState cluster;
-    private final Consumer<Machine> removed;
+    private final Consumer<Machine> onRemoved;
     private final Set<String> deleting = new HashSet<>();
 
-    /** @param removed is notified when a machine certainly no longer exists */
+    /** @param onRemoved is notified when a machine certainly no longer exists */
     ScaleInRequests(FleetContext context, Consumer<Machine> removed) {
         this.eventLoop = context.eventLoop();
         this.cloud = context.cloud();
         this.term = context.term();
         this.cluster = context.cluster();
-        this.removed = removed;
+        this.onRemoved = removed;
     }
 
     /** Deletes the machines that are fenced and may be deleted now, as far as the cloud's request limit allows. */
@@ -51,7 +51,7 @@
     private void delete(Predicate<Machine> due) {
         List<String> ids = new ArrayList<>();
         for (Machine machine : cluster.machines()) {
-            if (due.test(machine) && ids.size() < CloudClient.MAX_DELETE && deleting.add(machine.id())) {
+            if (due.test(machine) && ids.size() < CloudClient.MAX_MACHINES_PER_DELETION && deleting.add(machine.id())) {
                 ids.add(machine.id());
             }
         }
@@ -77,6 +77,6 @@
             eventLoop.after(RETRY_MS, cluster::markChanged);
             return;
         }
-        ids.stream().map(cluster::findMachine).flatMap(Optional::stream).forEach(removed);
+        ids.stream().map(cluster::findMachine).flatMap(Optional::stream).forEach(onRemoved);
     }
 }
--- a/src/main/java/io/quartzgw/fleet/ScaleOutPlanner.java
+++ b/src/main/java/io/quartzgw/fleet/ScaleOutPlanner.java
@@ -63,7 +63,7 @@
         Map<MachineOffer, Integer> wanted = new LinkedHashMap<>();
         double missingCpus = reserveCpus;
         for (UnplacedTasks tasks : unplaced) {
-            missingCpus -= pack(tasks, bins, wanted, available);
+            missingCpus -= assignToBins(tasks, bins, wanted, available);
         }
         while (missingCpus > 0) {
             MachineOffer cheapest = cheapestPerCpu(available);
@@ -77,7 +77,7 @@
     }
 
     /** Returns the CPUs of the machines that were planned for the tasks. */
-    private double pack(
+    private double assignToBins(
             UnplacedTasks tasks, List<Bin> bins, Map<MachineOffer, Integer> wanted, Predicate<MachineOffer> available) {
         Job job = tasks.job();
         double addedCpus = 0;
@@ -92,7 +92,7 @@
             }
             Bin bin = next < bins.size() ? bins.get(next) : null;
             if (bin == null) {
-                MachineOffer offer = cheapest(job, left, perZone, available);
+                MachineOffer offer = cheapestPerTask(job, left, perZone, available);
                 if (offer == null) {
                     return addedCpus;
                 }
@@ -116,7 +116,7 @@
     }
 
     /** How many bins were examined since the last call. */
-    long takeMachinesExamined() {
+    long getAndResetMachinesExamined() {
         long taken = machinesExamined;
         machinesExamined = 0;
         return taken;
@@ -135,7 +135,8 @@
     }
 
     /** The offer with the lowest price per task, of equal ones that in the zone with fewest machines; null if none. */
-    private MachineOffer cheapest(Job job, int count, Map<String, Integer> perZone, Predicate<MachineOffer> available) {
+    private MachineOffer cheapestPerTask(
+            Job job, int count, Map<String, Integer> perZone, Predicate<MachineOffer> available) {
         MachineOffer best = null;
         double bestPrice = Double.MAX_VALUE;
         int bestZoneMachines = 0;
@@ -161,14 +162,14 @@
         MachineOffer best = null;
         for (MachineOffer offer : offers()) {
             // Reserved capacity has to serve any job, so it is not rented on spot.
-            if (!offer.spot() && available.test(offer) && (best == null || perCpu(offer) < perCpu(best))) {
+            if (!offer.spot() && available.test(offer) && (best == null || pricePerCpu(offer) < pricePerCpu(best))) {
                 best = offer;
             }
         }
         return best;
     }
 
-    private static double perCpu(MachineOffer offer) {
+    private static double pricePerCpu(MachineOffer offer) {
         return offer.type().price(offer.spot()) / offer.type().size().cpus();
     }
 
--- a/src/main/java/io/quartzgw/fleet/ScaleOutRequests.java
+++ b/src/main/java/io/quartzgw/fleet/ScaleOutRequests.java
@@ -23,7 +23,7 @@
     private final LeaderTerm term;
     private final ClusterState cluster;
     private final MachineRecords records;
-    private final Map<MachineOffer, Long> refusedUntil = new HashMap<>();
+    private final Map<MachineOffer, Long> unavailableUntil = new HashMap<>();
     private final Map<String, PendingRental> pending = new LinkedHashMap<>();
     private long lastRequestNumber;
 
@@ -40,7 +40,7 @@
 
     /** Whether the offer may be requested; after a refusal it is not for a while. */
     boolean available(MachineOffer offer) {
-        return refusedUntil.getOrDefault(offer, Long.MIN_VALUE) <= eventLoop.nowMs();
+        return unavailableUntil.getOrDefault(offer, Long.MIN_VALUE) <= eventLoop.nowMs();
     }
 
     /** The machines of all requests without a definite result yet, one entry for each machine. */
@@ -73,7 +73,7 @@
     private void rent(MachineOffer offer, int count) {
         // Term and counter: a request name is never used again, not even by another leader.
         String name = "r-" + term.number() + "-" + ++lastRequestNumber;
-        PendingRental rental = new PendingRental(name, offer, Math.min(count, CloudClient.MAX_RENTAL));
+        PendingRental rental = new PendingRental(name, offer, Math.min(count, CloudClient.MAX_MACHINES_PER_RENTAL));
         pending.put(rental.request(), rental);
         LOG.atInfo()
                 .addKeyValue("request", rental.request())
@@ -102,7 +102,7 @@
         List<String> ids = result instanceof CloudClient.RentalResult.Machines machines ? machines.ids() : List.of();
         ids.forEach(id -> addMachine(id, rental.offer()));
         if (ids.size() < rental.count()) {
-            refusedUntil.put(rental.offer(), eventLoop.nowMs() + NO_CAPACITY_BACKOFF_MS);
+            unavailableUntil.put(rental.offer(), eventLoop.nowMs() + NO_CAPACITY_BACKOFF_MS);
         }
         cluster.markChanged();
     }
--- a/src/main/java/io/quartzgw/progress/ProgressBitmaps.java
+++ b/src/main/java/io/quartzgw/progress/ProgressBitmaps.java
@@ -16,7 +16,7 @@
     private static final int MIN_TASKS_PER_CHUNK = 64;
     private static final int BITS_PER_CHARACTER = 6;
     /** Quotes, and padding to whole bytes and groups of four characters. */
-    private static final int ENCODING_MARGIN = 12;
+    private static final int MAX_ENCODING_OVERHEAD = 12;
 
     private final int tasksPerChunk;
 
@@ -42,24 +42,24 @@
     }
 
     /** Returns the chunk that the key of a record names. */
-    static int chunkIn(String key) {
+    static int chunkOfKey(String key) {
         return Integer.parseInt(key.substring(key.lastIndexOf('/') + 1));
     }
 
     /** Returns the maximum length of an encoded record of a job with so many tasks. */
     public int maxRecordLength(int tasks) {
-        return Math.min(tasks, tasksPerChunk) / BITS_PER_CHARACTER + ENCODING_MARGIN;
+        return Math.min(tasks, tasksPerChunk) / BITS_PER_CHARACTER + MAX_ENCODING_OVERHEAD;
     }
 
     /** Encodes the finished tasks of a chunk. */
-    public JsonNode pack(BitSet done, int chunk) {
+    public JsonNode encode(BitSet done, int chunk) {
         int from = chunk * tasksPerChunk;
         return BinaryNode.valueOf(done.get(from, from + tasksPerChunk).toByteArray());
     }
 
     /** Decodes a chunk's record and adds its tasks to a set. */
-    public void unpack(String key, JsonNode record, BitSet target) {
-        int from = chunkIn(key) * tasksPerChunk;
+    public void decode(String key, JsonNode record, BitSet target) {
+        int from = chunkOfKey(key) * tasksPerChunk;
         try {
             byte[] bits = record.binaryValue();
             if (bits != null) {
--- a/src/main/java/io/quartzgw/progress/ProgressRecorder.java
+++ b/src/main/java/io/quartzgw/progress/ProgressRecorder.java
@@ -36,9 +36,9 @@
      * The fraction of this controller's write budget that finished tasks may take. They can wait, since agents report
      * them until they are recorded; the more tasks wait, the more are written at once.
      */
-    private static final double FINISHES_WRITE_FRACTION = 0.25;
+    private static final double COMPLETED_TASKS_WRITE_FRACTION = 0.25;
     /** The fraction of a job by which its start limit is raised ahead, so that a job takes few writes. */
-    private static final double STARTS_AHEAD_FRACTION = 0.5;
+    private static final double START_LIMIT_AHEAD_FRACTION = 0.5;
 
     private static final int START_LIMIT_RECORD_BYTES = 6;
     private static final String START_LIMIT_KEY = "started";
@@ -59,9 +59,9 @@
     private final Map<String, Set<Integer>> chunksByJob = new HashMap<>();
 
     private boolean writeInFlight;
-    private boolean pausedAfterFailure;
+    private boolean retryDelayed;
     /** When finished tasks may be written again, unless a start limit is written before. */
-    private long finishesWritableAtMs;
+    private long nextCompletedTasksWriteAtMs;
 
     /** Takes the events that other parts of the leader have to act on. */
     public interface Listener {
@@ -82,9 +82,9 @@
     }
 
     /** The records of one write. */
-    private record Batch(Map<Job, BitSet> finished, Map<Job, Integer> startLimits) {
+    private record Batch(Map<Job, BitSet> completedTasks, Map<Job, Integer> startLimits) {
         boolean isEmpty() {
-            return finished.isEmpty() && startLimits.isEmpty();
+            return completedTasks.isEmpty() && startLimits.isEmpty();
         }
     }
 
@@ -129,9 +129,9 @@
         if (key.endsWith(START_LIMIT_KEY)) {
             job.recordedStartLimit(record.asInt());
         } else {
-            bitmaps.unpack(key, record, job.recordedDone());
+            bitmaps.decode(key, record, job.recordedDone());
             job.recordedDone().stream().forEach(index -> cluster.markDone(job, index));
-            chunksWithRecord(job.id()).add(ProgressBitmaps.chunkIn(key));
+            chunksWithRecord(job.id()).add(ProgressBitmaps.chunkOfKey(key));
         }
     }
 
@@ -157,13 +157,13 @@
     /** Requests that a job's start limit is raised above a task's index. */
     public void recordStart(Job job, int index) {
         int tasks = job.spec().tasks();
-        int limit = index + 1 + (int) Math.ceil(STARTS_AHEAD_FRACTION * tasks);
+        int limit = index + 1 + (int) Math.ceil(START_LIMIT_AHEAD_FRACTION * tasks);
         unwrittenStartLimits.merge(job, Math.min(tasks, limit), Math::max);
     }
 
     /** Writes the requested start limits, and the finished tasks with them; called at the end of every batch. */
     public void flush() {
-        if (!unwrittenStartLimits.isEmpty() && !pausedAfterFailure) {
+        if (!unwrittenStartLimits.isEmpty() && !retryDelayed) {
             write();
         }
     }
@@ -190,7 +190,7 @@
     }
 
     private void scheduleWrite() {
-        writeTask.schedule(Math.max(batchMs, finishesWritableAtMs - eventLoop.nowMs()));
+        writeTask.schedule(Math.max(batchMs, nextCompletedTasksWriteAtMs - eventLoop.nowMs()));
     }
 
     // ---- writes
@@ -203,33 +203,33 @@
             writeTask.schedule(retryMs);
             return;
         }
-        Batch batch = new Batch(takeFinished(), takeStartLimits());
+        Batch batch = new Batch(takeCompletedTasks(), takeStartLimits());
         if (batch.isEmpty()) {
             return;
         }
         writeInFlight = true;
-        finishesWritableAtMs =
-                eventLoop.nowMs() + store.pauseMsAfter(records.dirtyPageCount(), FINISHES_WRITE_FRACTION);
+        nextCompletedTasksWriteAtMs =
+                eventLoop.nowMs() + store.pauseMsAfter(records.dirtyPageCount(), COMPLETED_TASKS_WRITE_FRACTION);
         RequestUrgency urgency = batch.startLimits().isEmpty() ? RequestUrgency.BACKGROUND : RequestUrgency.HIGH;
         records.write(urgency, written -> onWritten(batch, written));
     }
 
-    private Map<Job, BitSet> takeFinished() {
+    private Map<Job, BitSet> takeCompletedTasks() {
         Map<Job, BitSet> finished = new LinkedHashMap<>();
         unwrittenChunks.forEach((job, chunks) -> {
             if (!job.isTerminal()) {
-                finished.put(job, putFinished(job, chunks));
+                finished.put(job, putCompletedTasks(job, chunks));
             }
         });
         unwrittenChunks.clear();
         return finished;
     }
 
-    private BitSet putFinished(Job job, Set<Integer> chunks) {
+    private BitSet putCompletedTasks(Job job, Set<Integer> chunks) {
         BitSet snapshot = (BitSet) job.done().clone();
         int maxLength = bitmaps.maxRecordLength(job.spec().tasks());
         for (int chunk : chunks) {
-            records.put(ProgressBitmaps.key(job.id(), chunk), bitmaps.pack(snapshot, chunk), maxLength);
+            records.put(ProgressBitmaps.key(job.id(), chunk), bitmaps.encode(snapshot, chunk), maxLength);
         }
         chunksWithRecord(job.id()).addAll(chunks);
         return snapshot;
@@ -266,7 +266,7 @@
             job.recordedStartLimit(limit);
             listener.startsRecorded(job);
         });
-        batch.finished().forEach((job, snapshot) -> {
+        batch.completedTasks().forEach((job, snapshot) -> {
             job.recordedDone().or(snapshot);
             listener.finishesRecorded(job);
         });
@@ -277,9 +277,9 @@
 
     private void onWriteFailed(Batch batch) {
         batch.startLimits().forEach((job, limit) -> unwrittenStartLimits.merge(job, limit, Math::max));
-        pausedAfterFailure = true;
-        eventLoop.after(retryMs, () -> pausedAfterFailure = false);
-        batch.finished().forEach((job, snapshot) -> {
+        retryDelayed = true;
+        eventLoop.after(retryMs, () -> retryDelayed = false);
+        batch.completedTasks().forEach((job, snapshot) -> {
             if (!job.isTerminal() && !job.complete()) {
                 snapshot.andNot(job.recordedDone());
                 unwrittenChunks.computeIfAbsent(job, key -> new LinkedHashSet<>());
--- a/src/test/java/io/quartzgw/fleet/DeletionBudgetTest.java
+++ b/src/test/java/io/quartzgw/fleet/DeletionBudgetTest.java
@@ -41,10 +41,10 @@
     private static final Endpoint CLOUD = new Endpoint("10.2.0.2", 1);
     private static final long RESERVATION_MS = 17_000;
     private static final long CANCEL_MS = 36_000;
-    private static final long SCALE_EVERY_MS = 250;
-    private static final long RENTING_MS = 5_000;
-    private static final int CLOUD_RPS = 4;
-    private static final String FENCED = "i-0001";
+    private static final long SCALE_INTERVAL_MS = 250;
+    private static final long RENTAL_WARM_UP_MS = 5_000;
+    private static final int CLOUD_REQUESTS_PER_S = 4;
+    private static final String FENCED_ID = "i-0001";
     private static final int TASKS = 100_000;
     private static final MachineType TYPE =
             new MachineType("t", new Resources(16, 0, 64), 40, 1, 1, 0.3, 20, List.of("a"));
@@ -119,13 +119,13 @@
             deletionSent = true;
         } else if (path.equals("/rentals")) {
             var hosts = body.putArray("hosts");
-            for (int i = 0; i < CloudClient.MAX_RENTAL; i++) {
+            for (int i = 0; i < CloudClient.MAX_MACHINES_PER_RENTAL; i++) {
                 hosts.add("i-" + (1_000 + rented++));
             }
         } else {
             body.putArray("hosts")
                     .addObject()
-                    .put("id", FENCED)
+                    .put("id", FENCED_ID)
                     .put("address", "10.1.0.2:9000")
                     .put("host_type", "t")
                     .put("yard", "a")
@@ -139,11 +139,11 @@
 
     // Guards against ran_cancelled: while thousands of machines are rented, no request is left for the deletion.
     @Test
-    void fencedMachineIsDeletedWhileManyAreRented() {
+    void deletesFencedMachineWhileRentalsUseRequestLimit() {
         Elections.elect(leadership, this::advance);
         LeaderTerm term = new LeaderTerm(leadership);
         ClusterState cluster = new ClusterState(eventLoop, 1);
-        CloudClient cloud = new CloudClient(eventLoop, CLOUD, new CloudLimits(CLOUD_RPS, 5_000));
+        CloudClient cloud = new CloudClient(eventLoop, CLOUD, new CloudLimits(CLOUD_REQUESTS_PER_S, 5_000));
         FleetContext context = new FleetContext(
                 eventLoop, cloud, term, cluster, new FleetManager.Policy(0, RESERVATION_MS, CANCEL_MS, 5_000));
         FleetManager fleet = new FleetManager(
@@ -154,10 +154,10 @@
                 new IgnoringListener());
         fleet.start();
         advance(1_000);
-        Machine fenced = cluster.findMachine(FENCED).orElseThrow();
+        Machine fenced = cluster.findMachine(FENCED_ID).orElseThrow();
         Job job = cluster.add(new OpenJob(
                 JobSpecs.named("j-1").team("team").tasks(TASKS).demand(16, 0, 8).spec(), 1, 0));
-        rentFor(RENTING_MS, fleet, job);
+        rentFor(RENTAL_WARM_UP_MS, fleet, job);
         fenced.fencing().addCancelledStart(new Attempt("j-3", 0, 1), now);
         rentFor(CANCEL_MS, fleet, job);
         assertTrue(cluster.contains(fenced) || deletionSent);
@@ -168,7 +168,7 @@
         for (long end = now + durationMs; now < end && !deletionSent; ) {
             int unplaced = (int) Math.max(0, TASKS - rented);
             fleet.scale(List.of(new UnplacedTasks(job, unplaced)), true);
-            advance(SCALE_EVERY_MS);
+            advance(SCALE_INTERVAL_MS);
         }
     }
 }
--- a/src/test/java/io/quartzgw/fleet/FencingPolicyTest.java
+++ b/src/test/java/io/quartzgw/fleet/FencingPolicyTest.java
@@ -38,7 +38,7 @@
     private Job job;
 
     @BeforeEach
-    void addMachinesAndAJob() {
+    void addMachinesAndJob() {
         for (int i = 0; i < MACHINES; i++) {
             Machine machine = new Machine("i-" + i, TYPE, "a", false, 0, 0);
             machine.liveness().recordHeartbeat(new HeartbeatId(1, 1), 0);
@@ -59,21 +59,21 @@
         return cluster.findMachine("i-" + number).orElseThrow();
     }
 
-    private Allocation run(Machine on) {
+    private Allocation runTask(Machine on) {
         Allocation allocation = cluster.allocate(job, job.nextPending(), on, cluster.nextAttempt());
         allocation.recordPhase(Allocation.Phase.RUNNING, eventLoop.nowMs());
         return allocation;
     }
 
-    private void exitUnfenced(Machine on) {
-        cluster.retainUnfenced(run(on));
+    private void addUnfencedAttempt(Machine on) {
+        cluster.retainUnfenced(runTask(on));
     }
 
     private void advanceTo(long ms) {
         eventLoop.processBatch(List.of(), new ClockReading(ms, ms));
     }
 
-    private long fenced() {
+    private long fencedMachines() {
         return cluster.machines().stream()
                 .filter(machine -> machine.fencing().isBegun())
                 .count();
@@ -84,20 +84,20 @@
     }
 
     @Test
-    void machineOnWhichNothingElseRunsIsDeletedAtOnceButNotBeforeItsCallHasEnded() {
-        exitUnfenced(machine(0));
+    void fencesUnusedMachineOnceDirectCallHasEnded() {
+        addUnfencedAttempt(machine(0));
         fencingPolicy.fenceMachines(false);
-        assertEquals(0, fenced(), "the answer may still come");
+        assertEquals(0, fencedMachines(), "the answer may still come");
         advanceTo(RESERVATION_MS / 4);
         fencingPolicy.fenceMachines(false);
-        assertEquals(1, fenced());
+        assertEquals(1, fencedMachines());
         assertTrue(isDeletable(machine(0)));
     }
 
     @Test
-    void machineInUseIsDeletedOnceItsOtherTasksHaveEnded() {
-        exitUnfenced(machine(0));
-        Allocation other = run(machine(0));
+    void deletesUsedMachineOnceOtherTasksHaveEnded() {
+        addUnfencedAttempt(machine(0));
+        Allocation other = runTask(machine(0));
         advanceTo(RESERVATION_MS / 4);
         fencingPolicy.fenceMachines(false);
         assertEquals(Machine.Status.DRAINING, machine(0).status());
@@ -108,9 +108,9 @@
 
     // A replica runs for ever, and the task must not wait for it.
     @Test
-    void machineInUseIsDeletedAfterALimitedTime() {
-        exitUnfenced(machine(0));
-        run(machine(0));
+    void deletesUsedMachineWhenEvacuationTimesOut() {
+        addUnfencedAttempt(machine(0));
+        runTask(machine(0));
         advanceTo(RESERVATION_MS / 4);
         fencingPolicy.fenceMachines(false);
         advanceTo(2 * RESERVATION_MS);
@@ -119,7 +119,7 @@
 
     // A burst of lost calls must not drain the fleet.
     @Test
-    void fewMachinesInUseAreEvacuatedAtATimeAndThoseOfOpenJobsFirst() {
+    void limitsEvacuationsAndPrefersOpenJobs() {
         Job cancelled = cluster.add(new OpenJob(
                 JobSpecs.named("j-2")
                         .team("team")
@@ -129,41 +129,41 @@
                 1,
                 0));
         for (int i = 0; i < MACHINES; i++) {
-            run(machine(i));
+            runTask(machine(i));
             if (i < MACHINES - 1) {
                 cluster.retainUnfenced(
                         cluster.allocate(cancelled, cancelled.nextPending(), machine(i), cluster.nextAttempt()));
             }
         }
         cluster.terminate(cancelled);
-        exitUnfenced(machine(MACHINES - 1));
+        addUnfencedAttempt(machine(MACHINES - 1));
         advanceTo(RESERVATION_MS / 4);
         fencingPolicy.fenceMachines(false);
-        assertEquals(5, fenced(), "one in twenty");
+        assertEquals(5, fencedMachines(), "one in twenty");
         assertTrue(machine(MACHINES - 1).fencing().isBegun(), "a task of an open job waits for this one");
         fencingPolicy.fenceMachines(false);
-        assertEquals(5, fenced(), "the others wait");
+        assertEquals(5, fencedMachines(), "the others wait");
     }
 
     // A reachable agent is sent the start of the lost attempt again.
     @Test
-    void machineThatLostAnAttemptIsDeletedOnlyIfItIsUnreachable() {
-        run(machine(0)).markLost(0);
-        run(machine(1)).markLost(0);
+    void fencesMachineWithLostAttemptOnlyWhenUnreachable() {
+        runTask(machine(0)).markLost(0);
+        runTask(machine(1)).markLost(0);
         machine(1).liveness().markUnreachable(0);
         advanceTo(RESERVATION_MS / 4);
         fencingPolicy.fenceMachines(false);
-        assertEquals(0, fenced(), "it may be reached again soon");
+        assertEquals(0, fencedMachines(), "it may be reached again soon");
         advanceTo(RESERVATION_MS / 2);
         fencingPolicy.fenceMachines(false);
-        assertEquals(1, fenced());
+        assertEquals(1, fencedMachines());
         assertTrue(isDeletable(machine(1)), "nothing runs there");
     }
 
     @Test
-    void taskOfADeletedMachineIsPendingAgain() {
+    void returnsTaskToPendingWhenMachineIsRemoved() {
         int pending = job.pending().cardinality();
-        exitUnfenced(machine(0));
+        addUnfencedAttempt(machine(0));
         assertEquals(pending - 1, job.pending().cardinality());
         assertEquals(4, cluster.usageByTeam("team").cpus(), "it may run");
         cluster.remove(machine(0));
@@ -173,18 +173,18 @@
 
     // Guards against a late start of a cancelled task on a machine that waits for its turn to be evacuated.
     @Test
-    void machinesThatMayStartCancelledTasksAreDeletedWithinTheLimitHoweverManyThereAre() {
+    void ignoresEvacuationLimitForCancelledTasks() {
         for (int i = 0; i < MACHINES; i++) {
-            exitUnfenced(machine(i));
+            addUnfencedAttempt(machine(i));
         }
         Job other = addJob("j-2");
-        cluster.machines().forEach(machine -> runOf(other, machine));
+        cluster.machines().forEach(machine -> runTaskOf(other, machine));
         cluster.terminate(job);
         for (long ms = 0; ms < CANCEL_MS; ms += 500) {
             advanceTo(ms);
             fencingPolicy.fenceMachines(false);
             if (ms == CANCEL_MS / 4) {
-                assertEquals(5, fenced(), "at first in turn");
+                assertEquals(5, fencedMachines(), "at first in turn");
             }
         }
         assertTrue(cluster.machines().stream().allMatch(this::isDeletable));
@@ -201,15 +201,15 @@
                 0));
     }
 
-    private void runOf(Job of, Machine on) {
+    private void runTaskOf(Job of, Machine on) {
         cluster.allocate(of, of.nextPending(), on, cluster.nextAttempt())
                 .recordPhase(Allocation.Phase.RUNNING, eventLoop.nowMs());
     }
 
     @Test
-    void evacuationIsCutShortWhenTheLimitOfACancellationNears() {
-        exitUnfenced(machine(0));
-        runOf(addJob("j-2"), machine(0));
+    void shortensEvacuationBeforeCancellationDeadline() {
+        addUnfencedAttempt(machine(0));
+        runTaskOf(addJob("j-2"), machine(0));
         advanceTo(RESERVATION_MS / 2);
         fencingPolicy.fenceMachines(false);
         long deadline = machine(0).fencing().deadline();
@@ -221,30 +221,30 @@
 
     // Guards against ran_cancelled by a former leader's start.
     @Test
-    void machineThatAFormerLeadersCallMayStartACancelledTaskOnIsDeleted() {
+    void fencesMachineForInheritedCancelledStart() {
         machine(0).fencing().addCancelledStart(new Attempt("j-3", 0, 1), 0);
         fencingPolicy.fenceMachines(false);
         assertTrue(isDeletable(machine(0)), "nothing runs there");
-        assertEquals(1, fenced());
+        assertEquals(1, fencedMachines());
     }
 
     // Guards against a task that waits for ever for room on its machine, and against inherited starts that wait for
     // each
     // other, since they exceed the quota together.
     @Test
-    void machineIsDeletedIfItsReachableAgentDoesNotRunALostAttemptAgainForAReservation() {
-        run(machine(0)).markLost(0);
+    void fencesReachableMachineWhenLostAttemptIsNotRestarted() {
+        runTask(machine(0)).markLost(0);
         advanceTo(RESERVATION_MS - 1);
         fencingPolicy.fenceMachines(false);
-        assertEquals(0, fenced());
+        assertEquals(0, fencedMachines());
         advanceTo(RESERVATION_MS);
         fencingPolicy.fenceMachines(false);
-        assertEquals(1, fenced());
+        assertEquals(1, fencedMachines());
     }
 
     // Guards against tasks that are killed since a new leader has not heard of them yet.
     @Test
-    void machineThatMayRunTasksOfAFormerLeaderCountsAsInUse() {
+    void evacuatesUnverifiedMachineBeforeDeletion() {
         Machine silent = new Machine("i-silent", TYPE, "a", false, 0, 0);
         silent.markHasRunTasks();
         cluster.add(silent);
@@ -258,18 +258,18 @@
 
     // Guards against a log that can't be read and is taken for empty.
     @Test
-    void machinesThatUnknownStartsMayReachAreDeletedFewAtATime() {
+    void limitsEvacuationsForUnknownStarts() {
         cluster.machines().forEach(machine -> {
-            run(machine);
+            runTask(machine);
             machine.fencing().expectUnknownStarts();
         });
         fencingPolicy.fenceMachines(false);
-        assertEquals(5, fenced());
+        assertEquals(5, fencedMachines());
     }
 
     // Guards against the loss of the fleet: a new leader has heard of no machine yet, and what runs there is not known.
     @Test
-    void machinesThatWereNotHeardYetAreNotTakenForUnused() {
+    void treatsUnverifiedMachinesAsInUse() {
         for (int i = 0; i < MACHINES; i++) {
             Machine unheard = new Machine("u-" + i, TYPE, "a", false, 0, 0);
             unheard.liveness().boundPreviousLeader(RESERVATION_MS);
@@ -278,26 +278,28 @@
             cluster.add(unheard);
         }
         fencingPolicy.fenceMachines(false);
-        assertTrue(fenced() <= MACHINES / 10, "of " + 2 * MACHINES + " machines, fenced at once: " + fenced());
+        assertTrue(
+                fencedMachines() <= MACHINES / 10,
+                "of " + 2 * MACHINES + " machines, fenced at once: " + fencedMachines());
     }
 
     // Guards against a late start of a cancelled task while the leader can't delete machines: it is not confirmed.
     @Test
-    void machineThatMayStartACancelledTaskIsDeletedAtOnceWhenTheConfirmationEnds() {
-        run(machine(0));
+    void deletesMachineForCancelledTaskWhenConfirmationEnds() {
+        runTask(machine(0));
         Allocation unanswered = cluster.allocate(job, job.nextPending(), machine(0), cluster.nextAttempt());
         unanswered.markStartSent();
-        run(machine(1));
+        runTask(machine(1));
         fencingPolicy.fenceMachines(true);
-        assertEquals(0, fenced(), "its job is open");
+        assertEquals(0, fencedMachines(), "its job is open");
         cluster.terminate(job);
         fencingPolicy.fenceMachines(false);
-        assertEquals(0, fenced(), "the confirmation does not end");
+        assertEquals(0, fencedMachines(), "the confirmation does not end");
         fencingPolicy.fenceMachines(true);
-        assertEquals(0, fenced(), "no call was lost");
+        assertEquals(0, fencedMachines(), "no call was lost");
         machine(0).liveness().markUnreachable(0);
         fencingPolicy.fenceMachines(true);
-        assertEquals(1, fenced());
+        assertEquals(1, fencedMachines());
         assertTrue(isDeletable(machine(0)));
     }
 }
--- a/src/test/java/io/quartzgw/fleet/ScaleInPolicyTest.java
+++ b/src/test/java/io/quartzgw/fleet/ScaleInPolicyTest.java
@@ -22,7 +22,7 @@
 
 /** Which machines are drained for scale-in: idle ones, unless silent machines may need them, and unbooted ones. */
 class ScaleInPolicyTest {
-    private static final long SILENT_MS = 17_000;
+    private static final long RESERVATION_MS = 17_000;
     private static final long CANCEL_MS = 36_000;
     private static final MachineType TYPE =
             new MachineType("t", new Resources(16, 2, 64), 40, 1, 1, 0.3, 20, List.of("a"));
@@ -33,7 +33,7 @@
             eventLoop,
             cluster,
             new Consolidation(cluster, machine -> true, new IgnoringLauncher(), 16_000),
-            new FleetManager.Policy(0, SILENT_MS, CANCEL_MS, 5_000));
+            new FleetManager.Policy(0, RESERVATION_MS, CANCEL_MS, 5_000));
 
     private static final class IgnoringLauncher implements TaskLauncher {
         @Override
@@ -43,7 +43,7 @@
         public void stop(Allocation allocation, double graceS, StopReason reason) {}
     }
 
-    private Machine idleMachine(int number) {
+    private Machine addIdleMachine(int number) {
         Machine machine = new Machine("i-" + number, TYPE, "a", false, 0, 0);
         cluster.add(machine);
         heartbeat(machine);
@@ -55,7 +55,7 @@
         machine.markUp();
     }
 
-    private Job jobOfOneGpuTasks(int tasks) {
+    private Job addSingleGpuTasksJob(int tasks) {
         JobSpec spec = JobSpecs.named("j-1")
                 .team("team")
                 .tasks(tasks)
@@ -76,9 +76,9 @@
     }
 
     @Test
-    void idleMachinesAreDrainedWhenNoTaskIsUnaccounted() {
+    void drainsIdleMachinesWithoutUnaccountedTasks() {
         for (int i = 0; i < 5; i++) {
-            idleMachine(i);
+            addIdleMachine(i);
         }
         advanceTo(90_000);
         scaleInPolicy.drainUnneeded(5 * 16);
@@ -87,11 +87,11 @@
 
     // Guards a takeover beside silent machines: unaccounted tasks need capacity when the reservations expire.
     @Test
-    void idleMachinesStayForUnaccountedTasksInEveryResourceDimension() {
+    void keepsIdleCapacityForUnaccountedTasks() {
         for (int i = 0; i < 5; i++) {
-            idleMachine(i);
+            addIdleMachine(i);
         }
-        Job job = jobOfOneGpuTasks(6);
+        Job job = addSingleGpuTasksJob(6);
         job.recordedStartLimit(6);
         cluster.markUnaccounted(job);
         advanceTo(90_000);
@@ -103,13 +103,13 @@
     }
 
     @Test
-    void idleMachinesStayForTasksOnASilentMachine() {
-        Machine silent = idleMachine(0);
-        Job job = jobOfOneGpuTasks(2);
+    void keepsIdleCapacityForTasksOnUnresponsiveMachine() {
+        Machine silent = addIdleMachine(0);
+        Job job = addSingleGpuTasksJob(2);
         cluster.allocate(job, 0, silent, 1);
         cluster.allocate(job, 1, silent, 2);
-        idleMachine(1);
-        idleMachine(2);
+        addIdleMachine(1);
+        addIdleMachine(2);
         advanceTo(90_000);
         scaleInPolicy.drainUnneeded(3 * 16);
         assertEquals(1, drainingMachines());
@@ -120,7 +120,7 @@
 
     // Guards against paying forever for a machine that does not boot.
     @Test
-    void machineThatNeverBootsIsDrainedAfterThreeBootTimes() {
+    void drainsUnbootedMachineAfterThreeBootTimes() {
         cluster.add(new Machine("i-9", TYPE, "a", false, 0, 0));
         advanceTo(59_000);
         scaleInPolicy.drainUnneeded(16);
--- a/src/test/java/io/quartzgw/progress/ProgressBitmapsTest.java
+++ b/src/test/java/io/quartzgw/progress/ProgressBitmapsTest.java
@@ -14,16 +14,16 @@
     private static final int TASKS = 100_000;
 
     @Test
-    void decodedBitmapsEqualTheEncodedOnesAndFitIntoValues() {
+    void decodesEncodedBitmapsThatFitIntoValues() {
         ProgressBitmaps bitmaps = new ProgressBitmaps(VALUE_BYTES);
         BitSet done = new BitSet();
         new SplittableRandom(3).ints(60_000, 0, TASKS).forEach(done::set);
         done.set(TASKS - 1);
         BitSet decoded = new BitSet();
         for (int chunk = 0; chunk <= bitmaps.chunkOf(TASKS - 1); chunk++) {
-            byte[] value = Json.write(bitmaps.pack(done, chunk));
+            byte[] value = Json.write(bitmaps.encode(done, chunk));
             assertTrue(value.length <= bitmaps.maxRecordLength(TASKS) && value.length <= VALUE_BYTES, "fits a value");
-            bitmaps.unpack(ProgressBitmaps.key("j-000001", chunk), Json.readOrNull(value), decoded);
+            bitmaps.decode(ProgressBitmaps.key("j-000001", chunk), Json.readOrNull(value), decoded);
         }
         assertEquals(done, decoded);
         assertEquals("j-000001", ProgressBitmaps.jobOf(ProgressBitmaps.key("j-000001", 2)));
--- a/src/test/java/io/quartzgw/progress/ProgressRecorderTest.java
+++ b/src/test/java/io/quartzgw/progress/ProgressRecorderTest.java
@@ -57,7 +57,7 @@
     // After a failover, tasks at or above the recorded start limit are placed again, even if they run. The limit once
     // fell behind when more starts were requested while the first ones were being written.
     @Test
-    void successorReadsAtLeastTheRecordedStartsAndFinishesWhenWritesAreLostOrLate() {
+    void keepsRecordedProgressWhenWritesAreLostOrDelayed() {
         Elections.elect(leadership, ms -> link.pass(ms, false));
         ClusterState cluster = new ClusterState(eventLoop, 1);
         ProgressRecorder progress = newRecorder();
