--- a/src/main/java/io/quartzgw/fleet/CloudClient.java
+++ b/src/main/java/io/quartzgw/fleet/CloudClient.java
@@ -18,14 +18,15 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** Client of the cloud that keeps to its request limit; calls beyond it wait in order. */
+/** Client of the cloud's API. It respects the request limit by queuing excess calls in order. */
 public final class CloudClient {
     static final int MAX_MACHINES_PER_RENTAL = 50;
     static final int MAX_MACHINES_PER_DELETION = 100;
     private static final int LIST_PAGE_SIZE = 500;
     private static final int TIMEOUT_MS = 5_000;
     /**
-     * The fraction of the limit that one controller uses: mostly the leader alone, the rest is for those that start.
+     * The fraction of the request limit that one controller uses. Mostly only the leader sends requests; the rest is
+     * for controllers that are starting.
      */
     private static final double BUDGET_FRACTION = 0.8;
 
@@ -33,20 +34,20 @@
     private final Endpoint endpoint;
     private final TokenBucket budget;
     private final Deque<QueuedCall> queue = new ArrayDeque<>();
-    private final CoalescedTask drain;
+    private final CoalescedTask sendTask;
 
     private record QueuedCall(Call call, long validUntilMs, Consumer<Reply> callback) {}
 
     /**
      * A machine as the cloud lists it.
      *
-     * @param phase the cloud's name of the machine's state
-     * @param ageS time since its rental
+     * @param phase the machine's state, as named by the cloud
+     * @param ageS time since the machine was rented, in seconds
      */
     public record ListedMachine(
             String id, String address, String type, String zone, boolean spot, String phase, double ageS) {
 
-        /** Whether the machine has stopped by itself. */
+        /** Whether the machine has stopped on its own. */
         boolean failed() {
             return phase.equals("failed");
         }
@@ -57,29 +58,29 @@
         /** The machines that were rented, possibly fewer than requested. */
         record Machines(List<String> ids) implements RentalResult {}
 
-        /** The cloud has no machine of the requested type, zone and kind. */
+        /** The cloud has no capacity for the requested offer. */
         record NoCapacity() implements RentalResult {}
 
-        /** No definite result: the same request has to be repeated. */
+        /** No definite result; the same request has to be sent again. */
         record Unknown() implements RentalResult {}
     }
 
-    /** @param limits the limits of the cloud, for all controllers together */
+    /** @param limits the limits that the cloud applies to all controllers together */
     public CloudClient(EventLoop eventLoop, Endpoint endpoint, CloudLimits limits) {
         this.eventLoop = eventLoop;
-        this.drain = new CoalescedTask(eventLoop, this::drain);
+        this.sendTask = new CoalescedTask(eventLoop, this::sendQueued);
         this.endpoint = endpoint;
         this.budget = new TokenBucket(limits.requestsPerS() * BUDGET_FRACTION, eventLoop.nowMs());
     }
 
-    /** Reads the machine types by name; the callback gets none when the cloud did not respond. */
+    /** Reads the machine types by name; the callback receives an empty map if the cloud did not respond. */
     public void machineTypes(Consumer<Map<String, MachineType>> callback) {
         submit(
                 Call.get(endpoint, "/machine_types", TIMEOUT_MS),
                 reply -> callback.accept(reply.ok() ? MachineTypeCodec.decodeTable(reply.json()) : Map.of()));
     }
 
-    /** Requests machines; a request name must never be used for a second, different request. */
+    /** Requests machines. A request name must never be reused for a different request, since the cloud deduplicates. */
     void rent(String request, MachineOffer offer, int count, Consumer<RentalResult> callback) {
         ObjectNode body = CloudCodec.encodeRental(request, offer, Math.min(count, MAX_MACHINES_PER_RENTAL));
         submit(Call.post(endpoint, "/rentals", body, TIMEOUT_MS), reply -> callback.accept(rentalResult(reply)));
@@ -94,10 +95,10 @@
     }
 
     /**
-     * Deletes at most {@link #MAX_MACHINES_PER_DELETION} machines; the callback learns whether they certainly no longer
-     * exist.
+     * Deletes at most {@link #MAX_MACHINES_PER_DELETION} machines; the callback receives whether they certainly no
+     * longer exist.
      *
-     * @param validUntilMs the moment from which on the request does not leave any more
+     * @param validUntilMs the time from which on the request is no longer sent
      */
     public void delete(Collection<String> ids, long validUntilMs, Consumer<Boolean> callback) {
         ObjectNode body = CloudCodec.encodeDeletion(ids);
@@ -105,7 +106,7 @@
         submit(new QueuedCall(call, validUntilMs, reply -> callback.accept(reply.ok())));
     }
 
-    /** Reads the whole machine list; the callback gets nothing when one of its pages could not be read. */
+    /** Reads the whole machine list; the callback receives an empty value if any of its pages could not be read. */
     public void list(Consumer<Optional<List<ListedMachine>>> callback) {
         readPage("", new ArrayList<>(), callback);
     }
@@ -130,7 +131,7 @@
         }
     }
 
-    /** Whether a call would be sent at once. */
+    /** Whether a call would be sent immediately. */
     public boolean isIdle() {
         return queue.isEmpty() && budget.waitMsFor(1, eventLoop.nowMs()) == 0;
     }
@@ -141,14 +142,14 @@
 
     private void submit(QueuedCall call) {
         queue.addLast(call);
-        drain();
+        sendQueued();
     }
 
-    private void drain() {
+    private void sendQueued() {
         while (!queue.isEmpty()) {
             long waitMs = budget.waitMsFor(1, eventLoop.nowMs());
             if (waitMs > 0) {
-                drain.schedule(waitMs);
+                sendTask.schedule(waitMs);
                 return;
             }
             budget.take(1, eventLoop.nowMs());
--- a/src/main/java/io/quartzgw/fleet/CloudCodec.java
+++ b/src/main/java/io/quartzgw/fleet/CloudCodec.java
@@ -26,14 +26,14 @@
                 .put("number", count);
     }
 
-    /** The ids of the machines that a rental request brought. */
+    /** Decodes the IDs of the machines that a rental request returned. */
     static List<String> decodeRentedIds(JsonNode body) {
         List<String> ids = new ArrayList<>();
         body.path(MACHINES).forEach(id -> ids.add(id.asText()));
         return ids;
     }
 
-    /** Whether an error says that the cloud has no machine of the requested offer. */
+    /** Whether an error means that the cloud has no capacity for the requested offer. */
     static boolean isNoCapacity(JsonNode error) {
         return error.path("error").asText().equals("no capacity");
     }
--- a/src/main/java/io/quartzgw/fleet/FencingPolicy.java
+++ b/src/main/java/io/quartzgw/fleet/FencingPolicy.java
@@ -12,31 +12,31 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Decides which machines are fenced, which means deleted, because a task waits until a start of it can be executed
- * there no more.
+ * Decides which machines are fenced. Fencing a machine means deleting it, so that an outstanding start is no longer
+ * executable there and its task need not wait any longer.
  *
- * <p>A machine on which nothing else runs is fenced at once. One that is in use is first evacuated, for a limited time,
- * and only a few of them at a time: neither a partition nor a burst of lost calls may cost the fleet. But a machine
- * that may start a task of a cancelled job is deleted within the time limit of the cancellation, however many there
- * are.
+ * <p>A machine that is not in use is fenced at once. A machine in use is evacuated first, for a limited time. The
+ * number of machines evacuated at a time is also limited, so that neither a partition nor a burst of lost direct calls
+ * costs most of the fleet. That limit does not apply to machines that may start a task of a cancelled job: all of them
+ * are deleted within the time limit of the cancellation.
  */
 final class FencingPolicy {
     private static final Logger LOG = LoggerFactory.getLogger(FencingPolicy.class);
-    /** A direct call in flight ends within this fraction of a reservation: until then its answer may still come. */
+    /** A direct call ends within this fraction of a reservation; until then its response may still arrive. */
     private static final double RESPONSE_WAIT_RESERVATIONS = 0.2;
-    /** An unreachable agent that has lost attempts gets this fraction of a reservation to answer a call again. */
+    /** An unreachable agent with lost attempts has this fraction of a reservation to respond to a direct call. */
     private static final double UNREACHABLE_GRACE_RESERVATIONS = 0.4;
-    /** A lost attempt that its reachable agent does not run again is waited for this long, in reservations. */
+    /** How long a reachable agent has to run a lost attempt again, in reservations. */
     private static final double LOST_ATTEMPT_GRACE_RESERVATIONS = 1;
     /** How long a machine in use is evacuated before it is deleted, in reservations. */
     private static final double EVACUATION_RESERVATIONS = 1.5;
-    /** From this fraction of the time limit of a cancellation on, the number of evacuated machines does not count. */
+    /** From this fraction of a cancellation's time limit on, the limit of machines being evacuated is ignored. */
     private static final double IGNORE_EVACUATION_LIMIT_CANCEL_FRACTION = 0.5;
-    /** At this fraction of the limit the machine is deleted; the rest is for the cloud's answer. */
+    /** At this fraction of a cancellation's time limit the machine is deleted; the rest is for the cloud's response. */
     private static final double DELETION_CANCEL_FRACTION = 0.8;
-    /** The largest share of the machines that is evacuated for fencing at a time. */
+    /** The maximum fraction of the machines that is evacuated for fencing at a time. */
     private static final double MAX_EVACUATED_FRACTION = 0.05;
-    /** Where the share is less, so many may be evacuated at a time. */
+    /** In small fleets, at least this many machines may be evacuated at a time. */
     private static final int MIN_EVACUATION_LIMIT = 2;
 
     private final EventLoop eventLoop;
@@ -60,9 +60,10 @@
     }
 
     /**
-     * Begins to fence the machines that have to be; called only while the cloud responds, so that it can delete them.
+     * Begins to fence all machines that need it. Called only while the cloud responds, since otherwise it could not
+     * delete them.
      *
-     * @param confirmationEnding whether this leader may soon be unable to delete machines, for a time that is not known
+     * @param confirmationEnding whether this leader may soon be unable to delete machines, for an unknown time
      */
     void fenceMachines(boolean confirmationEnding) {
         List<Machine> needed = cluster.machines().stream()
@@ -93,7 +94,7 @@
                         .anyMatch(allocation -> allocation.isLostFor(responseWaitMs, eventLoop.nowMs()));
     }
 
-    // A reachable agent is sent the starts of lost attempts again.
+    // The starts of lost attempts are sent again to a reachable agent.
     private boolean hasUnreachableLostAttempt(Machine machine) {
         if (!machine.reservationExpired() && !machine.liveness().unreachable()) {
             return false;
@@ -102,14 +103,15 @@
         return machine.allocations().stream().anyMatch(allocation -> allocation.isLostFor(waitMs, eventLoop.nowMs()));
     }
 
-    // A start is not sent again while its machine lacks room, nor while the inherited starts of a team exceed its quota
-    // together: they would wait for each other.
+    // Covers reachable agents too: a start is not sent again while its machine lacks free capacity, nor while the
+    // inherited starts of a team together exceed its quota. Such starts would wait for each other.
     private boolean hasOverdueLostAttempt(Machine machine) {
         return machine.allocations().stream()
                 .anyMatch(allocation -> allocation.isLostFor(lostAttemptGraceMs, eventLoop.nowMs()));
     }
 
-    // Users were told that nothing of the job runs after a limit; a share of the machines may not stand against that.
+    // The acknowledged cancellation guarantees that none of the job's tasks runs after the time limit. The limit of
+    // machines being evacuated must not delay that.
     private void fenceBeforeCancellationDeadline(Machine machine) {
         OptionalLong cancelledAtMs = CancelledTasks.firstCancellationMs(machine);
         if (cancelledAtMs.isEmpty() || eventLoop.nowMs() < cancelledAtMs.getAsLong() + ignoreEvacuationLimitMs) {
@@ -122,14 +124,14 @@
         }
     }
 
-    // The state service does not renew the leader's lease: it may be back only after the limit.
+    // The state service does not renew the leader's lease, and it may recover only after the cancellation's time limit.
     private void fenceIfCancelledTaskMayStart(Machine machine) {
         if (CancelledTasks.firstPossibleCancellationMs(machine).isPresent()) {
             fence(machine, eventLoop.nowMs());
         }
     }
 
-    // Those for the sake of open jobs come first: nothing waits for a job that was cancelled.
+    // Machines that block an open job come first: nothing waits for the tasks of a cancelled job.
     private void fenceWithinEvacuationLimit(List<Machine> machines) {
         long allowed = Math.max(MIN_EVACUATION_LIMIT, (long)
                         (MAX_EVACUATED_FRACTION * cluster.machines().size()))
--- a/src/main/java/io/quartzgw/fleet/FleetManager.java
+++ b/src/main/java/io/quartzgw/fleet/FleetManager.java
@@ -13,11 +13,11 @@
 import java.util.Map;
 
 /**
- * Scales the fleet out for tasks that lack free capacity, and in when machines are not needed, never booted, or are
- * lost. It acts only while this controller's term is confirmed.
+ * Scales the fleet out for tasks that lack free capacity, and scales it in when machines are not needed, are lost or
+ * failed to boot. It acts only while this controller's term is confirmed.
  */
 public final class FleetManager {
-    /** A machine that takes longer than this many usual boot times is not waited for. */
+    /** A machine that takes longer than this many usual boot times is not counted as future capacity. */
     private static final double EXPECTED_BOOT_TIMES = 1.6;
 
     private final EventLoop eventLoop;
@@ -36,27 +36,27 @@
     /**
      * The settings of the fleet.
      *
-     * @param reservedCpus CPUs that stay rented whatever the demand, for the guaranteed quotas of teams
-     * @param reservationMs how long the capacity of a silent machine stays reserved
-     * @param cancelMs how long a task may run after a user was told that its job is cancelled
+     * @param reservedCpus CPUs that stay rented regardless of demand, for the guaranteed quotas of teams
+     * @param reservationMs how long the capacity of an unresponsive machine stays reserved
+     * @param cancelMs how long a task may run after the cancellation of its job was acknowledged
      * @param listLagMs how outdated the cloud's machine list may be
      */
     public record Policy(double reservedCpus, long reservationMs, long cancelMs, long listLagMs) {
-        /** A machine is not silent if its last heartbeat is within this fraction of its reservation time. */
+        /** A heartbeat is recent if it was received within this fraction of a reservation. */
         private static final double RECENT_HEARTBEAT_RESERVATIONS = 0.25;
 
         /**
-         * Whether a machine is not silent. Its heartbeats also outrank the cloud's list, which may be outdated: the
-         * machine may have come back.
+         * Whether a current heartbeat of a machine was received recently. Such a machine is responsive. Its heartbeats
+         * also take precedence over the cloud's list, which may be outdated, since the machine may have restarted.
          */
         boolean hasRecentHeartbeat(Machine machine, long now) {
             return machine.liveness().heartbeatWithin((long) (RECENT_HEARTBEAT_RESERVATIONS * reservationMs), now);
         }
     }
 
-    /** Takes what the fleet manager learns of machines. */
+    /** Is notified of machines that have failed or no longer exist. */
     public interface Listener {
-        /** A machine has stopped by itself, and its tasks with it; it exists until it is deleted. */
+        /** A machine has stopped on its own, and its tasks with it; it exists until it is deleted. */
         void failed(Machine machine);
 
         /** A machine certainly no longer exists. */
@@ -112,15 +112,15 @@
      * Scales the fleet out and in.
      *
      * @param unplaced tasks that lack free capacity
-     * @param allocationsKnown whether it is known what runs on the machines; before that, none is drained
-     * @return whether it has to be called again soon, since the cloud's request limit was reached
+     * @param allocationsKnown whether it is known which tasks run on the machines; no machine is drained before that
+     * @return whether to call this method again soon, because the cloud's request limit was reached
      */
     public boolean scale(List<UnplacedTasks> unplaced, boolean allocationsKnown) {
         if (!term.isConfirmed() || !inventory.isInventoryKnown()) {
             return false;
         }
-        // Rentals may take all that the cloud's request limit allows: tasks wait for these deletions, and
-        // cancellations.
+        // Fenced machines are deleted first, since rentals may use up the cloud's request limit, and both tasks and
+        // cancellations wait for these deletions.
         if (inventory.isCloudResponding()) {
             fencingPolicy.fenceMachines(term.isConfirmationEnding());
         }
@@ -129,8 +129,8 @@
                 cluster.machines().stream().filter(this::isBooting).toList();
         List<MachineOffer> requested = scaleOutRequests.requested();
         double rentedCpus = rentedCpus(requested);
-        // Guards the leader's processor time while the cloud is exhausted: planning is useless, and most tasks are
-        // pending.
+        // Saves the leader's processor time while the cloud is exhausted: no plan could be carried out, and most tasks
+        // are pending, which makes planning expensive.
         boolean more = !isExhausted() && scaleOut(unplaced, booting, requested, rentedCpus);
         if (allocationsKnown) {
             scaleInPolicy.drainUnneeded(rentedCpus);
@@ -155,7 +155,7 @@
         return scaleOutRequests.request(wanted);
     }
 
-    /** Whether the cloud has recently refused every offer. */
+    /** Whether the cloud has recently reported no capacity for every offer. */
     public boolean isExhausted() {
         return planner.offers().stream().noneMatch(scaleOutRequests::available);
     }
@@ -171,9 +171,8 @@
         return requestedCpus + machineCpus;
     }
 
-    // Where capacity is reserved for guaranteed quotas, all tasks get machines; elsewhere, tasks that can wait for a
-    // slot
-    // until their deadline do so.
+    // If capacity is reserved for guaranteed quotas, all tasks get machines. Otherwise, no machine is needed for tasks
+    // that can run in the slot of a running task and still meet their deadline.
     private List<UnplacedTasks> tasksNeedingMachines(List<UnplacedTasks> unplaced) {
         if (reservedCpus > 0) {
             return unplaced;
@@ -190,7 +189,7 @@
     }
 
     private boolean isBooting(Machine machine) {
-        // Most machines are up by then: nothing waits for one that may never boot.
+        // Most machines are up within that time. No task should wait for a machine that may never boot.
         return machine.status() == Machine.Status.BOOTING
                 && !machine.reservationExpired()
                 && eventLoop.nowMs() - machine.rentedAt()
--- a/src/main/java/io/quartzgw/fleet/InventoryReconciler.java
+++ b/src/main/java/io/quartzgw/fleet/InventoryReconciler.java
@@ -19,7 +19,7 @@
 /** Reads the cloud's machine list periodically and reconciles the cluster state with it. */
 final class InventoryReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(InventoryReconciler.class);
-    /** A machine list may be outdated by up to twice its lag; this is with a margin. */
+    /** A machine list may be outdated by up to twice its lag; this adds a margin. */
     private static final double MAX_LIST_AGE_LAGS = 2.2;
 
     private static final double LIST_INTERVAL_LAGS = 0.5;
@@ -32,7 +32,9 @@
     private final MachineTypes types;
     private final FleetManager.Policy policy;
     private final FleetManager.Listener listener;
+    /** When the last list with a machine was requested, by machine ID. */
     private final Map<String, Long> lastListedAt = new HashMap<>();
+
     private boolean inventoryKnown;
     private boolean cloudResponds;
 
@@ -61,7 +63,7 @@
         return cloudResponds;
     }
 
-    /** Forgets when a machine was listed. */
+    /** Drops the time at which a machine was last listed. */
     void stopTracking(Machine machine) {
         lastListedAt.remove(machine.id());
     }
@@ -104,7 +106,7 @@
             machine.address(Endpoint.parse(entry.address()));
         }
         if (entry.failed() && !policy.hasRecentHeartbeat(machine, eventLoop.nowMs())) {
-            // It has stopped by itself, and its tasks with it.
+            // The machine has stopped on its own, and its tasks with it.
             LOG.atInfo().addKeyValue("machine", entry.id()).log("machine failed");
             listener.failed(machine);
             machine.expireReservation();
@@ -112,7 +114,8 @@
         }
     }
 
-    // Not rented by this leader, as far as it knows: it is used, and drained when idle.
+    // A previous leader may have rented the machine, or a rental request of this leader is still without a result. It
+    // is used like any other machine, and drained when idle.
     private Optional<Machine> adoptUnknown(CloudClient.ListedMachine entry) {
         Optional<Machine> adopted = types.find(entry.type()).map(type -> newMachine(entry, type));
         adopted.ifPresent(cluster::add);
@@ -124,15 +127,14 @@
         return new Machine(entry.id(), type, entry.zone(), entry.spot(), rentedAt, eventLoop.nowMs());
     }
 
-    // Once listed, a machine stays listed until it is deleted; but a list may be older than the one before it. A
-    // machine
-    // no longer exists when it is missing in a list that can't be older than the last one that had it.
+    // Once listed, a machine stays listed until it is deleted. But a list may be older than the list read before it, so
+    // a machine no longer exists only if it is absent from a list that can't be older than the last list with it.
     private void removeAbsent(List<CloudClient.ListedMachine> machines, long requestedAt) {
         Set<String> present = new HashSet<>();
         machines.forEach(machine -> present.add(machine.id()));
         long maxListAgeMs = (long) (MAX_LIST_AGE_LAGS * policy.listLagMs());
         for (Machine machine : List.copyOf(cluster.machines())) {
-            // For a machine of a former leader, the rental time is that of its record.
+            // A previous leader's machine has the rental time of its record.
             long lastKnownAt = Math.max(machine.rentedAt(), lastListedAt.getOrDefault(machine.id(), Long.MIN_VALUE));
             if (!present.contains(machine.id())
                     && requestedAt - lastKnownAt > maxListAgeMs
--- a/src/main/java/io/quartzgw/fleet/MachineCatalog.java
+++ b/src/main/java/io/quartzgw/fleet/MachineCatalog.java
@@ -13,8 +13,8 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The table of machine types, on every controller. The last table is stored in the state service, so that a controller
- * that starts during an outage of the cloud can decide on submissions.
+ * The table of machine types, which every controller has. The leader stores the latest table in the state service, so
+ * that a controller that starts during an outage of the cloud can decide whether to accept submitted jobs.
  */
 public final class MachineCatalog implements MachineTypes {
     private static final String KEY = "types";
@@ -27,7 +27,9 @@
     private final BooleanSupplier leading;
     private Map<String, MachineType> types = Map.of();
 
-    /** @param leading whether this controller leads: only the leader asks the cloud and writes the table */
+    /**
+     * @param leading whether this controller leads; only the leader refreshes the table from the cloud and stores it
+     */
     public MachineCatalog(EventLoop eventLoop, StoreClient store, CloudClient cloud, BooleanSupplier leading) {
         this.eventLoop = eventLoop;
         this.store = store;
--- a/src/main/java/io/quartzgw/fleet/MachineOffer.java
+++ b/src/main/java/io/quartzgw/fleet/MachineOffer.java
@@ -2,7 +2,7 @@
 
 import io.quartzgw.model.MachineType;
 
-/** An offer of the cloud: a machine type in a zone, on spot or on demand. */
+/** An offer of the cloud: a machine type in a zone, as a spot or on-demand machine. */
 public record MachineOffer(MachineType type, String zone, boolean spot) {
 
     @Override
@@ -12,7 +12,7 @@
 
     @Override
     public boolean equals(Object other) {
-        // Prices change: the same machine type at another price is the same offer.
+        // Prices change, so the same machine type at another price is the same offer.
         return other instanceof MachineOffer offer
                 && type.name().equals(offer.type.name())
                 && zone.equals(offer.zone)
--- a/src/main/java/io/quartzgw/fleet/MachineRecordCodec.java
+++ b/src/main/java/io/quartzgw/fleet/MachineRecordCodec.java
@@ -7,7 +7,7 @@
 import io.quartzgw.http.Json;
 import io.quartzgw.scheduling.Machine;
 
-/** JSON encoding of the records of machines in the state service: arrays, since many of them share one page. */
+/** JSON encoding of machine records in the state service: compact arrays, since many records share one page. */
 final class MachineRecordCodec {
     private static final int TYPE = 0;
     private static final int ZONE = 1;
@@ -19,7 +19,7 @@
     /**
      * The description of a rented machine.
      *
-     * @param rentedAtS time of day of the rental, in seconds
+     * @param rentedAtS wall-clock time of the rental, in seconds
      */
     record Description(String type, String zone, boolean spot, long rentedAtS) {}
 
@@ -39,7 +39,7 @@
                 record.path(RENTED_AT_S).asLong());
     }
 
-    /** The mark of a machine that may run tasks is its agent's address. */
+    /** Encodes the mark of a machine that may run tasks, which consists of its agent's address. */
     static JsonNode encodeMark(Endpoint address) {
         return TextNode.valueOf(address.toString());
     }
--- a/src/main/java/io/quartzgw/fleet/MachineRecords.java
+++ b/src/main/java/io/quartzgw/fleet/MachineRecords.java
@@ -23,18 +23,18 @@
 
 /**
  * Records of rented machines in the state service, packed into pages. A machine's description is written when it is
- * rented. A machine is marked as used before the first task starts on it, so that after a failover a machine that never
- * ran a task leaves none unaccounted. The marks have pages of their own: starts wait for them, and they are far smaller
- * than descriptions.
+ * rented. A machine is marked as used before the first task is started on it. After a failover, a machine without a
+ * mark therefore runs no tasks that would have to be accounted for. Marks have separate pages, since starts wait for
+ * them and they are far smaller than descriptions.
  */
 public final class MachineRecords {
-    /** Prefix of the pages of descriptions. */
+    /** Key prefix of the pages with descriptions. */
     public static final String PREFIX = "mach/";
-    /** Prefix of the pages of marks. */
+    /** Key prefix of the pages with marks. */
     public static final String MARK_PREFIX = "used/";
 
     private static final int RETRY_MS = 200;
-    /** The fraction of this controller's write budget that descriptions may take while no start waits. */
+    /** The fraction of this controller's write budget that descriptions may use while no start waits for a mark. */
     private static final double BACKGROUND_FRACTION = 0.25;
 
     private final EventLoop eventLoop;
@@ -61,13 +61,13 @@
             LeaderTerm term,
             ClusterState cluster,
             long maxClockSkewMs,
-            Consumer<Machine> used) {
+            Consumer<Machine> onMarked) {
         this.eventLoop = eventLoop;
         this.store = store;
         this.term = term;
         this.cluster = cluster;
         this.maxClockSkewMs = maxClockSkewMs;
-        this.onMarked = used;
+        this.onMarked = onMarked;
         this.descriptions = new PackedRecords(store, PREFIX, this::guardedTransaction);
         this.marks = new PackedRecords(store, MARK_PREFIX, this::guardedTransaction);
         this.flushLater = new CoalescedTask(eventLoop, this::flush);
@@ -78,24 +78,29 @@
     }
 
     /**
-     * Loads the records of a former leader; a machine whose type is no longer known is skipped.
+     * Loads the records of previous leaders. A machine whose type is no longer known is skipped.
      *
-     * @param described the pages of descriptions
-     * @param marked the pages of marks, read after those of descriptions
+     * @param descriptionPages the pages with descriptions
+     * @param markPages the pages with marks, read after the pages with descriptions
      */
     public void load(
-            List<KeyValue> described, List<KeyValue> marked, MachineTypes types, long now, Consumer<Machine> found) {
+            List<KeyValue> descriptionPages,
+            List<KeyValue> markPages,
+            MachineTypes types,
+            long now,
+            Consumer<Machine> found) {
         Map<String, Machine> machines = new LinkedHashMap<>();
-        descriptions.load(described, (id, record) -> {
+        descriptions.load(descriptionPages, (id, record) -> {
             MachineRecordCodec.Description description = MachineRecordCodec.decodeDescription(record);
             types.find(description.type()).ifPresent(type -> machines.put(id, machine(id, type, description, now)));
         });
-        marks.load(marked, (id, mark) -> loadMark(id, mark, machines));
+        marks.load(markPages, (id, mark) -> loadMark(id, mark, machines));
         machines.values().forEach(found);
     }
 
     private Machine machine(String id, MachineType type, MachineRecordCodec.Description description, long now) {
-        // Never earlier than the actual rental: a machine that is too new for the cloud's list must not be removed.
+        // The computed rental time is never earlier than the actual one. Otherwise a machine that is too new for the
+        // cloud's list might be removed.
         long ageMs = Math.max(0, eventLoop.wallClockMs() - description.rentedAtS() * 1000 - maxClockSkewMs);
         return new Machine(id, type, description.zone(), description.spot(), now - ageMs, now);
     }
@@ -110,7 +115,7 @@
         machine.markHasRunTasks();
     }
 
-    /** Schedules the description of a rented machine; the first start on it waits for that too. */
+    /** Schedules a write of a rented machine's description; the first start on the machine waits for it too. */
     public void describe(Machine machine) {
         long rentedAtMs = eventLoop.wallClockMs() - (eventLoop.nowMs() - machine.rentedAt());
         // Rounded up, so that the recorded age is never above the actual one.
@@ -122,7 +127,7 @@
     public void markUsed(Machine machine) {
         if (!machine.hasRunTasks() && pendingMarks.add(machine)) {
             if (!descriptions.contains(machine.id())) {
-                // It was not rented by this leader, as far as it knows.
+                // The machine is not known to be rented by this leader, so its description was not written yet.
                 describe(machine);
             }
             marks.put(machine.id(), MachineRecordCodec.encodeMark(machine.address()), 0);
@@ -140,7 +145,7 @@
         }
     }
 
-    /** Writes what is due, one write at a time: changes made meanwhile are written together by the next one. */
+    /** Writes pending changes, one write at a time. Changes made during a write are batched into the next one. */
     public void flush() {
         if (writeInFlight || !writeNeeded || !term.isConfirmed()) {
             return;
@@ -155,10 +160,10 @@
         int pages = descriptions.dirtyPageCount() + marks.dirtyPageCount();
         nextBackgroundWriteAt = eventLoop.nowMs() + store.pauseMsAfter(pages, BACKGROUND_FRACTION);
         RequestUrgency urgency = marked.isEmpty() ? RequestUrgency.BACKGROUND : RequestUrgency.HIGH;
-        // A mark is useless without its description, so that is written first.
-        descriptions.write(urgency, described -> {
-            if (described) {
-                marks.write(urgency, written -> onWritten(marked, written));
+        // A mark is useless without its description, so the description is written first.
+        descriptions.write(urgency, descriptionsWritten -> {
+            if (descriptionsWritten) {
+                marks.write(urgency, marksWritten -> onWritten(marked, marksWritten));
             } else {
                 onWritten(marked, false);
             }
--- a/src/main/java/io/quartzgw/fleet/ReusableSlots.java
+++ b/src/main/java/io/quartzgw/fleet/ReusableSlots.java
@@ -9,33 +9,33 @@
 import java.util.Map;
 
 /**
- * Capacity of running batch tasks that is free again before a deadline: pending tasks that can use it in time, one
- * after the other, need no new machine.
+ * The slots of running batch tasks, each of which becomes free when its task ends. Pending tasks that can run in a slot
+ * one after the other and still meet their deadline need no new machine.
  */
 final class ReusableSlots {
-    /** A margin on runtime estimates, which are too low as often as too high. */
+    /** A safety factor for runtime estimates, which are too low as often as too high. */
     private static final double ESTIMATE_MARGIN = 1.25;
 
     private final long now;
-    /** When the slot of each running batch task is free, by machine. */
+    /** The times at which the slots of running batch tasks become free, by machine. */
     private final Map<Machine, List<Long>> slotFreeTimes = new LinkedHashMap<>();
 
     ReusableSlots(Iterable<Machine> machines, long now) {
         this.now = now;
         for (Machine machine : machines) {
-            List<Long> free = new ArrayList<>();
+            List<Long> freeTimes = new ArrayList<>();
             for (Allocation allocation : machine.allocations()) {
                 if (!allocation.job().spec().service() && !allocation.stopping()) {
                     double remainingMs =
                             allocation.job().spec().estimateS() * 1000 * ESTIMATE_MARGIN - allocation.runtimeMs(now);
-                    free.add(now + (long) Math.max(0, remainingMs));
+                    freeTimes.add(now + (long) Math.max(0, remainingMs));
                 }
             }
-            slotFreeTimes.put(machine, free);
+            slotFreeTimes.put(machine, freeTimes);
         }
     }
 
-    /** Takes slots for as many of the tasks as meet the job's deadline there, and returns how many. */
+    /** Takes slots for up to {@code count} tasks of a job that meet its deadline, and returns for how many. */
     int take(Job job, int count) {
         if (job.dueAt() == Long.MAX_VALUE) {
             return 0;
@@ -48,10 +48,10 @@
                     || !job.zoneAllowed(machine.zone())) {
                 continue;
             }
-            List<Long> free = entry.getValue();
-            for (int i = 0; i < free.size(); i++) {
-                while (taken < count && free.get(i) + runtimeMs <= job.dueAt()) {
-                    free.set(i, Math.max(now, free.get(i)) + runtimeMs);
+            List<Long> freeTimes = entry.getValue();
+            for (int i = 0; i < freeTimes.size(); i++) {
+                while (taken < count && freeTimes.get(i) + runtimeMs <= job.dueAt()) {
+                    freeTimes.set(i, Math.max(now, freeTimes.get(i)) + runtimeMs);
                     taken++;
                 }
             }
--- a/src/main/java/io/quartzgw/fleet/ScaleInPolicy.java
+++ b/src/main/java/io/quartzgw/fleet/ScaleInPolicy.java
@@ -12,20 +12,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Decides which machines are drained for scale-in: those that are idle, never booted, or are lost, and underutilized
- * ones whose tasks fit elsewhere.
+ * Decides which machines are drained for scale-in: machines that are idle, lost or failed to boot, and underutilized
+ * machines whose tasks fit elsewhere.
  */
 final class ScaleInPolicy {
     private static final Logger LOG = LoggerFactory.getLogger(ScaleInPolicy.class);
-    /** Boot times vary; a machine that takes longer than this many usual boot times is given up. */
+    /** Boot times vary; a machine that takes longer than this many usual boot times is drained. */
     private static final double MAX_BOOT_TIMES = 3;
-    /** The minimum rental time that the cloud charges: no machine is deleted before. */
+    /**
+     * The minimum rental time that the cloud charges; idle and underutilized machines are not deleted before its end.
+     */
     private static final int MIN_RENTAL_MS = 60_000;
     /** How long before the end of the minimum rental time a machine may be drained. */
     private static final int DRAIN_AHEAD_MS = 2_000;
-    /** A machine stays for a pause between two jobs, no longer: jobs with a deadline can wait for a boot. */
+    /** How long a machine may be idle, as between two jobs, in boot times: jobs with a deadline can wait for a boot. */
     private static final double IDLE_BOOT_TIMES = 0.2;
-    /** A machine is lost after this many reservation times of silence. */
+    /** A machine is lost after it was unresponsive or unreachable for this many reservations. */
     private static final double LOST_MACHINE_RESERVATIONS = 1.5;
 
     private final EventLoop eventLoop;
@@ -50,14 +52,14 @@
     void drainUnneeded(double rentedCpus) {
         double spareCpus = rentedCpus - policy.reservedCpus();
         Resources idle = idleCapacity();
-        Resources neededLater = demandOfUnresponsiveMachines();
+        Resources reservedDemand = demandOfUnresponsiveMachines();
         for (Machine machine : cluster.machines()) {
             double cpus = machine.type().size().cpus();
             if (failedToBoot(machine) || isLost(machine)) {
                 drain(machine, machine.liveness().verified() ? "lost" : "never_booted");
             } else if (isIdle(machine)
                     && cpus <= spareCpus
-                    && neededLater.fitsIn(idle.minus(machine.type().size()))) {
+                    && reservedDemand.fitsIn(idle.minus(machine.type().size()))) {
                 drain(machine, "idle");
                 spareCpus -= cpus;
                 idle = idle.minus(machine.type().size());
@@ -87,9 +89,8 @@
         return capacity;
     }
 
-    // Guards against scale-in shortly before capacity is needed: tasks that may run on a silent machine are not
-    // pending,
-    // but when its reservation expires they all are, and then the cloud may have no machine left to rent.
+    // Guards against scale-in shortly before capacity is needed. Tasks that may run on an unresponsive machine are not
+    // pending, but they all become pending when its reservation expires. Then the cloud may have no capacity left.
     private Resources demandOfUnresponsiveMachines() {
         Resources demand = Resources.NONE;
         for (Job job : cluster.jobsWithUnaccountedTasks()) {
@@ -108,7 +109,7 @@
         return demand;
     }
 
-    /** Drains an underutilized machine, one at a time. */
+    /** Drains an underutilized machine, unless another machine is still being evacuated. */
     void drainUnderutilized() {
         boolean draining = cluster.machines().stream()
                 .anyMatch(machine -> machine.status() == Machine.Status.DRAINING && !machine.empty());
@@ -141,18 +142,18 @@
                         > (long) (MAX_BOOT_TIMES * machine.type().bootMs());
     }
 
-    // Its reservation has expired and it has not come back, or it sends heartbeats but takes no commands: unreachable
-    // machines must not accumulate while others are rented in their place.
+    // A machine is lost if its reservation has expired without a further heartbeat, or if it sends heartbeats but does
+    // not respond to direct calls. Such machines must not accumulate while others are rented in their place.
     private boolean isLost(Machine machine) {
         if (machine.status() != Machine.Status.UP || !machine.empty()) {
             return false;
         }
         AgentLiveness liveness = machine.liveness();
-        long maxSilenceMs = (long) (LOST_MACHINE_RESERVATIONS * policy.reservationMs());
-        boolean silentTooLong = machine.reservationExpired()
-                && eventLoop.nowMs() - Math.max(liveness.lastResponseAt(), electedAt) > maxSilenceMs;
+        long maxUnresponsiveMs = (long) (LOST_MACHINE_RESERVATIONS * policy.reservationMs());
+        boolean unresponsiveTooLong = machine.reservationExpired()
+                && eventLoop.nowMs() - Math.max(liveness.lastResponseAt(), electedAt) > maxUnresponsiveMs;
         boolean unreachableTooLong =
-                liveness.unreachable() && eventLoop.nowMs() - liveness.unreachableSince() > maxSilenceMs;
-        return silentTooLong || unreachableTooLong;
+                liveness.unreachable() && eventLoop.nowMs() - liveness.unreachableSince() > maxUnresponsiveMs;
+        return unresponsiveTooLong || unreachableTooLong;
     }
 }
--- a/src/main/java/io/quartzgw/fleet/ScaleInRequests.java
+++ b/src/main/java/io/quartzgw/fleet/ScaleInRequests.java
@@ -12,7 +12,7 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 
-/** Deletes drained machines at the cloud, once no task runs on them. */
+/** Requests the deletion of drained machines from the cloud, once no task runs on them. */
 final class ScaleInRequests {
     private static final int RETRY_MS = 2_000;
 
@@ -24,22 +24,22 @@
     private final Set<String> deleting = new HashSet<>();
 
     /** @param onRemoved is notified when a machine certainly no longer exists */
-    ScaleInRequests(FleetContext context, Consumer<Machine> removed) {
+    ScaleInRequests(FleetContext context, Consumer<Machine> onRemoved) {
         this.eventLoop = context.eventLoop();
         this.cloud = context.cloud();
         this.term = context.term();
         this.cluster = context.cluster();
-        this.onRemoved = removed;
+        this.onRemoved = onRemoved;
     }
 
-    /** Deletes the machines that are fenced and may be deleted now, as far as the cloud's request limit allows. */
+    /** Deletes fenced machines that may be deleted now, if the cloud's request limit allows a call. */
     void deleteFenced() {
         if (cloud.isIdle()) {
             delete(machine -> machine.isFencingDue(eventLoop.nowMs()));
         }
     }
 
-    /** Deletes drained machines; returns whether some have to wait for the cloud's request limit. */
+    /** Deletes drained machines, and returns whether some have to wait because of the cloud's request limit. */
     boolean deleteDrained() {
         if (!cloud.isIdle()) {
             return cluster.machines().stream().anyMatch(machine -> machine.status() == Machine.Status.DRAINING);
@@ -56,12 +56,13 @@
             }
         }
         if (!ids.isEmpty()) {
-            // A successor may have started tasks there by the time a paused process goes on.
+            // The request expires with the confirmed term: if this controller is paused, a new leader may have started
+            // tasks on the machines by the time it resumes.
             cloud.delete(ids, term.confirmedUntilMs(), success -> onDeleted(ids, success));
         }
     }
 
-    // No task may run on a machine that is deleted, unless the machine is being fenced and its time is over.
+    // A machine on which a task may run is not deleted, unless it is being fenced and its evacuation has timed out.
     private boolean isDeletable(Machine machine) {
         return (machine.empty() && !machine.isUnverified())
                 || machine.reservationExpired()
--- a/src/main/java/io/quartzgw/fleet/ScaleOutPlanner.java
+++ b/src/main/java/io/quartzgw/fleet/ScaleOutPlanner.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import java.util.function.Predicate;
 
-/** Plans scale-out: the cheapest offers for the tasks that don't fit on machines that are booting or requested. */
+/** Plans scale-out: the cheapest offers for tasks that do not fit on machines that are booting or requested. */
 final class ScaleOutPlanner {
     private static final double EPSILON = 1e-6;
 
@@ -25,7 +25,7 @@
         this.types = types;
     }
 
-    /** A machine that is booting, requested or planned, and its free capacity. */
+    /** A bin for packing: a machine that is booting, requested or planned, with its free capacity. */
     private static final class Bin {
         private final MachineType type;
         private final String zone;
@@ -43,11 +43,13 @@
     /**
      * Plans which machines to request, the most urgent first.
      *
-     * @param booting machines that boot
-     * @param requested machines of rental requests in flight
+     * @param unplaced tasks that lack free capacity
+     * @param booting machines that are booting
+     * @param requested the offers of rental requests without a definite result, one for each machine
      * @param available whether an offer may be requested
-     * @param reserveCpus CPUs to rent whatever the demand
-     * @param machinesPerZone the number of machines: jobs that have to spread need capacity in every zone
+     * @param reserveCpus the minimum number of CPUs to rent, regardless of demand
+     * @param machinesPerZone the number of machines per zone, to balance the zones: jobs that have to spread need
+     *     capacity in every zone
      */
     Map<MachineOffer, Integer> plan(
             List<UnplacedTasks> unplaced,
@@ -81,18 +83,18 @@
             UnplacedTasks tasks, List<Bin> bins, Map<MachineOffer, Integer> wanted, Predicate<MachineOffer> available) {
         Job job = tasks.job();
         double addedCpus = 0;
-        Map<String, Integer> perZone = new HashMap<>();
-        // The tasks of a job are alike: a bin that can't take one can't take a later one, so each bin is examined once
-        // for a job. With thousands of pending tasks, examining every bin for every task kept a leader from renewing
-        // its lease.
+        Map<String, Integer> plannedPerZone = new HashMap<>();
+        // All tasks of a job are alike, so a bin that can't take one task can't take a later one. Each bin is therefore
+        // examined only once per job. With thousands of pending tasks, examining every bin for every task kept a leader
+        // from renewing its lease.
         int next = 0;
-        for (int left = tasks.count(); left > 0; left--) {
-            while (next < bins.size() && !fits(job, bins.get(next), perZone)) {
+        for (int remaining = tasks.count(); remaining > 0; remaining--) {
+            while (next < bins.size() && !fits(job, bins.get(next), plannedPerZone)) {
                 next++;
             }
             Bin bin = next < bins.size() ? bins.get(next) : null;
             if (bin == null) {
-                MachineOffer offer = cheapestPerTask(job, left, perZone, available);
+                MachineOffer offer = cheapestPerTask(job, remaining, plannedPerZone, available);
                 if (offer == null) {
                     return addedCpus;
                 }
@@ -103,51 +105,52 @@
                 bins.add(bin);
             }
             bin.freeCapacity = bin.freeCapacity.minus(job.spec().demand());
-            perZone.merge(bin.zone, 1, Integer::sum);
+            plannedPerZone.merge(bin.zone, 1, Integer::sum);
         }
         return addedCpus;
     }
 
-    private boolean fits(Job job, Bin bin, Map<String, Integer> perZone) {
+    private boolean fits(Job job, Bin bin, Map<String, Integer> plannedPerZone) {
         machinesExamined++;
         return job.spec().demand().fitsIn(bin.freeCapacity)
                 && job.spec().allows(bin.type.name(), bin.zone, bin.spot)
-                && zoneAllowed(job, bin.zone, perZone);
+                && zoneAllowed(job, bin.zone, plannedPerZone);
     }
 
-    /** How many bins were examined since the last call. */
+    /** Returns how many bins were examined since the last call. */
     long getAndResetMachinesExamined() {
         long taken = machinesExamined;
         machinesExamined = 0;
         return taken;
     }
 
-    private static boolean zoneAllowed(Job job, String zone, Map<String, Integer> perZone) {
+    private static boolean zoneAllowed(Job job, String zone, Map<String, Integer> plannedPerZone) {
         if (!job.zoneAllowed(zone)) {
             return false;
         }
-        if (job.spec().singleZone() && perZone.keySet().stream().anyMatch(other -> !other.equals(zone))) {
+        if (job.spec().singleZone() && plannedPerZone.keySet().stream().anyMatch(other -> !other.equals(zone))) {
             return false;
         }
         return !job.spec().spread()
-                || job.tasksInZone(zone) + perZone.getOrDefault(zone, 0)
+                || job.tasksInZone(zone) + plannedPerZone.getOrDefault(zone, 0)
                         < job.spec().tasksPerZone();
     }
 
-    /** The offer with the lowest price per task, of equal ones that in the zone with fewest machines; null if none. */
+    /** The available offer with the lowest price per task, or null. Ties go to the zone with the fewest machines. */
     private MachineOffer cheapestPerTask(
-            Job job, int count, Map<String, Integer> perZone, Predicate<MachineOffer> available) {
+            Job job, int count, Map<String, Integer> plannedPerZone, Predicate<MachineOffer> available) {
         MachineOffer best = null;
         double bestPrice = Double.MAX_VALUE;
         int bestZoneMachines = 0;
         for (MachineOffer offer : offers()) {
             if (!job.spec().allows(offer.type().name(), offer.zone(), offer.spot())
-                    || !zoneAllowed(job, offer.zone(), perZone)
+                    || !zoneAllowed(job, offer.zone(), plannedPerZone)
                     || !available.test(offer)) {
                 continue;
             }
-            int fits = Math.min(count, fits(job.spec().demand(), offer.type().size()));
-            double price = fits == 0 ? Double.MAX_VALUE : offer.type().price(offer.spot()) / fits;
+            int tasks = Math.min(
+                    count, tasksPerMachine(job.spec().demand(), offer.type().size()));
+            double price = tasks == 0 ? Double.MAX_VALUE : offer.type().price(offer.spot()) / tasks;
             int zoneMachines = machinesByZone.getOrDefault(offer.zone(), 0);
             if (price < bestPrice || (best != null && price == bestPrice && zoneMachines < bestZoneMachines)) {
                 best = offer;
@@ -161,7 +164,7 @@
     private MachineOffer cheapestPerCpu(Predicate<MachineOffer> available) {
         MachineOffer best = null;
         for (MachineOffer offer : offers()) {
-            // Reserved capacity has to serve any job, so it is not rented on spot.
+            // Reserved capacity must suit every job, so spot machines are excluded.
             if (!offer.spot() && available.test(offer) && (best == null || pricePerCpu(offer) < pricePerCpu(best))) {
                 best = offer;
             }
@@ -173,7 +176,7 @@
         return offer.type().price(offer.spot()) / offer.type().size().cpus();
     }
 
-    /** All offers of the cloud, whether or not it has capacity at present. */
+    /** All offers of the cloud, whether or not they have capacity at present. */
     List<MachineOffer> offers() {
         List<MachineOffer> offers = new ArrayList<>();
         for (MachineType type : types.all()) {
@@ -185,7 +188,7 @@
         return offers;
     }
 
-    private static int fits(Resources demand, Resources size) {
+    private static int tasksPerMachine(Resources demand, Resources size) {
         double times = Double.MAX_VALUE;
         times = demand.cpus() > 0 ? Math.min(times, size.cpus() / demand.cpus()) : times;
         times = demand.gpus() > 0 ? Math.min(times, size.gpus() / demand.gpus()) : times;
--- a/src/main/java/io/quartzgw/fleet/ScaleOutRequests.java
+++ b/src/main/java/io/quartzgw/fleet/ScaleOutRequests.java
@@ -12,7 +12,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Sends rental requests, and retries those without a definite result under the same request name. */
+/** Sends rental requests. A request without a definite result is retried under the same name. */
 final class ScaleOutRequests {
     private static final Logger LOG = LoggerFactory.getLogger(ScaleOutRequests.class);
     private static final int NO_CAPACITY_BACKOFF_MS = 15_000;
@@ -38,12 +38,12 @@
         this.records = records;
     }
 
-    /** Whether the offer may be requested; after a refusal it is not for a while. */
+    /** Whether an offer may be requested; it may not for a while after the cloud had no capacity for it. */
     boolean available(MachineOffer offer) {
         return unavailableUntil.getOrDefault(offer, Long.MIN_VALUE) <= eventLoop.nowMs();
     }
 
-    /** The machines of all requests without a definite result yet, one entry for each machine. */
+    /** Returns the offers of all requests without a definite result yet, one entry for each machine. */
     List<MachineOffer> requested() {
         List<MachineOffer> offers = new ArrayList<>();
         for (PendingRental rental : pending.values()) {
@@ -55,8 +55,8 @@
     }
 
     /**
-     * Requests the wanted machines, the most urgent first, as far as the request limit allows now. The rest is planned
-     * again later, so that each request is as large as possible.
+     * Requests the wanted machines, the most urgent first, as far as the request limit allows now. The others are not
+     * queued but planned again later, so that each request is as large as possible.
      *
      * @return whether some machines were not requested
      */
@@ -71,7 +71,7 @@
     }
 
     private void rent(MachineOffer offer, int count) {
-        // Term and counter: a request name is never used again, not even by another leader.
+        // The term and a counter make the request name unique, also across leaders.
         String name = "r-" + term.number() + "-" + ++lastRequestNumber;
         PendingRental rental = new PendingRental(name, offer, Math.min(count, CloudClient.MAX_MACHINES_PER_RENTAL));
         pending.put(rental.request(), rental);
@@ -94,7 +94,8 @@
             return;
         }
         if (result instanceof CloudClient.RentalResult.Unknown) {
-            // It may have been executed: repeating the same request returns its result and rents nothing twice.
+            // The request may have been executed. Repeating it under the same name returns its result and rents nothing
+            // twice.
             eventLoop.after(RETRY_MS, () -> send(rental));
             return;
         }
--- a/src/main/java/io/quartzgw/progress/JobCompletionWriter.java
+++ b/src/main/java/io/quartzgw/progress/JobCompletionWriter.java
@@ -15,8 +15,8 @@
 import java.util.Set;
 
 /**
- * Writes that jobs have completed, and tries again until the outcome is known. Each write is guarded by the leader's
- * term and by the revision of the open job, so that the first end of a job is the only one.
+ * Writes the completion of jobs, and retries until the outcome is known. Each write requires the leader's term and the
+ * revision of the open job, so that a job enters a terminal state only once.
  */
 final class JobCompletionWriter {
     private final EventLoop eventLoop;
@@ -24,10 +24,10 @@
     private final LeaderTerm term;
     private final long retryMs;
     private final ProgressRecorder.Listener listener;
-    /** Jobs whose completion is being written. */
+    /** Jobs whose completion is being written or waits for a retry. */
     private final Set<Job> completing = new HashSet<>();
 
-    /** @param retryMs the pause before another try */
+    /** @param retryMs the delay before a retry */
     JobCompletionWriter(
             EventLoop eventLoop, StoreClient store, LeaderTerm term, long retryMs, ProgressRecorder.Listener listener) {
         this.eventLoop = eventLoop;
@@ -37,7 +37,7 @@
         this.listener = listener;
     }
 
-    /** Writes that a job has completed, unless that is being done or the job has ended. */
+    /** Writes the completion of a job, unless that write is pending or the job has ended. */
     void complete(Job job) {
         if (!job.isTerminal() && completing.add(job)) {
             write(job);
--- a/src/main/java/io/quartzgw/progress/ProgressBitmaps.java
+++ b/src/main/java/io/quartzgw/progress/ProgressBitmaps.java
@@ -6,27 +6,27 @@
 import java.io.UncheckedIOException;
 import java.util.BitSet;
 
-/** Encodes a job's finished tasks as bitmaps, in chunks of which several fit into a value of the state service. */
+/** Encodes a job's completed tasks as bitmaps in chunks; several chunks fit into one value of the state service. */
 public final class ProgressBitmaps {
-    /** The prefix of the state service's keys that hold progress. */
+    /** Key prefix of progress records in the state service. */
     public static final String PREFIX = "prog/";
-    /** The fraction of a value that one encoded bitmap may fill. */
+    /** The fraction of the maximum value size that one encoded bitmap may use. */
     private static final double MAX_VALUE_FRACTION = 0.25;
 
     private static final int MIN_TASKS_PER_CHUNK = 64;
     private static final int BITS_PER_CHARACTER = 6;
-    /** Quotes, and padding to whole bytes and groups of four characters. */
+    /** Covers quotes, and padding to whole bytes and to groups of four characters. */
     private static final int MAX_ENCODING_OVERHEAD = 12;
 
     private final int tasksPerChunk;
 
-    /** @param valueBytes the maximum size of a value of the state service */
-    public ProgressBitmaps(int valueBytes) {
+    /** @param maxValueBytes the maximum size of a value in the state service */
+    public ProgressBitmaps(int maxValueBytes) {
         this.tasksPerChunk =
-                Math.max(MIN_TASKS_PER_CHUNK, ((int) (valueBytes * MAX_VALUE_FRACTION)) * BITS_PER_CHARACTER);
+                Math.max(MIN_TASKS_PER_CHUNK, ((int) (maxValueBytes * MAX_VALUE_FRACTION)) * BITS_PER_CHARACTER);
     }
 
-    /** Returns the chunk that a task belongs to. */
+    /** Returns the index of the chunk that a task belongs to. */
     public int chunkOf(int task) {
         return task / tasksPerChunk;
     }
@@ -36,28 +36,28 @@
         return job + "/" + chunk;
     }
 
-    /** Returns the ID of the job that a record belongs to. */
+    /** Returns the ID of the job that a record key refers to. */
     public static String jobOf(String key) {
         return key.substring(0, key.lastIndexOf('/'));
     }
 
-    /** Returns the chunk that the key of a record names. */
+    /** Returns the index of the chunk that a record key refers to. */
     static int chunkOfKey(String key) {
         return Integer.parseInt(key.substring(key.lastIndexOf('/') + 1));
     }
 
-    /** Returns the maximum length of an encoded record of a job with so many tasks. */
+    /** Returns the maximum length of an encoded record of a job with the given number of tasks. */
     public int maxRecordLength(int tasks) {
         return Math.min(tasks, tasksPerChunk) / BITS_PER_CHARACTER + MAX_ENCODING_OVERHEAD;
     }
 
-    /** Encodes the finished tasks of a chunk. */
-    public JsonNode encode(BitSet done, int chunk) {
+    /** Encodes the completed tasks of a chunk. */
+    public JsonNode encode(BitSet completed, int chunk) {
         int from = chunk * tasksPerChunk;
-        return BinaryNode.valueOf(done.get(from, from + tasksPerChunk).toByteArray());
+        return BinaryNode.valueOf(completed.get(from, from + tasksPerChunk).toByteArray());
     }
 
-    /** Decodes a chunk's record and adds its tasks to a set. */
+    /** Decodes a chunk's record and adds its completed tasks to a set. */
     public void decode(String key, JsonNode record, BitSet target) {
         int from = chunkOfKey(key) * tasksPerChunk;
         try {
--- a/src/main/java/io/quartzgw/progress/ProgressRecorder.java
+++ b/src/main/java/io/quartzgw/progress/ProgressRecorder.java
@@ -25,19 +25,19 @@
 import java.util.Set;
 
 /**
- * Records the progress of jobs in the state service: finished tasks in batches, and for each job a start limit, the
- * index below which tasks may have been started. The limit is written before the starts that it covers are sent, so
- * that after a failover the tasks from the limit on are known not to run anywhere.
+ * Records the progress of jobs in the state service: completed tasks in batches, and a start limit for each job. Only
+ * tasks with an index below the limit may have been started, since the limit is written before the starts that it
+ * covers are sent. After a failover, the tasks from the limit on are therefore known not to run anywhere.
  */
 public final class ProgressRecorder {
     private static final double BATCH_HEARTBEATS = 0.2;
     private static final double RETRY_HEARTBEATS = 0.1;
     /**
-     * The fraction of this controller's write budget that finished tasks may take. They can wait, since agents report
-     * them until they are recorded; the more tasks wait, the more are written at once.
+     * The fraction of this controller's write budget that completed tasks may use. Their writes can be delayed, since
+     * agents report them until they are recorded. A longer delay only makes the next write larger.
      */
     private static final double COMPLETED_TASKS_WRITE_FRACTION = 0.25;
-    /** The fraction of a job by which its start limit is raised ahead, so that a job takes few writes. */
+    /** The fraction of a job's tasks by which its start limit is raised ahead, to keep the number of writes low. */
     private static final double START_LIMIT_AHEAD_FRACTION = 0.5;
 
     private static final int START_LIMIT_RECORD_BYTES = 6;
@@ -55,33 +55,33 @@
     private final long retryMs;
     private final Map<Job, Set<Integer>> unwrittenChunks = new LinkedHashMap<>();
     private final Map<Job, Integer> unwrittenStartLimits = new LinkedHashMap<>();
-    /** By job ID, the chunks that have a record. */
+    /** The chunks that have a record, by job ID. */
     private final Map<String, Set<Integer>> chunksByJob = new HashMap<>();
 
     private boolean writeInFlight;
     private boolean retryDelayed;
-    /** When finished tasks may be written again, unless a start limit is written before. */
+    /** When completed tasks may be written again; they are written earlier if a start limit is. */
     private long nextCompletedTasksWriteAtMs;
 
-    /** Takes the events that other parts of the leader have to act on. */
+    /** Is notified of recorded progress that other parts of the leader have to act on. */
     public interface Listener {
         /** A job's start limit has been raised, so that more of its tasks may be started. */
         void startsRecorded(Job job);
 
-        /** Finished tasks of a job have been recorded. */
+        /** Completed tasks of a job have been recorded. */
         void finishesRecorded(Job job);
 
         /** The completion of a job has been recorded. */
-        void jobCompleted(Job job, TerminalState phase);
+        void jobCompleted(Job job, TerminalState terminalState);
 
         /**
-         * A job is no longer open in the state service: it was cancelled, or an earlier write of its completion has
-         * succeeded although its outcome was unknown.
+         * A job is no longer open in the state service: it was cancelled, or an earlier write of its completion with an
+         * unknown outcome has succeeded.
          */
         void jobTerminatedElsewhere(Job job);
     }
 
-    /** The records of one write. */
+    /** The progress that one write records. */
     private record Batch(Map<Job, BitSet> completedTasks, Map<Job, Integer> startLimits) {
         boolean isEmpty() {
             return completedTasks.isEmpty() && startLimits.isEmpty();
@@ -114,7 +114,7 @@
 
     // ---- stored records
 
-    /** Loads the progress that former leaders have recorded into the cluster state. */
+    /** Loads the progress that previous leaders have recorded into the cluster state. */
     public void load(List<KeyValue> entries, ClusterState cluster) {
         records.load(entries, (key, record) -> loadRecord(key, record, cluster));
     }
@@ -139,7 +139,7 @@
         return chunksByJob.computeIfAbsent(job, id -> new HashSet<>());
     }
 
-    /** Removes the progress of a job that has ended, with the next write. */
+    /** Removes the progress records of a job that has ended, as part of the next write. */
     public void forgetJob(String job) {
         records.removeLazily(startLimitKey(job));
         Set<Integer> chunks = chunksByJob.remove(job);
@@ -154,24 +154,27 @@
 
     // ---- progress to be recorded
 
-    /** Requests that a job's start limit is raised above a task's index. */
+    /** Requests a write that raises a job's start limit above a task's index. */
     public void recordStart(Job job, int index) {
         int tasks = job.spec().tasks();
         int limit = index + 1 + (int) Math.ceil(START_LIMIT_AHEAD_FRACTION * tasks);
         unwrittenStartLimits.merge(job, Math.min(tasks, limit), Math::max);
     }
 
-    /** Writes the requested start limits, and the finished tasks with them; called at the end of every batch. */
+    /**
+     * Writes the requested start limits along with the completed tasks; called at the end of every event loop batch.
+     */
     public void flush() {
         if (!unwrittenStartLimits.isEmpty() && !retryDelayed) {
             write();
         }
     }
 
-    /** Requests that a finished task is recorded, or the completion of its job if it is the last one. */
+    /** Requests a write of a completed task, or of the completion of its job if all its tasks have completed. */
     public void recordFinish(Job job, int index) {
         if (job.complete()) {
-            // The user expects the job to end at once, and its completion covers all of its progress.
+            // Written without delay, since the user expects the job to end immediately. The completion replaces all of
+            // the job's progress.
             unwrittenChunks.remove(job);
             completeJob(job);
             return;
@@ -180,7 +183,7 @@
         scheduleWrite();
     }
 
-    /** Requests that the completion of a job is recorded. */
+    /** Requests a write of the completion of a job. */
     public void completeJob(Job job) {
         completionWriter.complete(job);
     }
@@ -215,14 +218,14 @@
     }
 
     private Map<Job, BitSet> takeCompletedTasks() {
-        Map<Job, BitSet> finished = new LinkedHashMap<>();
+        Map<Job, BitSet> completedTasks = new LinkedHashMap<>();
         unwrittenChunks.forEach((job, chunks) -> {
             if (!job.isTerminal()) {
-                finished.put(job, putCompletedTasks(job, chunks));
+                completedTasks.put(job, putCompletedTasks(job, chunks));
             }
         });
         unwrittenChunks.clear();
-        return finished;
+        return completedTasks;
     }
 
     private BitSet putCompletedTasks(Job job, Set<Integer> chunks) {
--- a/src/main/java/io/quartzgw/progress/package-info.java
+++ b/src/main/java/io/quartzgw/progress/package-info.java
@@ -1,10 +1,12 @@
 /**
  * The recorded progress of open jobs.
  *
- * <p>Duty: {@link io.quartzgw.progress.ProgressRecorder} writes finished tasks as bitmaps in batches, start limits
- * before the starts that they cover, and the completion of jobs. An agent reports a finished task until it is recorded.
+ * <p>Responsibility: {@link io.quartzgw.progress.ProgressRecorder} writes completed tasks as bitmaps in batches, start
+ * limits before the starts that they cover, and the completion of jobs. An agent reports a completed task until it is
+ * recorded.
  *
- * <p>State: the progress that is not written yet, and which records of a job exist. All of it belongs to one term.
+ * <p>State owned: the progress that is not written yet, and which progress records of a job exist. All of it belongs to
+ * one term.
  *
  * <p>Callers: the leader and its failover recovery, on the event loop's thread only.
  */
--- a/src/test/java/io/quartzgw/fleet/DeletionBudgetTest.java
+++ b/src/test/java/io/quartzgw/fleet/DeletionBudgetTest.java
@@ -35,7 +35,10 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** Deletions of fenced machines and rentals share the cloud's request limit. */
+/**
+ * Guards against rentals that use up the cloud's request limit while the deletion of a fenced machine waits. Deletions
+ * and rentals share that limit.
+ */
 class DeletionBudgetTest {
     private static final Endpoint STATE = new Endpoint("10.2.0.1", 1);
     private static final Endpoint CLOUD = new Endpoint("10.2.0.2", 1);
@@ -137,7 +140,8 @@
         return new Reply(200, Json.write(body));
     }
 
-    // Guards against ran_cancelled: while thousands of machines are rented, no request is left for the deletion.
+    // Guards against the invariant violation ran_cancelled: while thousands of machines are rented, no request of the
+    // limit is left for the deletion of a machine that may start a cancelled task.
     @Test
     void deletesFencedMachineWhileRentalsUseRequestLimit() {
         Elections.elect(leadership, this::advance);
@@ -161,7 +165,7 @@
         fenced.fencing().addCancelledStart(new Attempt("j-3", 0, 1), now);
         rentFor(CANCEL_MS, fleet, job);
         assertTrue(cluster.contains(fenced) || deletionSent);
-        assertTrue(deletionSent, "rented meanwhile: " + rented);
+        assertTrue(deletionSent, "deletion is sent; machines rented meanwhile: " + rented);
     }
 
     private void rentFor(long durationMs, FleetManager fleet, Job job) {
--- a/src/test/java/io/quartzgw/fleet/FencingPolicyTest.java
+++ b/src/test/java/io/quartzgw/fleet/FencingPolicyTest.java
@@ -21,8 +21,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Which machines are deleted because a task waits until its start can be executed there no more, and when: no job may
- * wait for ever, and no single fault may cost most of the machines.
+ * Tests which machines are fenced, and when they may be deleted. Guards against a job that waits forever because a
+ * machine with an outstanding start of its task is never deleted, and against a single fault that costs most machines.
  */
 class FencingPolicyTest {
     private static final long RESERVATION_MS = 17_000;
@@ -59,14 +59,14 @@
         return cluster.findMachine("i-" + number).orElseThrow();
     }
 
-    private Allocation runTask(Machine on) {
-        Allocation allocation = cluster.allocate(job, job.nextPending(), on, cluster.nextAttempt());
+    private Allocation runTask(Machine machine) {
+        Allocation allocation = cluster.allocate(job, job.nextPending(), machine, cluster.nextAttempt());
         allocation.recordPhase(Allocation.Phase.RUNNING, eventLoop.nowMs());
         return allocation;
     }
 
-    private void addUnfencedAttempt(Machine on) {
-        cluster.retainUnfenced(runTask(on));
+    private void addUnfencedAttempt(Machine machine) {
+        cluster.retainUnfenced(runTask(machine));
     }
 
     private void advanceTo(long ms) {
@@ -87,7 +87,7 @@
     void fencesUnusedMachineOnceDirectCallHasEnded() {
         addUnfencedAttempt(machine(0));
         fencingPolicy.fenceMachines(false);
-        assertEquals(0, fencedMachines(), "the answer may still come");
+        assertEquals(0, fencedMachines(), "the response may still arrive");
         advanceTo(RESERVATION_MS / 4);
         fencingPolicy.fenceMachines(false);
         assertEquals(1, fencedMachines());
@@ -106,7 +106,7 @@
         assertTrue(isDeletable(machine(0)));
     }
 
-    // A replica runs for ever, and the task must not wait for it.
+    // Guards against a task that waits forever: a service replica on the same machine does not end on its own.
     @Test
     void deletesUsedMachineWhenEvacuationTimesOut() {
         addUnfencedAttempt(machine(0));
@@ -117,7 +117,7 @@
         assertTrue(isDeletable(machine(0)));
     }
 
-    // A burst of lost calls must not drain the fleet.
+    // Guards against a burst of lost direct calls that drains the fleet.
     @Test
     void limitsEvacuationsAndPrefersOpenJobs() {
         Job cancelled = cluster.add(new OpenJob(
@@ -139,13 +139,13 @@
         addUnfencedAttempt(machine(MACHINES - 1));
         advanceTo(RESERVATION_MS / 4);
         fencingPolicy.fenceMachines(false);
-        assertEquals(5, fencedMachines(), "one in twenty");
-        assertTrue(machine(MACHINES - 1).fencing().isBegun(), "a task of an open job waits for this one");
+        assertEquals(5, fencedMachines(), "one machine in twenty is evacuated");
+        assertTrue(machine(MACHINES - 1).fencing().isBegun(), "machine that blocks an open job comes first");
         fencingPolicy.fenceMachines(false);
-        assertEquals(5, fencedMachines(), "the others wait");
+        assertEquals(5, fencedMachines(), "other machines wait");
     }
 
-    // A reachable agent is sent the start of the lost attempt again.
+    // The start of a lost attempt is sent again to a reachable agent.
     @Test
     void fencesMachineWithLostAttemptOnlyWhenUnreachable() {
         runTask(machine(0)).markLost(0);
@@ -153,11 +153,11 @@
         machine(1).liveness().markUnreachable(0);
         advanceTo(RESERVATION_MS / 4);
         fencingPolicy.fenceMachines(false);
-        assertEquals(0, fencedMachines(), "it may be reached again soon");
+        assertEquals(0, fencedMachines(), "agent may soon be reachable again");
         advanceTo(RESERVATION_MS / 2);
         fencingPolicy.fenceMachines(false);
         assertEquals(1, fencedMachines());
-        assertTrue(isDeletable(machine(1)), "nothing runs there");
+        assertTrue(isDeletable(machine(1)), "machine is not in use");
     }
 
     @Test
@@ -165,13 +165,13 @@
         int pending = job.pending().cardinality();
         addUnfencedAttempt(machine(0));
         assertEquals(pending - 1, job.pending().cardinality());
-        assertEquals(4, cluster.usageByTeam("team").cpus(), "it may run");
+        assertEquals(4, cluster.usageByTeam("team").cpus(), "resources of an attempt that may run count");
         cluster.remove(machine(0));
         assertEquals(pending, job.pending().cardinality());
         assertEquals(0, cluster.usageByTeam("team").cpus());
     }
 
-    // Guards against a late start of a cancelled task on a machine that waits for its turn to be evacuated.
+    // Guards against a delayed start of a cancelled task on a machine that waits until it may be evacuated.
     @Test
     void ignoresEvacuationLimitForCancelledTasks() {
         for (int i = 0; i < MACHINES; i++) {
@@ -184,7 +184,7 @@
             advanceTo(ms);
             fencingPolicy.fenceMachines(false);
             if (ms == CANCEL_MS / 4) {
-                assertEquals(5, fencedMachines(), "at first in turn");
+                assertEquals(5, fencedMachines(), "evacuation limit applies at first");
             }
         }
         assertTrue(cluster.machines().stream().allMatch(this::isDeletable));
@@ -201,8 +201,8 @@
                 0));
     }
 
-    private void runTaskOf(Job of, Machine on) {
-        cluster.allocate(of, of.nextPending(), on, cluster.nextAttempt())
+    private void runTaskOf(Job owner, Machine machine) {
+        cluster.allocate(owner, owner.nextPending(), machine, cluster.nextAttempt())
                 .recordPhase(Allocation.Phase.RUNNING, eventLoop.nowMs());
     }
 
@@ -216,21 +216,20 @@
         machine(0).fencing().addCancelledStart(new Attempt("j-3", 0, 1), RESERVATION_MS / 2 - CANCEL_MS / 2);
         fencingPolicy.fenceMachines(false);
         assertTrue(machine(0).fencing().deadline() < deadline);
-        assertEquals(1, eventLoop.counters().get("fencing.machines"), "one machine");
+        assertEquals(1, eventLoop.counters().get("fencing.machines"), "machine is counted once");
     }
 
-    // Guards against ran_cancelled by a former leader's start.
+    // Guards against the invariant violation ran_cancelled, caused by a previous leader's start command.
     @Test
     void fencesMachineForInheritedCancelledStart() {
         machine(0).fencing().addCancelledStart(new Attempt("j-3", 0, 1), 0);
         fencingPolicy.fenceMachines(false);
-        assertTrue(isDeletable(machine(0)), "nothing runs there");
+        assertTrue(isDeletable(machine(0)), "machine is not in use");
         assertEquals(1, fencedMachines());
     }
 
-    // Guards against a task that waits for ever for room on its machine, and against inherited starts that wait for
-    // each
-    // other, since they exceed the quota together.
+    // Guards against a task that waits forever for free capacity on its machine, and against inherited starts that wait
+    // for each other because they together exceed the quota.
     @Test
     void fencesReachableMachineWhenLostAttemptIsNotRestarted() {
         runTask(machine(0)).markLost(0);
@@ -242,21 +241,21 @@
         assertEquals(1, fencedMachines());
     }
 
-    // Guards against tasks that are killed since a new leader has not heard of them yet.
+    // Guards against killing tasks that a new leader does not know yet, since it has received no heartbeat.
     @Test
     void evacuatesUnverifiedMachineBeforeDeletion() {
-        Machine silent = new Machine("i-silent", TYPE, "a", false, 0, 0);
-        silent.markHasRunTasks();
-        cluster.add(silent);
-        silent.fencing().addCancelledStart(new Attempt("j-3", 0, 1), -CANCEL_MS / 2);
+        Machine unverified = new Machine("i-silent", TYPE, "a", false, 0, 0);
+        unverified.markHasRunTasks();
+        cluster.add(unverified);
+        unverified.fencing().addCancelledStart(new Attempt("j-3", 0, 1), -CANCEL_MS / 2);
         fencingPolicy.fenceMachines(false);
-        assertTrue(silent.fencing().isBegun());
-        assertFalse(isDeletable(silent), "it is evacuated first");
+        assertTrue(unverified.fencing().isBegun());
+        assertFalse(isDeletable(unverified), "machine is evacuated first");
         advanceTo(CANCEL_MS / 2);
-        assertTrue(isDeletable(silent));
+        assertTrue(isDeletable(unverified));
     }
 
-    // Guards against a log that can't be read and is taken for empty.
+    // Guards against treating a start log that can't be read as empty.
     @Test
     void limitsEvacuationsForUnknownStarts() {
         cluster.machines().forEach(machine -> {
@@ -267,23 +266,25 @@
         assertEquals(5, fencedMachines());
     }
 
-    // Guards against the loss of the fleet: a new leader has heard of no machine yet, and what runs there is not known.
+    // Guards against the loss of the fleet: a new leader has received no heartbeats yet, so it does not know which
+    // tasks run on the machines.
     @Test
     void treatsUnverifiedMachinesAsInUse() {
         for (int i = 0; i < MACHINES; i++) {
-            Machine unheard = new Machine("u-" + i, TYPE, "a", false, 0, 0);
-            unheard.liveness().boundPreviousLeader(RESERVATION_MS);
-            unheard.markHasRunTasks();
-            unheard.fencing().expectUnknownStarts();
-            cluster.add(unheard);
+            Machine unverified = new Machine("u-" + i, TYPE, "a", false, 0, 0);
+            unverified.liveness().boundPreviousLeader(RESERVATION_MS);
+            unverified.markHasRunTasks();
+            unverified.fencing().expectUnknownStarts();
+            cluster.add(unverified);
         }
         fencingPolicy.fenceMachines(false);
         assertTrue(
                 fencedMachines() <= MACHINES / 10,
-                "of " + 2 * MACHINES + " machines, fenced at once: " + fencedMachines());
+                "of " + 2 * MACHINES + " machines, fenced at the same time: " + fencedMachines());
     }
 
-    // Guards against a late start of a cancelled task while the leader can't delete machines: it is not confirmed.
+    // Guards against a delayed start of a cancelled task while the leader can't delete machines, since it is no longer
+    // confirmed.
     @Test
     void deletesMachineForCancelledTaskWhenConfirmationEnds() {
         runTask(machine(0));
@@ -291,12 +292,12 @@
         unanswered.markStartSent();
         runTask(machine(1));
         fencingPolicy.fenceMachines(true);
-        assertEquals(0, fencedMachines(), "its job is open");
+        assertEquals(0, fencedMachines(), "job is open");
         cluster.terminate(job);
         fencingPolicy.fenceMachines(false);
-        assertEquals(0, fencedMachines(), "the confirmation does not end");
+        assertEquals(0, fencedMachines(), "confirmation is not ending");
         fencingPolicy.fenceMachines(true);
-        assertEquals(0, fencedMachines(), "no call was lost");
+        assertEquals(0, fencedMachines(), "agent is reachable");
         machine(0).liveness().markUnreachable(0);
         fencingPolicy.fenceMachines(true);
         assertEquals(1, fencedMachines());
--- a/src/test/java/io/quartzgw/fleet/ScaleInPolicyTest.java
+++ b/src/test/java/io/quartzgw/fleet/ScaleInPolicyTest.java
@@ -20,7 +20,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which machines are drained for scale-in: idle ones, unless silent machines may need them, and unbooted ones. */
+/**
+ * Tests which machines are drained for scale-in: machines that failed to boot, and idle machines unless their capacity
+ * may be needed for the tasks of unresponsive machines.
+ */
 class ScaleInPolicyTest {
     private static final long RESERVATION_MS = 17_000;
     private static final long CANCEL_MS = 36_000;
@@ -85,7 +88,8 @@
         assertEquals(5, drainingMachines());
     }
 
-    // Guards a takeover beside silent machines: unaccounted tasks need capacity when the reservations expire.
+    // Guards against scale-in after a failover while machines are unresponsive: unaccounted tasks need capacity when
+    // the machines' reservations expire.
     @Test
     void keepsIdleCapacityForUnaccountedTasks() {
         for (int i = 0; i < 5; i++) {
@@ -96,7 +100,7 @@
         cluster.markUnaccounted(job);
         advanceTo(90_000);
         scaleInPolicy.drainUnneeded(5 * 16);
-        assertEquals(2, drainingMachines(), "six tasks of one GPU need three machines of two");
+        assertEquals(2, drainingMachines(), "six tasks with one GPU each need three machines with two GPUs each");
         cluster.resolveUnaccounted(job);
         scaleInPolicy.drainUnneeded(3 * 16);
         assertEquals(5, drainingMachines());
@@ -104,21 +108,21 @@
 
     @Test
     void keepsIdleCapacityForTasksOnUnresponsiveMachine() {
-        Machine silent = addIdleMachine(0);
+        Machine unresponsive = addIdleMachine(0);
         Job job = addSingleGpuTasksJob(2);
-        cluster.allocate(job, 0, silent, 1);
-        cluster.allocate(job, 1, silent, 2);
+        cluster.allocate(job, 0, unresponsive, 1);
+        cluster.allocate(job, 1, unresponsive, 2);
         addIdleMachine(1);
         addIdleMachine(2);
         advanceTo(90_000);
         scaleInPolicy.drainUnneeded(3 * 16);
         assertEquals(1, drainingMachines());
-        heartbeat(silent);
+        heartbeat(unresponsive);
         scaleInPolicy.drainUnneeded(2 * 16);
         assertEquals(2, drainingMachines());
     }
 
-    // Guards against paying forever for a machine that does not boot.
+    // Guards against paying forever for a machine that fails to boot.
     @Test
     void drainsUnbootedMachineAfterThreeBootTimes() {
         cluster.add(new Machine("i-9", TYPE, "a", false, 0, 0));
--- a/src/test/java/io/quartzgw/fleet/package-info.java
+++ b/src/test/java/io/quartzgw/fleet/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of which machines are rented and returned. */
+/** Tests of scale-out, scale-in and fencing. */
 package io.quartzgw.fleet;
--- a/src/test/java/io/quartzgw/progress/ProgressBitmapsTest.java
+++ b/src/test/java/io/quartzgw/progress/ProgressBitmapsTest.java
@@ -8,7 +8,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Tests the encoding of finished tasks. */
+/** Tests the encoding of completed tasks as bitmaps. */
 class ProgressBitmapsTest {
     private static final int VALUE_BYTES = 8 * 1024;
     private static final int TASKS = 100_000;
@@ -22,7 +22,9 @@
         BitSet decoded = new BitSet();
         for (int chunk = 0; chunk <= bitmaps.chunkOf(TASKS - 1); chunk++) {
             byte[] value = Json.write(bitmaps.encode(done, chunk));
-            assertTrue(value.length <= bitmaps.maxRecordLength(TASKS) && value.length <= VALUE_BYTES, "fits a value");
+            assertTrue(
+                    value.length <= bitmaps.maxRecordLength(TASKS) && value.length <= VALUE_BYTES,
+                    "encoded chunk fits into a value");
             bitmaps.decode(ProgressBitmaps.key("j-000001", chunk), Json.readOrNull(value), decoded);
         }
         assertEquals(done, decoded);
--- a/src/test/java/io/quartzgw/progress/ProgressRecorderTest.java
+++ b/src/test/java/io/quartzgw/progress/ProgressRecorderTest.java
@@ -21,7 +21,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Tests the recording of progress while requests to the state service are lost or late. */
+/** Tests the recording of progress while requests to the state service are lost or delayed. */
 class ProgressRecorderTest {
     private static final int TASKS = 200;
     private static final long HEARTBEAT_MS = 2_500;
@@ -43,7 +43,7 @@
                     public void finishesRecorded(Job job) {}
 
                     @Override
-                    public void jobCompleted(Job job, TerminalState phase) {}
+                    public void jobCompleted(Job job, TerminalState terminalState) {}
 
                     @Override
                     public void jobTerminatedElsewhere(Job job) {}
@@ -54,8 +54,8 @@
         return new OpenJob(JobSpecs.named("j-" + number).tasks(TASKS).spot(true).spec(), number, 0);
     }
 
-    // After a failover, tasks at or above the recorded start limit are placed again, even if they run. The limit once
-    // fell behind when more starts were requested while the first ones were being written.
+    // Guards against a recorded start limit that is too low: after a failover, tasks at or above it are placed again
+    // even if they are running. This happened when more starts were requested while a write of the limit was in flight.
     @Test
     void keepsRecordedProgressWhenWritesAreLostOrDelayed() {
         Elections.elect(leadership, ms -> link.pass(ms, false));
@@ -96,14 +96,14 @@
                         "round " + round + ": " + found.recordedStartLimit() + " recorded of "
                                 + job.recordedStartLimit());
                 found.done().and(job.recordedDone());
-                assertEquals(job.recordedDone(), found.done(), "what agents may forget is recorded");
+                assertEquals(job.recordedDone(), found.done(), "tasks that agents no longer report are recorded");
             }
         }
         assertTrue(
                 cluster.jobs().stream().allMatch(job -> job.recordedStartLimit() > TASKS / 2),
-                "start limits were raised");
+                "start limits are raised");
         assertTrue(
                 cluster.jobs().stream().allMatch(job -> job.recordedDone().cardinality() > 10),
-                "finishes were recorded");
+                "completed tasks are recorded");
     }
 }
--- a/src/test/java/io/quartzgw/progress/package-info.java
+++ b/src/test/java/io/quartzgw/progress/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of how progress is packed and recorded. */
+/** Tests of how progress is encoded and recorded. */
 package io.quartzgw.progress;
