--- a/src/main/java/io/quartzgw/fleet/CloudClient.java
+++ b/src/main/java/io/quartzgw/fleet/CloudClient.java
@@ -132,7 +132,7 @@
     }
 
     /** Whether a call would be sent immediately. */
-    public boolean isIdle() {
+    public boolean canSendNow() {
         return queue.isEmpty() && budget.waitMsFor(1, eventLoop.nowMs()) == 0;
     }
 
--- a/src/main/java/io/quartzgw/fleet/FleetManager.java
+++ b/src/main/java/io/quartzgw/fleet/FleetManager.java
@@ -91,7 +91,7 @@
 
     private void remove(Machine machine) {
         cluster.remove(machine);
-        records.drop(machine);
+        records.removeRecords(machine);
         inventory.stopTracking(machine);
         listener.removed(machine);
     }
@@ -147,7 +147,7 @@
                 tasksNeedingMachines(unplaced),
                 booting,
                 requested,
-                scaleOutRequests::available,
+                scaleOutRequests::isAvailable,
                 reservedCpus - rentedCpus,
                 machinesPerZone());
         eventLoop.increment("fleet.plans", 1);
@@ -157,7 +157,7 @@
 
     /** Whether the cloud has recently reported no capacity for every offer. */
     public boolean isExhausted() {
-        return planner.offers().stream().noneMatch(scaleOutRequests::available);
+        return planner.offers().stream().noneMatch(scaleOutRequests::isAvailable);
     }
 
     private double rentedCpus(List<MachineOffer> requested) {
@@ -180,7 +180,7 @@
         ReusableSlots slots = new ReusableSlots(cluster.machines(), eventLoop.nowMs());
         List<UnplacedTasks> remaining = new ArrayList<>();
         for (UnplacedTasks tasks : unplaced) {
-            int count = tasks.count() - slots.take(tasks.job(), tasks.count());
+            int count = tasks.count() - slots.takeSlots(tasks.job(), tasks.count());
             if (count > 0) {
                 remaining.add(new UnplacedTasks(tasks.job(), count));
             }
--- a/src/main/java/io/quartzgw/fleet/MachineRecords.java
+++ b/src/main/java/io/quartzgw/fleet/MachineRecords.java
@@ -116,7 +116,7 @@
     }
 
     /** Schedules a write of a rented machine's description; the first start on the machine waits for it too. */
-    public void describe(Machine machine) {
+    public void scheduleDescription(Machine machine) {
         long rentedAtMs = eventLoop.wallClockMs() - (eventLoop.nowMs() - machine.rentedAt());
         // Rounded up, so that the recorded age is never above the actual one.
         descriptions.put(machine.id(), MachineRecordCodec.encodeDescription(machine, rentedAtMs / 1000 + 1), 0);
@@ -128,7 +128,7 @@
         if (!machine.hasRunTasks() && pendingMarks.add(machine)) {
             if (!descriptions.contains(machine.id())) {
                 // The machine is not known to be rented by this leader, so its description was not written yet.
-                describe(machine);
+                scheduleDescription(machine);
             }
             marks.put(machine.id(), MachineRecordCodec.encodeMark(machine.address()), 0);
             writeNeeded = true;
@@ -136,7 +136,7 @@
     }
 
     /** Drops the records of a machine that certainly no longer exists. */
-    public void drop(Machine machine) {
+    public void removeRecords(Machine machine) {
         pendingMarks.remove(machine);
         descriptions.removeLazily(machine.id());
         if (marks.contains(machine.id())) {
--- a/src/main/java/io/quartzgw/fleet/ReusableSlots.java
+++ b/src/main/java/io/quartzgw/fleet/ReusableSlots.java
@@ -36,7 +36,7 @@
     }
 
     /** Takes slots for up to {@code count} tasks of a job that meet its deadline, and returns for how many. */
-    int take(Job job, int count) {
+    int takeSlots(Job job, int count) {
         if (job.dueAt() == Long.MAX_VALUE) {
             return 0;
         }
--- a/src/main/java/io/quartzgw/fleet/ScaleInRequests.java
+++ b/src/main/java/io/quartzgw/fleet/ScaleInRequests.java
@@ -34,14 +34,14 @@
 
     /** Deletes fenced machines that may be deleted now, if the cloud's request limit allows a call. */
     void deleteFenced() {
-        if (cloud.isIdle()) {
+        if (cloud.canSendNow()) {
             delete(machine -> machine.isFencingDue(eventLoop.nowMs()));
         }
     }
 
     /** Deletes drained machines, and returns whether some have to wait because of the cloud's request limit. */
     boolean deleteDrained() {
-        if (!cloud.isIdle()) {
+        if (!cloud.canSendNow()) {
             return cluster.machines().stream().anyMatch(machine -> machine.status() == Machine.Status.DRAINING);
         }
         delete(machine -> machine.status() == Machine.Status.DRAINING && isDeletable(machine));
--- a/src/main/java/io/quartzgw/fleet/ScaleOutRequests.java
+++ b/src/main/java/io/quartzgw/fleet/ScaleOutRequests.java
@@ -39,7 +39,7 @@
     }
 
     /** Whether an offer may be requested; it may not for a while after the cloud had no capacity for it. */
-    boolean available(MachineOffer offer) {
+    boolean isAvailable(MachineOffer offer) {
         return unavailableUntil.getOrDefault(offer, Long.MIN_VALUE) <= eventLoop.nowMs();
     }
 
@@ -62,7 +62,7 @@
      */
     boolean request(Map<MachineOffer, Integer> wanted) {
         for (Map.Entry<MachineOffer, Integer> entry : wanted.entrySet()) {
-            if (!cloud.isIdle()) {
+            if (!cloud.canSendNow()) {
                 return true;
             }
             rent(entry.getKey(), entry.getValue());
@@ -113,7 +113,7 @@
             Machine machine =
                     new Machine(id, offer.type(), offer.zone(), offer.spot(), eventLoop.nowMs(), eventLoop.nowMs());
             cluster.add(machine);
-            records.describe(machine);
+            records.scheduleDescription(machine);
         }
     }
 }
