--- a/src/main/java/io/quartzgw/fleet/FencingPolicy.java
+++ b/src/main/java/io/quartzgw/fleet/FencingPolicy.java
@@ -12,57 +12,58 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Decides which machines are fenced, which means deleted, because a task waits until a start of it can be executed
- * there no more.
+ * Decides which machines are fenced. Fencing a machine means deleting it, so that an outstanding start is no longer
+ * executable there and its task need not wait any longer.
  *
- * <p>A machine on which nothing else runs is fenced at once. One that is in use is first evacuated, for a limited time,
- * and only a few of them at a time: neither a partition nor a burst of lost calls may cost the fleet. But a machine
- * that may start a task of a cancelled job is deleted within the time limit of the cancellation, however many there
- * are.
+ * <p>A machine that is not in use is fenced at once. A machine in use is evacuated first, for a limited time. The
+ * number of machines evacuated at a time is also limited, so that neither a partition nor a burst of lost direct calls
+ * costs most of the fleet. That limit does not apply to machines that may start a task of a cancelled job: all of them
+ * are deleted within the time limit of the cancellation.
  */
 final class FencingPolicy {
     private static final Logger LOG = LoggerFactory.getLogger(FencingPolicy.class);
-    /** A direct call in flight ends within this fraction of a reservation: until then its answer may still come. */
-    private static final double ANSWER_RESERVATIONS = 0.2;
-    /** An unreachable agent that has lost attempts gets this fraction of a reservation to answer a call again. */
-    private static final double REACHABLE_AGAIN_RESERVATIONS = 0.4;
-    /** A lost attempt that its reachable agent does not run again is waited for this long, in reservations. */
-    private static final double LOST_RESERVATIONS = 1;
+    /** A direct call ends within this fraction of a reservation; until then its response may still arrive. */
+    private static final double RESPONSE_WAIT_RESERVATIONS = 0.2;
+    /** An unreachable agent with lost attempts has this fraction of a reservation to respond to a direct call. */
+    private static final double UNREACHABLE_GRACE_RESERVATIONS = 0.4;
+    /** How long a reachable agent has to run a lost attempt again, in reservations. */
+    private static final double LOST_ATTEMPT_GRACE_RESERVATIONS = 1;
     /** How long a machine in use is evacuated before it is deleted, in reservations. */
     private static final double EVACUATION_RESERVATIONS = 1.5;
-    /** From this fraction of the time limit of a cancellation on, the number of evacuated machines does not count. */
-    private static final double OUT_OF_TURN_CANCEL_FRACTION = 0.5;
-    /** At this fraction of the limit the machine is deleted; the rest is for the cloud's answer. */
+    /** From this fraction of a cancellation's time limit on, the limit of machines being evacuated is ignored. */
+    private static final double IGNORE_EVACUATION_LIMIT_CANCEL_FRACTION = 0.5;
+    /** At this fraction of a cancellation's time limit the machine is deleted; the rest is for the cloud's response. */
     private static final double DELETION_CANCEL_FRACTION = 0.8;
-    /** The largest share of the machines that is evacuated for fencing at a time. */
-    private static final double MAX_EVACUATED_SHARE = 0.05;
-    /** Where the share is less, so many may be evacuated at a time. */
-    private static final int MIN_EVACUATED = 2;
+    /** The maximum fraction of the machines that is evacuated for fencing at a time. */
+    private static final double MAX_EVACUATED_FRACTION = 0.05;
+    /** In small fleets, at least this many machines may be evacuated at a time. */
+    private static final int MIN_EVACUATION_LIMIT = 2;
 
     private final EventLoop eventLoop;
     private final ClusterState cluster;
-    private final long answerMs;
-    private final long reachableAgainMs;
+    private final long responseWaitMs;
+    private final long unreachableGraceMs;
     private final long evacuationMs;
-    private final long lostMs;
-    private final long outOfTurnMs;
-    private final long deletionMs;
+    private final long lostAttemptGraceMs;
+    private final long ignoreEvacuationLimitMs;
+    private final long cancelDeletionMs;
 
     FencingPolicy(EventLoop eventLoop, ClusterState cluster, FleetManager.Policy policy) {
         this.eventLoop = eventLoop;
         this.cluster = cluster;
-        this.answerMs = (long) (ANSWER_RESERVATIONS * policy.reservationMs());
-        this.reachableAgainMs = (long) (REACHABLE_AGAIN_RESERVATIONS * policy.reservationMs());
+        this.responseWaitMs = (long) (RESPONSE_WAIT_RESERVATIONS * policy.reservationMs());
+        this.unreachableGraceMs = (long) (UNREACHABLE_GRACE_RESERVATIONS * policy.reservationMs());
         this.evacuationMs = (long) (EVACUATION_RESERVATIONS * policy.reservationMs());
-        this.lostMs = (long) (LOST_RESERVATIONS * policy.reservationMs());
-        this.outOfTurnMs = (long) (OUT_OF_TURN_CANCEL_FRACTION * policy.cancelMs());
-        this.deletionMs = (long) (DELETION_CANCEL_FRACTION * policy.cancelMs());
+        this.lostAttemptGraceMs = (long) (LOST_ATTEMPT_GRACE_RESERVATIONS * policy.reservationMs());
+        this.ignoreEvacuationLimitMs = (long) (IGNORE_EVACUATION_LIMIT_CANCEL_FRACTION * policy.cancelMs());
+        this.cancelDeletionMs = (long) (DELETION_CANCEL_FRACTION * policy.cancelMs());
     }
 
     /**
-     * Begins to fence the machines that have to be; called only while the cloud responds, so that it can delete them.
+     * Begins to fence all machines that need it. Called only while the cloud responds, since otherwise it could not
+     * delete them.
      *
-     * @param confirmationEnding whether this leader may soon be unable to delete machines, for a time that is not known
+     * @param confirmationEnding whether this leader may soon be unable to delete machines, for an unknown time
      */
     void fenceMachines(boolean confirmationEnding) {
         List<Machine> needed = cluster.machines().stream()
@@ -70,78 +71,84 @@
                 .toList();
         if (!needed.isEmpty()) {
             needed.stream().filter(machine -> !machine.isInUse()).forEach(this::fence);
-            evacuate(needed.stream().filter(Machine::isInUse).toList());
+            fenceWithinEvacuationLimit(needed.stream().filter(Machine::isInUse).toList());
         }
-        cluster.machines().forEach(confirmationEnding ? this::fenceNow : this::fenceOutOfTurn);
+        cluster.machines()
+                .forEach(
+                        confirmationEnding
+                                ? this::fenceIfCancelledTaskMayStart
+                                : this::fenceBeforeCancellationDeadline);
     }
 
     private boolean isFencingNeeded(Machine machine) {
-        return hasLongUnfenced(machine)
-                || hasUnreachableLost(machine)
-                || hasLongLost(machine)
+        return hasOverdueUnfencedAttempt(machine)
+                || hasUnreachableLostAttempt(machine)
+                || hasOverdueLostAttempt(machine)
                 || machine.fencing().cancelledStarts() > 0
                 || machine.fencing().hasUnknownStarts();
     }
 
-    private boolean hasLongUnfenced(Machine machine) {
+    private boolean hasOverdueUnfencedAttempt(Machine machine) {
         return machine.fencing().hasUnfenced()
                 && machine.fencing().unfenced().stream()
-                        .anyMatch(allocation -> allocation.isLostFor(answerMs, eventLoop.nowMs()));
+                        .anyMatch(allocation -> allocation.isLostFor(responseWaitMs, eventLoop.nowMs()));
     }
 
-    // A reachable agent is sent the starts of lost attempts again.
-    private boolean hasUnreachableLost(Machine machine) {
+    // The starts of lost attempts are sent again to a reachable agent.
+    private boolean hasUnreachableLostAttempt(Machine machine) {
         if (!machine.reservationExpired() && !machine.liveness().unreachable()) {
             return false;
         }
-        long waitMs = machine.reservationExpired() ? 0 : reachableAgainMs;
+        long waitMs = machine.reservationExpired() ? 0 : unreachableGraceMs;
         return machine.allocations().stream().anyMatch(allocation -> allocation.isLostFor(waitMs, eventLoop.nowMs()));
     }
 
-    // A start is not sent again while its machine lacks room, nor while the inherited starts of a team exceed its quota
-    // together: they would wait for each other.
-    private boolean hasLongLost(Machine machine) {
-        return machine.allocations().stream().anyMatch(allocation -> allocation.isLostFor(lostMs, eventLoop.nowMs()));
+    // Covers reachable agents too: a start is not sent again while its machine lacks free capacity, nor while the
+    // inherited starts of a team together exceed its quota. Such starts would wait for each other.
+    private boolean hasOverdueLostAttempt(Machine machine) {
+        return machine.allocations().stream()
+                .anyMatch(allocation -> allocation.isLostFor(lostAttemptGraceMs, eventLoop.nowMs()));
     }
 
-    // Users were told that nothing of the job runs after a limit; a share of the machines may not stand against that.
-    private void fenceOutOfTurn(Machine machine) {
+    // The acknowledged cancellation guarantees that none of the job's tasks runs after the time limit. The limit of
+    // machines being evacuated must not delay that.
+    private void fenceBeforeCancellationDeadline(Machine machine) {
         OptionalLong cancelledAtMs = CancelledTasks.firstCancellationMs(machine);
-        if (cancelledAtMs.isEmpty() || eventLoop.nowMs() < cancelledAtMs.getAsLong() + outOfTurnMs) {
+        if (cancelledAtMs.isEmpty() || eventLoop.nowMs() < cancelledAtMs.getAsLong() + ignoreEvacuationLimitMs) {
             return;
         }
-        long deadline = cancelledAtMs.getAsLong() + deletionMs;
+        long deadline = cancelledAtMs.getAsLong() + cancelDeletionMs;
         if (deadline < machine.fencing().deadline()) {
             eventLoop.increment("fencing.out_of_turn", 1);
             fence(machine, deadline);
         }
     }
 
-    // The state service does not renew the leader's lease: it may be back only after the limit.
-    private void fenceNow(Machine machine) {
+    // The state service does not renew the leader's lease, and it may recover only after the cancellation's time limit.
+    private void fenceIfCancelledTaskMayStart(Machine machine) {
         if (CancelledTasks.firstPossibleCancellationMs(machine).isPresent()) {
             fence(machine, eventLoop.nowMs());
         }
     }
 
-    // Those for the sake of open jobs come first: nothing waits for a job that was cancelled.
-    private void evacuate(List<Machine> machines) {
-        long allowed = Math.max(MIN_EVACUATED, (long)
-                        (MAX_EVACUATED_SHARE * cluster.machines().size()))
-                - evacuating();
+    // Machines that block an open job come first: nothing waits for the tasks of a cancelled job.
+    private void fenceWithinEvacuationLimit(List<Machine> machines) {
+        long allowed = Math.max(MIN_EVACUATION_LIMIT, (long)
+                        (MAX_EVACUATED_FRACTION * cluster.machines().size()))
+                - evacuatingMachines();
         machines.stream()
-                .sorted(Comparator.comparing(machine -> !holdsBackOpenJob(machine)))
+                .sorted(Comparator.comparing(machine -> !blocksOpenJob(machine)))
                 .limit(Math.max(0, allowed))
                 .forEach(this::fence);
     }
 
-    private long evacuating() {
+    private long evacuatingMachines() {
         return cluster.machines().stream()
                 .filter(machine -> machine.fencing().isBegun() && machine.isInUse())
                 .count();
     }
 
-    private static boolean holdsBackOpenJob(Machine machine) {
+    private static boolean blocksOpenJob(Machine machine) {
         return machine.fencing().unfenced().stream().map(Allocation::job).anyMatch(job -> !job.isTerminal());
     }
 
@@ -151,18 +158,18 @@
 
     private void fence(Machine machine, long deadline) {
         if (!machine.fencing().isBegun()) {
-            report(machine, deadline);
+            logFencing(machine, deadline);
         }
         machine.fence(deadline);
     }
 
-    private void report(Machine machine, long deadline) {
+    private void logFencing(Machine machine, long deadline) {
         eventLoop.increment("fencing.machines", 1);
         LOG.atInfo()
                 .addKeyValue("machine", machine.id())
                 .addKeyValue("reason", "fenced")
                 .addKeyValue("unfenced_attempts", machine.fencing().unfenced().size())
-                .addKeyValue("holds_back_open_job", holdsBackOpenJob(machine))
+                .addKeyValue("holds_back_open_job", blocksOpenJob(machine))
                 .addKeyValue("cancelled_starts", machine.fencing().cancelledStarts())
                 .addKeyValue("in_use", machine.isInUse())
                 .addKeyValue("evacuation_ms", Math.max(0, deadline - eventLoop.nowMs()))
--- a/src/main/java/io/quartzgw/fleet/ScaleInPolicy.java
+++ b/src/main/java/io/quartzgw/fleet/ScaleInPolicy.java
@@ -12,21 +12,23 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Decides which machines are drained for scale-in: those that are idle, never booted, or are lost, and underutilized
- * ones whose tasks fit elsewhere.
+ * Decides which machines are drained for scale-in: machines that are idle, lost or failed to boot, and underutilized
+ * machines whose tasks fit elsewhere.
  */
 final class ScaleInPolicy {
     private static final Logger LOG = LoggerFactory.getLogger(ScaleInPolicy.class);
-    /** Boot times vary; a machine that takes longer than this many usual boot times is given up. */
+    /** Boot times vary; a machine that takes longer than this many usual boot times is drained. */
     private static final double MAX_BOOT_TIMES = 3;
-    /** The minimum rental time that the cloud charges: no machine is deleted before. */
-    private static final int MIN_CHARGED_MS = 60_000;
+    /**
+     * The minimum rental time that the cloud charges; idle and underutilized machines are not deleted before its end.
+     */
+    private static final int MIN_RENTAL_MS = 60_000;
     /** How long before the end of the minimum rental time a machine may be drained. */
     private static final int DRAIN_AHEAD_MS = 2_000;
-    /** A machine stays for a pause between two jobs, no longer: jobs with a deadline can wait for a boot. */
+    /** How long a machine may be idle, as between two jobs, in boot times: jobs with a deadline can wait for a boot. */
     private static final double IDLE_BOOT_TIMES = 0.2;
-    /** A machine is lost after this many reservation times of silence. */
-    private static final double LOST_RESERVATIONS = 1.5;
+    /** A machine is lost after it was unresponsive or unreachable for this many reservations. */
+    private static final double LOST_MACHINE_RESERVATIONS = 1.5;
 
     private final EventLoop eventLoop;
     private final ClusterState cluster;
@@ -50,14 +52,14 @@
     void drainUnneeded(double rentedCpus) {
         double spareCpus = rentedCpus - policy.reservedCpus();
         Resources idle = idleCapacity();
-        Resources neededLater = demandOfSilentMachines();
+        Resources reservedDemand = demandOfUnresponsiveMachines();
         for (Machine machine : cluster.machines()) {
             double cpus = machine.type().size().cpus();
-            if (neverBooted(machine) || isLost(machine)) {
+            if (failedToBoot(machine) || isLost(machine)) {
                 drain(machine, machine.liveness().verified() ? "lost" : "never_booted");
             } else if (isIdle(machine)
                     && cpus <= spareCpus
-                    && neededLater.fitsIn(idle.minus(machine.type().size()))) {
+                    && reservedDemand.fitsIn(idle.minus(machine.type().size()))) {
                 drain(machine, "idle");
                 spareCpus -= cpus;
                 idle = idle.minus(machine.type().size());
@@ -87,10 +89,9 @@
         return capacity;
     }
 
-    // Guards against scale-in shortly before capacity is needed: tasks that may run on a silent machine are not
-    // pending,
-    // but when its reservation expires they all are, and then the cloud may have no machine left to rent.
-    private Resources demandOfSilentMachines() {
+    // Guards against scale-in shortly before capacity is needed. Tasks that may run on an unresponsive machine are not
+    // pending, but they all become pending when its reservation expires. Then the cloud may have no capacity left.
+    private Resources demandOfUnresponsiveMachines() {
         Resources demand = Resources.NONE;
         for (Job job : cluster.jobsWithUnaccountedTasks()) {
             demand = demand.plus(job.spec().demand().times(job.unaccounted().cardinality()));
@@ -108,8 +109,8 @@
         return demand;
     }
 
-    /** Drains an underutilized machine, one at a time. */
-    void drainUnderused() {
+    /** Drains an underutilized machine, unless another machine is still being evacuated. */
+    void drainUnderutilized() {
         boolean draining = cluster.machines().stream()
                 .anyMatch(machine -> machine.status() == Machine.Status.DRAINING && !machine.empty());
         if (policy.reservedCpus() > 0 || draining) {
@@ -121,7 +122,7 @@
     }
 
     private boolean minimumRentalElapsed(Machine machine) {
-        return eventLoop.nowMs() - machine.rentedAt() > MIN_CHARGED_MS - DRAIN_AHEAD_MS;
+        return eventLoop.nowMs() - machine.rentedAt() > MIN_RENTAL_MS - DRAIN_AHEAD_MS;
     }
 
     private boolean isIdle(Machine machine) {
@@ -134,25 +135,25 @@
                 && eventLoop.nowMs() - electedAt > idleMs;
     }
 
-    private boolean neverBooted(Machine machine) {
+    private boolean failedToBoot(Machine machine) {
         return machine.status() == Machine.Status.BOOTING
                 && (!machine.hasRunTasks() || machine.reservationExpired())
                 && eventLoop.nowMs() - Math.max(machine.rentedAt(), electedAt)
                         > (long) (MAX_BOOT_TIMES * machine.type().bootMs());
     }
 
-    // Its reservation has expired and it has not come back, or it sends heartbeats but takes no commands: unreachable
-    // machines must not accumulate while others are rented in their place.
+    // A machine is lost if its reservation has expired without a further heartbeat, or if it sends heartbeats but does
+    // not respond to direct calls. Such machines must not accumulate while others are rented in their place.
     private boolean isLost(Machine machine) {
         if (machine.status() != Machine.Status.UP || !machine.empty()) {
             return false;
         }
         AgentLiveness liveness = machine.liveness();
-        long maxSilenceMs = (long) (LOST_RESERVATIONS * policy.reservationMs());
-        boolean silentTooLong = machine.reservationExpired()
-                && eventLoop.nowMs() - Math.max(liveness.lastResponseAt(), electedAt) > maxSilenceMs;
+        long maxUnresponsiveMs = (long) (LOST_MACHINE_RESERVATIONS * policy.reservationMs());
+        boolean unresponsiveTooLong = machine.reservationExpired()
+                && eventLoop.nowMs() - Math.max(liveness.lastResponseAt(), electedAt) > maxUnresponsiveMs;
         boolean unreachableTooLong =
-                liveness.unreachable() && eventLoop.nowMs() - liveness.unreachableSince() > maxSilenceMs;
-        return silentTooLong || unreachableTooLong;
+                liveness.unreachable() && eventLoop.nowMs() - liveness.unreachableSince() > maxUnresponsiveMs;
+        return unresponsiveTooLong || unreachableTooLong;
     }
 }
