--- a/src/main/java/io/quartzgw/eventloop/EventLoop.java
+++ b/src/main/java/io/quartzgw/eventloop/EventLoop.java
@@ -195,9 +195,9 @@
         private final Runnable task;
         private boolean cancelled;
 
-        private Timer(long due, long order, Runnable task) {
-            this.dueMs = due;
-            this.sequence = order;
+        private Timer(long dueMs, long sequence, Runnable task) {
+            this.dueMs = dueMs;
+            this.sequence = sequence;
             this.task = task;
         }
 
@@ -207,8 +207,8 @@
 
         @Override
         public int compareTo(Timer other) {
-            int byDue = Long.compare(dueMs, other.dueMs);
-            return byDue != 0 ? byDue : Long.compare(sequence, other.sequence);
+            int byDueTime = Long.compare(dueMs, other.dueMs);
+            return byDueTime != 0 ? byDueTime : Long.compare(sequence, other.sequence);
         }
     }
 }
--- a/src/main/java/io/quartzgw/eventloop/EventLoopThread.java
+++ b/src/main/java/io/quartzgw/eventloop/EventLoopThread.java
@@ -18,7 +18,7 @@
  */
 public final class EventLoopThread implements Runnable {
     private static final Logger LOG = LoggerFactory.getLogger(EventLoopThread.class);
-    private static final long MAX_IDLE_MS = 1_000;
+    private static final long MAX_POLL_MS = 1_000;
 
     private final EventLoop eventLoop;
     private final Consumer<Effect> effectRunner;
@@ -28,14 +28,14 @@
     private volatile boolean stopRequested;
 
     /**
-     * @param buffer how many inbound requests may wait
+     * @param requestCapacity how many inbound requests may wait
      * @param effectRunner carries out effects; must not block
      */
-    public EventLoopThread(EventLoop eventLoop, int buffer, Consumer<Effect> effectRunner) {
+    public EventLoopThread(EventLoop eventLoop, int requestCapacity, Consumer<Effect> effectRunner) {
         this.eventLoop = eventLoop;
         this.effectRunner = effectRunner;
-        this.maxBatchSize = buffer;
-        this.requestBuffer = new ArrayBlockingQueue<>(buffer);
+        this.maxBatchSize = requestCapacity;
+        this.requestBuffer = new ArrayBlockingQueue<>(requestCapacity);
     }
 
     /** Takes an inbound request, or says false when the buffer is full. */
@@ -62,20 +62,20 @@
 
     @Override
     public void run() {
-        List<Command> taken = new ArrayList<>(maxBatchSize);
+        List<Command> batch = new ArrayList<>(maxBatchSize);
         try {
             while (!stopRequested) {
-                long wait = Math.min(
-                        MAX_IDLE_MS, eventLoop.nextTimerAt() - currentTime().steadyMs());
-                Command first = wait > 0 ? commands.poll(wait, TimeUnit.MILLISECONDS) : commands.poll();
+                long waitMs = Math.min(
+                        MAX_POLL_MS, eventLoop.nextTimerAt() - currentTime().steadyMs());
+                Command first = waitMs > 0 ? commands.poll(waitMs, TimeUnit.MILLISECONDS) : commands.poll();
                 if (first != null) {
-                    taken.add(first);
-                    commands.drainTo(taken, maxBatchSize - 1);
+                    batch.add(first);
+                    commands.drainTo(batch, maxBatchSize - 1);
                 }
-                taken.removeIf(command -> command == WAKE_UP);
-                requestBuffer.drainTo(taken, maxBatchSize);
-                eventLoop.processBatch(taken, currentTime()).forEach(effectRunner);
-                taken.clear();
+                batch.removeIf(command -> command == WAKE_UP);
+                requestBuffer.drainTo(batch, maxBatchSize);
+                eventLoop.processBatch(batch, currentTime()).forEach(effectRunner);
+                batch.clear();
             }
         } catch (InterruptedException e) {
             LOG.info("event loop interrupted");
--- a/src/main/java/io/quartzgw/http/CancellableConnector.java
+++ b/src/main/java/io/quartzgw/http/CancellableConnector.java
@@ -13,40 +13,40 @@
  * making: the client itself has no way to give one up.
  */
 final class CancellableConnector extends XnioIoThread {
-    private final XnioIoThread thread;
-    private IoFuture<StreamConnection> takeLastOpened;
+    private final XnioIoThread delegate;
+    private IoFuture<StreamConnection> lastOpened;
 
     CancellableConnector(XnioIoThread thread) {
         super(thread.getWorker(), thread.getNumber());
-        this.thread = thread;
+        this.delegate = thread;
     }
 
     /** The connection whose opening was asked for last, or null when none was. */
     IoFuture<StreamConnection> takeLastOpened() {
-        IoFuture<StreamConnection> last = takeLastOpened;
-        takeLastOpened = null;
+        IoFuture<StreamConnection> last = lastOpened;
+        lastOpened = null;
         return last;
     }
 
     @Override
     public IoFuture<StreamConnection> openStreamConnection(
             SocketAddress destination, ChannelListener<? super StreamConnection> openListener, OptionMap options) {
-        takeLastOpened = thread.openStreamConnection(destination, openListener, options);
-        return takeLastOpened;
+        lastOpened = delegate.openStreamConnection(destination, openListener, options);
+        return lastOpened;
     }
 
     @Override
     public void execute(Runnable task) {
-        thread.execute(task);
+        delegate.execute(task);
     }
 
     @Override
     public Key executeAfter(Runnable task, long time, TimeUnit unit) {
-        return thread.executeAfter(task, time, unit);
+        return delegate.executeAfter(task, time, unit);
     }
 
     @Override
     public Key executeAtInterval(Runnable task, long time, TimeUnit unit) {
-        return thread.executeAtInterval(task, time, unit);
+        return delegate.executeAtInterval(task, time, unit);
     }
 }
--- a/src/main/java/io/quartzgw/http/HttpClient.java
+++ b/src/main/java/io/quartzgw/http/HttpClient.java
@@ -37,23 +37,23 @@
  */
 public final class HttpClient {
     private static final int READ_BUFFER_BYTES = 8 * 1024;
-    private static final long IDLE_MS = 30_000;
+    private static final long MAX_IDLE_MS = 30_000;
 
     private final XnioIoThread thread;
     private final CancellableConnector connector;
     private final ByteBufferPool buffers;
-    private final int maxIdle;
+    private final int maxIdleConnections;
     /** Pooled connections, the longest idle first. */
     private final Set<IdleConnection> idleConnections = new LinkedHashSet<>();
 
     private final Map<Endpoint, Deque<IdleConnection>> idleByEndpoint = new HashMap<>();
 
-    /** @param maxIdle the most idle connections in the pool; each takes a socket */
-    public HttpClient(XnioWorker worker, ByteBufferPool buffers, int maxIdle) {
+    /** @param maxIdleConnections the most idle connections in the pool; each takes a socket */
+    public HttpClient(XnioWorker worker, ByteBufferPool buffers, int maxIdleConnections) {
         this.thread = worker.getIoThread(0);
         this.connector = new CancellableConnector(thread);
         this.buffers = buffers;
-        this.maxIdle = maxIdle;
+        this.maxIdleConnections = maxIdleConnections;
     }
 
     /**
@@ -71,13 +71,13 @@
         private final ClientConnection connection;
         private final long idleSinceMs = nowMs();
 
-        IdleConnection(Endpoint to, ClientConnection connection) {
-            this.endpoint = to;
+        IdleConnection(Endpoint endpoint, ClientConnection connection) {
+            this.endpoint = endpoint;
             this.connection = connection;
         }
 
         boolean usable() {
-            return connection.isOpen() && nowMs() - idleSinceMs < IDLE_MS;
+            return connection.isOpen() && nowMs() - idleSinceMs < MAX_IDLE_MS;
         }
     }
 
@@ -106,7 +106,7 @@
         // a burst, don't take the sockets that new ones need.
         while (!idleConnections.isEmpty()) {
             IdleConnection oldest = idleConnections.iterator().next();
-            if (idleConnections.size() <= maxIdle && oldest.usable()) {
+            if (idleConnections.size() <= maxIdleConnections && oldest.usable()) {
                 return;
             }
             removeIdle(oldest);
@@ -128,41 +128,42 @@
         private final long validUntilMs;
         private final Consumer<Reply> callback;
         private final XnioExecutor.Key timeout;
-        private final ByteArrayOutputStream received = new ByteArrayOutputStream();
-        private IoFuture<StreamConnection> connecting;
+        private final ByteArrayOutputStream responseBody = new ByteArrayOutputStream();
+        private IoFuture<StreamConnection> connectFuture;
         private ClientConnection connection;
-        private boolean done;
+        private boolean completed;
 
-        PendingCall(Call call, long validUntilMs, Consumer<Reply> then) {
+        PendingCall(Call call, long validUntilMs, Consumer<Reply> callback) {
             this.call = call;
             this.validUntilMs = validUntilMs;
-            this.callback = then;
+            this.callback = callback;
             this.timeout = thread.executeAfter(this::fail, call.timeoutMs(), TimeUnit.MILLISECONDS);
         }
 
         void start() {
-            ClientConnection open = takeIdle(call.endpoint());
-            if (open != null) {
-                connected(open);
+            ClientConnection idle = takeIdle(call.endpoint());
+            if (idle != null) {
+                onConnected(idle);
                 return;
             }
             URI uri = URI.create("http://" + call.endpoint());
-            UndertowClient.getInstance().connect(onSuccess(this::connected), uri, connector, buffers, OptionMap.EMPTY);
-            connecting = connector.takeLastOpened();
+            UndertowClient.getInstance()
+                    .connect(onSuccess(this::onConnected), uri, connector, buffers, OptionMap.EMPTY);
+            connectFuture = connector.takeLastOpened();
         }
 
-        private void connected(ClientConnection open) {
-            if (done) {
+        private void onConnected(ClientConnection opened) {
+            if (completed) {
                 // The call timed out while its connection was being opened.
-                IoUtils.safeClose(open);
+                IoUtils.safeClose(opened);
                 return;
             }
             if (nowMs() >= validUntilMs) {
-                IoUtils.safeClose(open);
+                IoUtils.safeClose(opened);
                 fail();
                 return;
             }
-            connection = open;
+            connection = opened;
             ClientRequest request =
                     new ClientRequest().setPath(call.path()).setMethod(HttpString.tryFromString(call.method()));
             request.getRequestHeaders().put(Headers.HOST, call.endpoint().toString());
@@ -170,20 +171,20 @@
                 request.getRequestHeaders().put(Headers.CONTENT_TYPE, call.type());
                 request.getRequestHeaders().put(Headers.CONTENT_LENGTH, call.body().length);
             }
-            connection.sendRequest(request, onSuccess(this::requestStarted));
+            connection.sendRequest(request, onSuccess(this::onRequestStarted));
         }
 
-        private void requestStarted(ClientExchange exchange) {
-            exchange.setResponseListener(onSuccess(this::responseStarted));
+        private void onRequestStarted(ClientExchange exchange) {
+            exchange.setResponseListener(onSuccess(this::onResponseStarted));
             if (call.body() != null) {
                 ByteBuffer body = ByteBuffer.wrap(call.body());
                 StreamSinkChannel sink = exchange.getRequestChannel();
-                sink.getWriteSetter().set(channel -> write(sink, body));
-                write(sink, body);
+                sink.getWriteSetter().set(channel -> writeBody(sink, body));
+                writeBody(sink, body);
             }
         }
 
-        private void write(StreamSinkChannel sink, ByteBuffer body) {
+        private void writeBody(StreamSinkChannel sink, ByteBuffer body) {
             try {
                 while (body.hasRemaining()) {
                     if (sink.write(body) == 0) {
@@ -203,58 +204,58 @@
             }
         }
 
-        private void responseStarted(ClientExchange exchange) {
+        private void onResponseStarted(ClientExchange exchange) {
             StreamSourceChannel source = exchange.getResponseChannel();
             byte[] buffer = new byte[READ_BUFFER_BYTES];
-            source.getReadSetter().set(channel -> read(exchange, source, buffer));
-            read(exchange, source, buffer);
+            source.getReadSetter().set(channel -> readBody(exchange, source, buffer));
+            readBody(exchange, source, buffer);
         }
 
-        private void read(ClientExchange exchange, StreamSourceChannel source, byte[] buffer) {
+        private void readBody(ClientExchange exchange, StreamSourceChannel source, byte[] buffer) {
             try {
                 while (true) {
                     int count = source.read(ByteBuffer.wrap(buffer));
                     if (count < 0) {
-                        finish(exchange);
+                        complete(exchange);
                         return;
                     }
                     if (count == 0) {
                         source.resumeReads();
                         return;
                     }
-                    received.write(buffer, 0, count);
+                    responseBody.write(buffer, 0, count);
                 }
             } catch (IOException e) {
                 fail();
             }
         }
 
-        private void finish(ClientExchange exchange) {
-            if (done) {
+        private void complete(ClientExchange exchange) {
+            if (completed) {
                 return;
             }
-            done = true;
+            completed = true;
             timeout.remove();
-            boolean closes = "close"
+            boolean shouldClose = "close"
                     .equalsIgnoreCase(
                             exchange.getResponse().getResponseHeaders().getFirst(Headers.CONNECTION));
-            if (closes) {
+            if (shouldClose) {
                 IoUtils.safeClose(connection);
             } else {
                 addIdle(call.endpoint(), connection);
             }
-            callback.accept(new Reply(exchange.getResponse().getResponseCode(), received.toByteArray()));
+            callback.accept(new Reply(exchange.getResponse().getResponseCode(), responseBody.toByteArray()));
         }
 
         private void fail() {
-            if (done) {
+            if (completed) {
                 return;
             }
-            done = true;
+            completed = true;
             timeout.remove();
-            if (connecting != null) {
+            if (connectFuture != null) {
                 // Connecting to an unreachable machine hangs, and would hold a socket long after the call.
-                connecting.cancel();
+                connectFuture.cancel();
             }
             IoUtils.safeClose(connection);
             callback.accept(connection == null ? Reply.unsent() : Reply.lost());
--- a/src/main/java/io/quartzgw/http/HttpServer.java
+++ b/src/main/java/io/quartzgw/http/HttpServer.java
@@ -28,14 +28,14 @@
     /** The protocol's bound on a request body. */
     public static final long MAX_BODY_BYTES = 64 * 1024;
 
-    private static final int SLOW_REQUEST_MS = 5_000;
+    private static final int REQUEST_READ_TIMEOUT_MS = 5_000;
     private static final int NANOS_PER_MS = 1_000_000;
-    private static final int BUSY_RETRY_S = 1;
+    private static final int RETRY_AFTER_S = 1;
 
     private final Undertow undertow;
     private final SocketBudget socketBudget;
     private final Predicate<Request> receiver;
-    private final Map<Long, HttpServerExchange> openExchanges = new ConcurrentHashMap<>();
+    private final Map<Long, HttpServerExchange> pendingExchanges = new ConcurrentHashMap<>();
     private final AtomicLong lastExchangeId = new AtomicLong();
     private volatile ConnectorStatistics clientStatistics;
 
@@ -63,7 +63,7 @@
                 .setSocketOption(Options.CONNECTION_LOW_WATER, socketBudget.clientConnections())
                 .setServerOption(UndertowOptions.ENABLE_STATISTICS, true)
                 .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, idleMs)
-                .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, SLOW_REQUEST_MS)
+                .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, REQUEST_READ_TIMEOUT_MS)
                 .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, MAX_BODY_BYTES)
                 .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
                 .setServerOption(UndertowOptions.DECODE_URL, false)
@@ -74,7 +74,7 @@
 
     public void start() {
         undertow.start();
-        clientStatistics = listener(ListenerKind.CLIENT).getConnectorStatistics();
+        clientStatistics = listenerInfo(ListenerKind.CLIENT).getConnectorStatistics();
     }
 
     public void stop() {
@@ -83,10 +83,10 @@
 
     /** The port that a listener is bound to; settings may ask for port 0. */
     public int port(ListenerKind listener) {
-        return ((InetSocketAddress) listener(listener).getAddress()).getPort();
+        return ((InetSocketAddress) listenerInfo(listener).getAddress()).getPort();
     }
 
-    private Undertow.ListenerInfo listener(ListenerKind listener) {
+    private Undertow.ListenerInfo listenerInfo(ListenerKind listener) {
         // In the order in which the listeners were added to the builder.
         int position = listener == ListenerKind.CLIENT ? 0 : 1;
         return undertow.getListenerInfo().get(position);
@@ -98,11 +98,11 @@
      * @param validUntilMs the moment of the steady clock from which on the client is told to retry instead
      */
     public void answer(long id, Response response, long validUntilMs) {
-        HttpServerExchange exchange = openExchanges.remove(id);
+        HttpServerExchange exchange = pendingExchanges.remove(id);
         if (exchange != null) {
             exchange.getIoThread().execute(() -> {
                 boolean valid = System.nanoTime() / NANOS_PER_MS < validUntilMs;
-                send(exchange, valid ? response : Response.unavailable("late", BUSY_RETRY_S));
+                send(exchange, valid ? response : Response.unavailable("late", RETRY_AFTER_S));
             });
         }
     }
@@ -118,7 +118,7 @@
                         .executeAfter(
                                 // Guards the sockets against a client that never ends its body.
                                 () -> IoUtils.safeClose(exchange.getConnection()),
-                                SLOW_REQUEST_MS,
+                                REQUEST_READ_TIMEOUT_MS,
                                 TimeUnit.MILLISECONDS);
         exchange.getRequestReceiver()
                 .receiveFullBytes(
@@ -126,7 +126,8 @@
                             if (bodyTimeout != null) {
                                 bodyTimeout.remove();
                             }
-                            complete.dispatch(SameThreadExecutor.INSTANCE, () -> passOn(complete, listener, body));
+                            complete.dispatch(
+                                    SameThreadExecutor.INSTANCE, () -> forwardToReceiver(complete, listener, body));
                         },
                         (failed, error) -> {
                             if (bodyTimeout != null) {
@@ -136,11 +137,11 @@
                         });
     }
 
-    private void passOn(HttpServerExchange exchange, ListenerKind listener, byte[] body) {
+    private void forwardToReceiver(HttpServerExchange exchange, ListenerKind listener, byte[] body) {
         long id = lastExchangeId.incrementAndGet();
-        openExchanges.put(id, exchange);
+        pendingExchanges.put(id, exchange);
         exchange.addExchangeCompleteListener((ended, next) -> {
-            openExchanges.remove(id);
+            pendingExchanges.remove(id);
             next.proceed();
         });
         Request request = new Request(
@@ -151,7 +152,7 @@
                 exchange.getQueryString(),
                 body);
         if (!receiver.test(request)) {
-            answer(id, Response.unavailable("busy", BUSY_RETRY_S), Long.MAX_VALUE);
+            answer(id, Response.unavailable("busy", RETRY_AFTER_S), Long.MAX_VALUE);
         }
     }
 
--- a/src/main/java/io/quartzgw/http/SocketBudget.java
+++ b/src/main/java/io/quartzgw/http/SocketBudget.java
@@ -14,7 +14,7 @@
 public record SocketBudget(
         int clientConnections, int acceptBacklog, int keepAliveConnections, int agentCalls, int pooledConnections) {
     /** The fewest sockets that a controller can work with, besides those for each peer. */
-    private static final int MINIMUM_SOCKETS = 16;
+    private static final int BASE_SOCKETS = 16;
     /** One message in flight in each direction, one pooled connection, and one being opened. */
     private static final int SOCKETS_PER_PEER = 4;
 
@@ -29,7 +29,7 @@
 
     /** The fewest sockets that a controller with so many peers can work with. */
     public static int minimumFor(int peers) {
-        return MINIMUM_SOCKETS + SOCKETS_PER_PEER * peers;
+        return BASE_SOCKETS + SOCKETS_PER_PEER * peers;
     }
 
     /** Divides a controller's sockets. */
--- a/src/main/java/io/quartzgw/store/PackedRecords.java
+++ b/src/main/java/io/quartzgw/store/PackedRecords.java
@@ -30,7 +30,7 @@
 
     private final StoreClient store;
     private final String prefix;
-    private final Supplier<Transaction> guardedTransactions;
+    private final Supplier<Transaction> transactionFactory;
     private final int pageBytes;
     private final int pagesPerTransaction;
     private final Map<Integer, RecordPage> pages = new TreeMap<>();
@@ -39,11 +39,11 @@
     /** What is left of one {@link #write}. */
     private record PendingWrite(List<RecordPage> pages, RequestUrgency urgency, Consumer<Boolean> callback) {}
 
-    /** @param guardedTransactions an empty transaction that only the present leader can commit */
-    public PackedRecords(StoreClient store, String prefix, Supplier<Transaction> guardedTransactions) {
+    /** @param transactionFactory an empty transaction that only the present leader can commit */
+    public PackedRecords(StoreClient store, String prefix, Supplier<Transaction> transactionFactory) {
         this.store = store;
         this.prefix = prefix;
-        this.guardedTransactions = guardedTransactions;
+        this.transactionFactory = transactionFactory;
         this.pageBytes = (int) (store.maxValueBytes() * FILL_FACTOR);
         this.pagesPerTransaction =
                 Math.max(1, Math.min(store.maxTransactionWrites(), MAX_TRANSACTION_BYTES / store.maxValueBytes()));
@@ -52,24 +52,24 @@
     /** Takes over the stored pages, and passes each record to a consumer, which may remove it. */
     public void load(List<KeyValue> entries, BiConsumer<String, JsonNode> consumer) {
         for (KeyValue entry : entries) {
-            RecordPage page = RecordPage.decode(numberOf(entry), entry);
+            RecordPage page = RecordPage.decode(pageNumber(entry), entry);
             pages.put(page.number(), page);
-            List.copyOf(page.keys()).forEach(key -> takeOver(key, page));
+            List.copyOf(page.keys()).forEach(key -> assignToPage(key, page));
         }
         List.copyOf(pageByKey.keySet())
                 .forEach(key -> consumer.accept(key, pageByKey.get(key).record(key)));
     }
 
-    private int numberOf(KeyValue entry) {
+    private int pageNumber(KeyValue entry) {
         return Integer.parseInt(entry.key().substring(prefix.length()));
     }
 
     // A record that was removed lazily and put on another page may stand on both.
-    private void takeOver(String key, RecordPage page) {
-        RecordPage other = pageByKey.put(key, page);
-        if (other != null) {
-            other.remove(key);
-            other.setOutdated(true);
+    private void assignToPage(String key, RecordPage page) {
+        RecordPage previous = pageByKey.put(key, page);
+        if (previous != null) {
+            previous.remove(key);
+            previous.setOutdated(true);
         }
     }
 
@@ -81,7 +81,7 @@
 
     /** Keeps a stored page that can't be read as it is: it is neither filled nor written. */
     public void keepUnreadable(KeyValue entry) {
-        RecordPage page = RecordPage.empty(numberOf(entry));
+        RecordPage page = RecordPage.empty(pageNumber(entry));
         page.setRevision(entry.revision());
         page.setUnreadable(true);
         pages.put(page.number(), page);
@@ -111,12 +111,12 @@
      * @param reservedBytes how long the record may yet become
      */
     public void put(String key, JsonNode record, int reservedBytes) {
-        int size = RecordPage.size(key, record, reservedBytes);
+        int size = RecordPage.recordSizeBytes(key, record, reservedBytes);
         RecordPage page = pageByKey.get(key);
         if (page == null) {
             page = pageWithRoomFor(key, size).orElseGet(this::addPage);
             pageByKey.put(key, page);
-        } else if (page.bytesWith(key, size) > store.maxValueBytes()) {
+        } else if (page.totalBytesWith(key, size) > store.maxValueBytes()) {
             // A page that the store rejects would block all others for good.
             throw new IllegalArgumentException(key + " has outgrown what was reserved for it");
         }
@@ -126,12 +126,13 @@
 
     private Optional<RecordPage> pageWithRoomFor(String key, int size) {
         return pages.values().stream()
-                .filter(page -> !page.unreadable() && page.bytesWith(key, size) <= pageBytes)
+                .filter(page -> !page.unreadable() && page.totalBytesWith(key, size) <= pageBytes)
                 .findFirst();
     }
 
     private RecordPage addPage() {
-        int number = pages.keySet().stream().mapToInt(taken -> taken + 1).max().orElse(0);
+        int number =
+                pages.keySet().stream().mapToInt(existing -> existing + 1).max().orElse(0);
         RecordPage page = RecordPage.empty(number);
         pages.put(number, page);
         return page;
@@ -190,13 +191,13 @@
         List<RecordPage> batch = write.pages().subList(0, batchSize);
         List<RecordPage> rest = write.pages().subList(batchSize, write.pages().size());
         PendingWrite remainder = new PendingWrite(rest, write.urgency(), write.callback());
-        store.commit(transactionOf(batch), write.urgency(), outcome -> onOutcome(outcome, batch, remainder));
+        store.commit(buildTransaction(batch), write.urgency(), outcome -> onOutcome(outcome, batch, remainder));
     }
 
-    private Transaction transactionOf(List<RecordPage> batch) {
-        Transaction transaction = guardedTransactions.get();
+    private Transaction buildTransaction(List<RecordPage> batch) {
+        Transaction transaction = transactionFactory.get();
         for (RecordPage page : batch) {
-            transaction.require(key(page), page.revision()).put(key(page), page.encode());
+            transaction.require(pageKey(page), page.revision()).put(pageKey(page), page.encode());
             page.setDirty(false);
             page.setOutdated(false);
         }
@@ -213,7 +214,7 @@
         Deque<RecordPage> conflicting = new ArrayDeque<>();
         if (outcome instanceof TransactionOutcome.Conflict conflict) {
             batch.stream()
-                    .filter(page -> conflict.failedKeys().contains(key(page)))
+                    .filter(page -> conflict.failedKeys().contains(pageKey(page)))
                     .forEach(conflicting::add);
         }
         reloadRevisions(conflicting, () -> remainder.callback().accept(false));
@@ -226,7 +227,7 @@
             return;
         }
         RecordPage page = conflicting.removeLast();
-        store.read(key(page), result -> {
+        store.read(pageKey(page), result -> {
             if (result instanceof ReadResult.Found found) {
                 page.setRevision(found.entry().revision());
             } else if (result instanceof ReadResult.Absent) {
@@ -236,7 +237,7 @@
         });
     }
 
-    private String key(RecordPage page) {
+    private String pageKey(RecordPage page) {
         return prefix + page.number();
     }
 }
--- a/src/main/java/io/quartzgw/store/PrefixReader.java
+++ b/src/main/java/io/quartzgw/store/PrefixReader.java
@@ -12,7 +12,7 @@
     private final RequestQueue requests;
     private final StoreCodec codec;
     private final String prefix;
-    private final long readAt;
+    private final long readAtMs;
     private final Consumer<ListResult> callback;
     private final List<KeyValue> entries = new ArrayList<>();
     private long revision = Long.MAX_VALUE;
@@ -26,7 +26,7 @@
         this.requests = requests;
         this.codec = codec;
         this.prefix = prefix;
-        this.readAt = eventLoop.nowMs();
+        this.readAtMs = eventLoop.nowMs();
         this.callback = callback;
     }
 
@@ -50,7 +50,7 @@
         if (page.more() && !entries.isEmpty()) {
             requestPage(Optional.of(entries.get(entries.size() - 1).key()));
         } else {
-            callback.accept(new ListResult.Listed(new StoreClient.Listing(entries, revision, readAt)));
+            callback.accept(new ListResult.Listed(new StoreClient.Listing(entries, revision, readAtMs)));
         }
     }
 }
--- a/src/main/java/io/quartzgw/store/PrefixWatch.java
+++ b/src/main/java/io/quartzgw/store/PrefixWatch.java
@@ -23,34 +23,34 @@
         this.watcher = watcher;
     }
 
-    /** @param caughtUpAt a moment before which nothing was changed that the revision lacks */
-    void poll(long fromRevision, long caughtUpAt) {
+    /** @param caughtUpAtMs a moment before which nothing was changed that the revision lacks */
+    void poll(long fromRevision, long caughtUpAtMs) {
         if (!watcher.active()) {
             return;
         }
-        watcher.caughtUp(fromRevision, caughtUpAt);
-        long requestedAt = eventLoop.nowMs();
+        watcher.caughtUp(fromRevision, caughtUpAtMs);
+        long requestedAtMs = eventLoop.nowMs();
         requests.submit(
                 codec.watchRequest(prefix, fromRevision, watcher.pollMs()),
                 0,
                 RequestUrgency.HIGH,
-                reply -> onReply(reply, fromRevision, caughtUpAt, requestedAt));
+                reply -> onReply(reply, fromRevision, caughtUpAtMs, requestedAtMs));
     }
 
-    private void onReply(Reply reply, long fromRevision, long caughtUpAt, long requestedAt) {
+    private void onReply(Reply reply, long fromRevision, long caughtUpAtMs, long requestedAtMs) {
         if (!watcher.active()) {
             return;
         }
         WatchResponse response = StoreCodec.decodeWatch(reply);
-        if (response instanceof WatchResponse.Changes news) {
-            if (!news.changes().isEmpty()) {
-                watcher.onChanges(news.changes());
+        if (response instanceof WatchResponse.Changes received) {
+            if (!received.changes().isEmpty()) {
+                watcher.onChanges(received.changes());
             }
-            poll(news.revision(), requestedAt);
+            poll(received.revision(), requestedAtMs);
         } else if (response instanceof WatchResponse.Compacted) {
             watcher.onCompacted();
         } else {
-            eventLoop.after(RETRY_MS, () -> poll(fromRevision, caughtUpAt));
+            eventLoop.after(RETRY_MS, () -> poll(fromRevision, caughtUpAtMs));
         }
     }
 }
--- a/src/main/java/io/quartzgw/store/RecordPage.java
+++ b/src/main/java/io/quartzgw/store/RecordPage.java
@@ -14,9 +14,9 @@
 
     private final int number;
     private final Map<String, JsonNode> records = new LinkedHashMap<>();
-    private final Map<String, Integer> recordBytes = new HashMap<>();
+    private final Map<String, Integer> recordSizes = new HashMap<>();
     private long revision;
-    private int bytes;
+    private int totalBytes;
     private boolean dirty;
     private boolean outdated;
     private boolean unreadable;
@@ -35,8 +35,8 @@
         RecordPage page = new RecordPage(number, stored.revision());
         stored.value()
                 .properties()
-                .forEach(
-                        field -> page.put(field.getKey(), field.getValue(), size(field.getKey(), field.getValue(), 0)));
+                .forEach(field -> page.put(
+                        field.getKey(), field.getValue(), recordSizeBytes(field.getKey(), field.getValue(), 0)));
         return page;
     }
 
@@ -51,7 +51,7 @@
      *
      * @param reservedBytes how long the record may yet become
      */
-    static int size(String key, JsonNode record, int reservedBytes) {
+    static int recordSizeBytes(String key, JsonNode record, int reservedBytes) {
         return key.length() + PUNCTUATION_BYTES + Math.max(reservedBytes, Json.write(record).length);
     }
 
@@ -64,8 +64,8 @@
         return revision;
     }
 
-    void setRevision(long storedRevision) {
-        revision = storedRevision;
+    void setRevision(long revision) {
+        this.revision = revision;
     }
 
     /** Whether the page has changes to be written. */
@@ -73,8 +73,8 @@
         return dirty;
     }
 
-    void setDirty(boolean toBeWritten) {
-        dirty = toBeWritten;
+    void setDirty(boolean dirty) {
+        this.dirty = dirty;
     }
 
     /** Whether records were removed since the page was last written. */
@@ -82,8 +82,8 @@
         return outdated;
     }
 
-    void setOutdated(boolean hasRemovedRecords) {
-        outdated = hasRemovedRecords;
+    void setOutdated(boolean outdated) {
+        this.outdated = outdated;
     }
 
     /** Whether the stored page can't be read, and is left as it is. */
@@ -91,8 +91,8 @@
         return unreadable;
     }
 
-    void setUnreadable(boolean leftAsItIs) {
-        unreadable = leftAsItIs;
+    void setUnreadable(boolean unreadable) {
+        this.unreadable = unreadable;
     }
 
     Set<String> keys() {
@@ -104,18 +104,18 @@
     }
 
     /** How long the page would be if a record had this size. */
-    int bytesWith(String key, int size) {
-        return bytes - recordBytes.getOrDefault(key, 0) + size;
+    int totalBytesWith(String key, int size) {
+        return totalBytes - recordSizes.getOrDefault(key, 0) + size;
     }
 
     void put(String key, JsonNode record, int size) {
-        bytes = bytesWith(key, size);
+        totalBytes = totalBytesWith(key, size);
         records.put(key, record);
-        recordBytes.put(key, size);
+        recordSizes.put(key, size);
     }
 
     void remove(String key) {
         records.remove(key);
-        bytes -= recordBytes.remove(key);
+        totalBytes -= recordSizes.remove(key);
     }
 }
--- a/src/main/java/io/quartzgw/store/RequestQueue.java
+++ b/src/main/java/io/quartzgw/store/RequestQueue.java
@@ -19,13 +19,13 @@
     private static final int MAX_QUEUE_MS = 700;
 
     /** A write that has waited for this much longer than an urgent one goes before it. */
-    private static final int URGENT_AHEAD_MS = (int) (0.4 * MAX_QUEUE_MS);
+    private static final int URGENT_HEAD_START_MS = (int) (0.4 * MAX_QUEUE_MS);
 
     private static final long NOT_SCHEDULED = Long.MAX_VALUE;
     private static final int TOO_MANY_REQUESTS = 429;
 
     private final EventLoop eventLoop;
-    private final Consumer<Reply> observer;
+    private final Consumer<Reply> replyObserver;
     private final TokenBucket requestBudget;
     private final TokenBucket writeBudget;
     private final Deque<QueuedCall> electionReads = new ArrayDeque<>();
@@ -46,11 +46,11 @@
 
     /**
      * @param share the part of the store's limits that this controller may use
-     * @param observer receives every reply of the store before the caller does
+     * @param replyObserver receives every reply of the store before the caller does
      */
-    RequestQueue(EventLoop eventLoop, StoreLimits share, Consumer<Reply> observer) {
+    RequestQueue(EventLoop eventLoop, StoreLimits share, Consumer<Reply> replyObserver) {
         this.eventLoop = eventLoop;
-        this.observer = observer;
+        this.replyObserver = replyObserver;
         this.requestBudget = new TokenBucket(share.requestsPerS(), eventLoop.nowMs());
         this.writeBudget = new TokenBucket(share.writesPerS(), eventLoop.nowMs());
     }
@@ -62,12 +62,12 @@
         drain();
     }
 
-    private Deque<QueuedCall> queueFor(boolean readsOnly, RequestUrgency urgency) {
+    private Deque<QueuedCall> queueFor(boolean readOnly, RequestUrgency urgency) {
         return switch (urgency) {
-            case ELECTION -> readsOnly ? electionReads : electionWrites;
-            case HIGH -> readsOnly ? urgentReads : urgentWrites;
-            case NORMAL -> readsOnly ? normalReads : normalWrites;
-            case BACKGROUND -> readsOnly ? normalReads : backgroundWrites;
+            case ELECTION -> readOnly ? electionReads : electionWrites;
+            case HIGH -> readOnly ? urgentReads : urgentWrites;
+            case NORMAL -> readOnly ? normalReads : normalWrites;
+            case BACKGROUND -> readOnly ? normalReads : backgroundWrites;
         };
     }
 
@@ -118,7 +118,7 @@
             return electionWrites;
         }
         // Guards starts against a stream of submissions: they may have to wait for a write that was not urgent.
-        if (overdue(backgroundWrites)) {
+        if (isHeadOverdue(backgroundWrites)) {
             return backgroundWrites;
         }
         if (urgentWrites.isEmpty()) {
@@ -130,15 +130,15 @@
         // Guards submissions against a leader that always has something urgent to write.
         long urgentSinceMs = urgentWrites.peekFirst().queuedAtMs();
         long normalSinceMs = normalWrites.peekFirst().queuedAtMs();
-        return normalSinceMs + URGENT_AHEAD_MS < urgentSinceMs ? normalWrites : urgentWrites;
+        return normalSinceMs + URGENT_HEAD_START_MS < urgentSinceMs ? normalWrites : urgentWrites;
     }
 
-    private boolean overdue(Deque<QueuedCall> queue) {
+    private boolean isHeadOverdue(Deque<QueuedCall> queue) {
         return !queue.isEmpty() && eventLoop.nowMs() - queue.peekFirst().queuedAtMs() > MAX_QUEUE_MS;
     }
 
     private void rejectOverdue(Deque<QueuedCall> queue) {
-        while (overdue(queue)) {
+        while (isHeadOverdue(queue)) {
             QueuedCall rejected = queue.pollFirst();
             eventLoop.increment("store.refused", 1);
             // Deferred, so that a rejection never runs inside the caller's own call.
@@ -155,36 +155,36 @@
 
     /** Sends the first call of a queue, or schedules the next attempt and returns false when the budget is short. */
     private boolean sendNext(Deque<QueuedCall> queue) {
-        QueuedCall next = queue.peekFirst();
-        long waitMs = waitMsFor(next);
+        QueuedCall queued = queue.peekFirst();
+        long waitMs = waitMsFor(queued);
         if (waitMs > 0) {
-            drainAfter(waitMs);
+            scheduleDrain(waitMs);
             return false;
         }
         queue.pollFirst();
-        send(next);
+        send(queued);
         return true;
     }
 
-    private long waitMsFor(QueuedCall next) {
+    private long waitMsFor(QueuedCall queued) {
         long nowMs = eventLoop.nowMs();
         long requestWaitMs = requestBudget.waitMsFor(1, nowMs);
-        long writeWaitMs = next.writeCount() == 0 ? 0 : writeBudget.waitMsFor(next.writeCount(), nowMs);
+        long writeWaitMs = queued.writeCount() == 0 ? 0 : writeBudget.waitMsFor(queued.writeCount(), nowMs);
         return Math.max(requestWaitMs, writeWaitMs);
     }
 
-    private void send(QueuedCall next) {
+    private void send(QueuedCall queued) {
         requestBudget.take(1, eventLoop.nowMs());
-        writeBudget.take(next.writeCount(), eventLoop.nowMs());
+        writeBudget.take(queued.writeCount(), eventLoop.nowMs());
         eventLoop.increment("store.requests", 1);
-        eventLoop.increment("store.writes", next.writeCount());
-        eventLoop.call(next.call(), reply -> {
-            observer.accept(reply);
-            next.callback().accept(reply);
+        eventLoop.increment("store.writes", queued.writeCount());
+        eventLoop.call(queued.call(), reply -> {
+            replyObserver.accept(reply);
+            queued.callback().accept(reply);
         });
     }
 
-    private void drainAfter(long delayMs) {
+    private void scheduleDrain(long delayMs) {
         long atMs = eventLoop.nowMs() + delayMs;
         if (atMs >= drainAtMs) {
             return;
--- a/src/main/java/io/quartzgw/store/StoreHealth.java
+++ b/src/main/java/io/quartzgw/store/StoreHealth.java
@@ -14,51 +14,51 @@
     private static final int SERVICE_UNAVAILABLE = 503;
 
     private final EventLoop eventLoop;
-    private final Consumer<Runnable> prober;
+    private final Consumer<Runnable> probeSender;
     private boolean probing;
-    private long lastResponseAt = NEVER;
-    private long failingSince = NOT_FAILING;
+    private long lastResponseAtMs = NEVER;
+    private long failingSinceMs = NOT_FAILING;
 
-    /** @param prober sends a probe and runs its argument after the reply, which is recorded like any other */
-    StoreHealth(EventLoop eventLoop, Consumer<Runnable> prober) {
+    /** @param probeSender sends a probe and runs its argument after the reply, which is recorded like any other */
+    StoreHealth(EventLoop eventLoop, Consumer<Runnable> probeSender) {
         this.eventLoop = eventLoop;
-        this.prober = prober;
+        this.probeSender = probeSender;
     }
 
     /** Records how a call ended. */
     void record(Reply reply) {
         if (reply.status() == Reply.LOST || reply.status() == SERVICE_UNAVAILABLE) {
-            failingSince = Math.min(failingSince, eventLoop.nowMs());
+            failingSinceMs = Math.min(failingSinceMs, eventLoop.nowMs());
             scheduleProbe();
         } else {
-            lastResponseAt = eventLoop.nowMs();
-            failingSince = NOT_FAILING;
+            lastResponseAtMs = eventLoop.nowMs();
+            failingSinceMs = NOT_FAILING;
         }
     }
 
     boolean reachable() {
-        return eventLoop.nowMs() - failingSince < UNAVAILABLE_AFTER_MS;
+        return eventLoop.nowMs() - failingSinceMs < UNAVAILABLE_AFTER_MS;
     }
 
     boolean failingLongerThan(long durationMs) {
-        return eventLoop.nowMs() - failingSince > durationMs;
+        return eventLoop.nowMs() - failingSinceMs > durationMs;
     }
 
     boolean respondedWithin(long durationMs) {
-        return eventLoop.nowMs() - lastResponseAt <= durationMs;
+        return eventLoop.nowMs() - lastResponseAtMs <= durationMs;
     }
 
     // Users are refused at once while the service is unavailable, so no other call would notice its return.
     private void scheduleProbe() {
         if (!probing) {
             probing = true;
-            eventLoop.after(UNAVAILABLE_AFTER_MS, () -> prober.accept(this::onProbeEnd));
+            eventLoop.after(UNAVAILABLE_AFTER_MS, () -> probeSender.accept(this::onProbeReply));
         }
     }
 
-    private void onProbeEnd() {
+    private void onProbeReply() {
         probing = false;
-        if (failingSince != NOT_FAILING) {
+        if (failingSinceMs != NOT_FAILING) {
             scheduleProbe();
         }
     }
--- a/src/main/java/io/quartzgw/store/TokenBucket.java
+++ b/src/main/java/io/quartzgw/store/TokenBucket.java
@@ -7,7 +7,7 @@
     private static final long NEVER = Long.MIN_VALUE / 2;
     private static final double MS_PER_S = 1000;
 
-    private final double ownRatePerS;
+    private final double baseRatePerS;
     private double grantedRatePerS;
     private long grantedUntilMs = NEVER;
     private double tokens;
@@ -15,7 +15,7 @@
 
     /** @param ratePerS tokens added a second, and the capacity of the bucket, which is full at first */
     public TokenBucket(double ratePerS, long nowMs) {
-        this.ownRatePerS = ratePerS;
+        this.baseRatePerS = ratePerS;
         this.tokens = Math.max(1, ratePerS);
         this.refilledAtMs = nowMs;
     }
@@ -29,14 +29,14 @@
 
     /** The rate at a moment. */
     public double ratePerS(long nowMs) {
-        return nowMs < grantedUntilMs ? ownRatePerS + grantedRatePerS : ownRatePerS;
+        return nowMs < grantedUntilMs ? baseRatePerS + grantedRatePerS : baseRatePerS;
     }
 
     /** Milliseconds until so many tokens are available; 0 when they are. */
     public long waitMsFor(double count, long nowMs) {
         refill(nowMs);
-        double missing = Math.min(count, capacity(nowMs)) - tokens;
-        return missing <= 0 ? 0 : (long) Math.ceil(missing * MS_PER_S / ratePerS(nowMs));
+        double missingTokens = Math.min(count, capacity(nowMs)) - tokens;
+        return missingTokens <= 0 ? 0 : (long) Math.ceil(missingTokens * MS_PER_S / ratePerS(nowMs));
     }
 
     /** Takes tokens; the bucket goes into debt when a single request costs more than it holds. */
@@ -50,9 +50,9 @@
     }
 
     private void refill(long nowMs) {
-        double added = (nowMs - refilledAtMs) * ownRatePerS
+        double addedTokens = (nowMs - refilledAtMs) * baseRatePerS
                 + Math.max(0, Math.min(nowMs, grantedUntilMs) - refilledAtMs) * grantedRatePerS;
-        tokens = Math.min(capacity(nowMs), tokens + added / MS_PER_S);
+        tokens = Math.min(capacity(nowMs), tokens + addedTokens / MS_PER_S);
         refilledAtMs = nowMs;
     }
 }
--- a/src/main/java/io/quartzgw/store/WriteBudgetAllocator.java
+++ b/src/main/java/io/quartzgw/store/WriteBudgetAllocator.java
@@ -20,10 +20,10 @@
     /** The fraction of what nobody demands that is granted evenly all the same; the rest waits for new demand. */
     private static final double SPARE_FRACTION = 0.5;
 
-    private final double sharedPerS;
-    private final double ownPerS;
-    private final int members;
-    private final long countedGrantMs;
+    private final double sharedWritesPerS;
+    private final double guaranteedWritesPerS;
+    private final int controllerCount;
+    private final long grantTtlWithDriftMs;
     private final long electedAtMs;
     private final Map<String, Grantee> grantees = new HashMap<>();
 
@@ -33,20 +33,20 @@
     /** A controller's last demand, and its grants that may be in use. */
     private static final class Grantee {
         private final List<Grant> grants = new ArrayList<>();
-        private double demandPerS;
-        private long askedAtMs;
+        private double demandWritesPerS;
+        private long requestedAtMs;
 
-        void demand(double writesPerS, long nowMs) {
-            demandPerS = writesPerS;
-            askedAtMs = nowMs;
+        void recordDemand(double demand, long nowMs) {
+            demandWritesPerS = demand;
+            requestedAtMs = nowMs;
         }
 
-        void add(Grant grant) {
+        void addGrant(Grant grant) {
             grants.add(grant);
         }
 
         /** The most that may be in use: an answer with a later grant may have been lost. */
-        double grantedPerS(long nowMs) {
+        double maxGrantedWritesPerS(long nowMs) {
             grants.removeIf(grant -> grant.untilMs() <= nowMs);
             return grants.stream().mapToDouble(Grant::writesPerS).max().orElse(0);
         }
@@ -54,15 +54,15 @@
 
     /**
      * @param limits the state store's limits for all controllers together
-     * @param members how many controllers there are
+     * @param controllerCount how many controllers there are
      * @param grantMs time to live of a grant
      * @param nowMs a moment at which, or after which, this leader was elected
      */
-    public WriteBudgetAllocator(StoreLimits limits, int members, long grantMs, long nowMs) {
-        this.sharedPerS = limits.sharedWritesPerS();
-        this.ownPerS = limits.perController(members).writesPerS();
-        this.members = members;
-        this.countedGrantMs = (long) Math.ceil(grantMs * DRIFT_FACTOR);
+    public WriteBudgetAllocator(StoreLimits limits, int controllerCount, long grantMs, long nowMs) {
+        this.sharedWritesPerS = limits.sharedWritesPerS();
+        this.guaranteedWritesPerS = limits.perController(controllerCount).writesPerS();
+        this.controllerCount = controllerCount;
+        this.grantTtlWithDriftMs = (long) Math.ceil(grantMs * DRIFT_FACTOR);
         this.electedAtMs = nowMs;
     }
 
@@ -70,41 +70,42 @@
      * Records a controller's demand, and grants it as many writes a second as it may have now; empty while grants of a
      * former leader may be in use.
      */
-    public Optional<Double> grant(String member, double wantedPerS, long nowMs) {
-        Grantee grantee = grantees.computeIfAbsent(member, name -> new Grantee());
-        grantee.demand(Math.max(0, wantedPerS - ownPerS), nowMs);
-        if (nowMs - electedAtMs < countedGrantMs) {
+    public Optional<Double> grant(String controller, double demandWritesPerS, long nowMs) {
+        Grantee grantee = grantees.computeIfAbsent(controller, name -> new Grantee());
+        grantee.recordDemand(Math.max(0, demandWritesPerS - guaranteedWritesPerS), nowMs);
+        if (nowMs - electedAtMs < grantTtlWithDriftMs) {
             return Optional.empty();
         }
-        double writesPerS = Math.max(0, Math.min(freePerSFor(grantee, nowMs), fairSharePerS(grantee, nowMs)));
-        grantee.add(new Grant(writesPerS, nowMs + countedGrantMs));
+        double writesPerS =
+                Math.max(0, Math.min(availableWritesPerS(grantee, nowMs), fairShareWritesPerS(grantee, nowMs)));
+        grantee.addGrant(new Grant(writesPerS, nowMs + grantTtlWithDriftMs));
         return Optional.of(writesPerS);
     }
 
-    private double freePerSFor(Grantee grantee, long nowMs) {
-        double freePerS = sharedPerS;
+    private double availableWritesPerS(Grantee grantee, long nowMs) {
+        double availableWritesPerS = sharedWritesPerS;
         for (Grantee other : grantees.values()) {
-            freePerS -= other == grantee ? 0 : other.grantedPerS(nowMs);
+            availableWritesPerS -= other == grantee ? 0 : other.maxGrantedWritesPerS(nowMs);
         }
-        return freePerS;
+        return availableWritesPerS;
     }
 
     // A controller that demands less than an even part of what is left gets all of it, and leaves the rest to the
     // others.
-    private double fairSharePerS(Grantee grantee, long nowMs) {
+    private double fairShareWritesPerS(Grantee grantee, long nowMs) {
         List<Double> demands = grantees.values().stream()
-                .filter(other -> nowMs - other.askedAtMs < countedGrantMs)
-                .map(other -> other.demandPerS)
+                .filter(other -> nowMs - other.requestedAtMs < grantTtlWithDriftMs)
+                .map(other -> other.demandWritesPerS)
                 .sorted()
                 .toList();
-        double leftPerS = sharedPerS;
+        double remainingWritesPerS = sharedWritesPerS;
         for (int i = 0; i < demands.size(); i++) {
-            double evenPerS = leftPerS / (demands.size() - i);
-            if (demands.get(i) > evenPerS) {
-                return Math.min(grantee.demandPerS, evenPerS);
+            double evenShareWritesPerS = remainingWritesPerS / (demands.size() - i);
+            if (demands.get(i) > evenShareWritesPerS) {
+                return Math.min(grantee.demandWritesPerS, evenShareWritesPerS);
             }
-            leftPerS -= demands.get(i);
+            remainingWritesPerS -= demands.get(i);
         }
-        return grantee.demandPerS + leftPerS * SPARE_FRACTION / members;
+        return grantee.demandWritesPerS + remainingWritesPerS * SPARE_FRACTION / controllerCount;
     }
 }
--- a/src/test/java/io/quartzgw/eventloop/EventLoopTest.java
+++ b/src/test/java/io/quartzgw/eventloop/EventLoopTest.java
@@ -18,7 +18,7 @@
 
     // A response that is built when its request is handled would not know what the rest of the batch tells.
     @Test
-    void tasksAfterCommandsRunOnceAfterAllCommandsAndTimersAndBeforeTheEndOfTheBatch() {
+    void runsDeferredTasksOnceBetweenTimersAndBatchEnd() {
         eventLoop.after(0, () -> order.add("timer"));
         eventLoop.onBatchEnd(() -> order.add("end"));
         eventLoop.onRequest(request -> {
--- a/src/test/java/io/quartzgw/http/HttpClientTest.java
+++ b/src/test/java/io/quartzgw/http/HttpClientTest.java
@@ -28,37 +28,37 @@
     // Guards the sockets against machines that are cut off: an attempt to connect that hangs would hold one for
     // minutes after its call was given up, and hundreds of silent machines are asked again and again.
     @Test
-    void aCallThatIsGivenUpWhileConnectingKeepsNoSocket() throws Exception {
+    void releasesSocketWhenCallTimesOutDuringConnect() throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         HttpClient client = new HttpClient(worker, new DefaultByteBufferPool(true, 8 * 1024), 4);
         List<SocketChannel> fillers = new ArrayList<>();
         // A listener that accepts nothing and whose backlog is full: connecting to it hangs.
-        try (ServerSocket deaf = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+        try (ServerSocket unresponsiveListener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             for (int i = 0; i < 4; i++) {
                 SocketChannel filler = SocketChannel.open();
                 filler.configureBlocking(false);
-                filler.connect(deaf.getLocalSocketAddress());
+                filler.connect(unresponsiveListener.getLocalSocketAddress());
                 fillers.add(filler);
             }
-            long before = sockets();
+            long before = countOpenSockets();
             List<CompletableFuture<Reply>> replies = new ArrayList<>();
             for (int i = 0; i < CALLS; i++) {
                 CompletableFuture<Reply> reply = new CompletableFuture<>();
                 replies.add(reply);
                 client.send(
-                        Call.get(new Endpoint("127.0.0.1", deaf.getLocalPort()), "/show", 300),
+                        Call.get(new Endpoint("127.0.0.1", unresponsiveListener.getLocalPort()), "/show", 300),
                         Long.MAX_VALUE,
                         reply::complete);
             }
             for (CompletableFuture<Reply> reply : replies) {
                 assertEquals(Reply.LOST, reply.get(60, TimeUnit.SECONDS).status());
             }
-            long left = Long.MAX_VALUE;
-            for (int i = 0; i < 100 && left > 2; i++) {
+            long leakedSockets = Long.MAX_VALUE;
+            for (int i = 0; i < 100 && leakedSockets > 2; i++) {
                 Thread.sleep(50);
-                left = sockets() - before;
+                leakedSockets = countOpenSockets() - before;
             }
-            assertTrue(left <= 2, left + " sockets are left of " + CALLS + " calls");
+            assertTrue(leakedSockets <= 2, leakedSockets + " sockets are left of " + CALLS + " calls");
         } finally {
             for (SocketChannel filler : fillers) {
                 filler.close();
@@ -69,12 +69,12 @@
 
     // A start in such a call needs no fencing: it is never executed.
     @Test
-    void aCallWithoutAConnectionIsKnownNotToHaveBeenSent() throws Exception {
+    void reportsCallWithoutConnectionAsUnsent() throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         HttpClient client = new HttpClient(worker, new DefaultByteBufferPool(true, 8 * 1024), 4);
         int port;
-        try (ServerSocket silent = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            port = silent.getLocalPort();
+        try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            port = server.getLocalPort();
             Reply unanswered = call(client, port);
             assertEquals(Reply.LOST, unanswered.status());
             assertTrue(unanswered.sent(), "the connection was opened, and nothing was answered");
@@ -87,11 +87,11 @@
 
     // A start whose sender was paused: by the time it could leave, another leader may have been elected.
     @Test
-    void aCallThatIsNotValidAnyMoreIsNotSent() throws Exception {
+    void doesNotSendExpiredCall() throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         HttpClient client = new HttpClient(worker, new DefaultByteBufferPool(true, 8 * 1024), 4);
-        try (ServerSocket silent = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            Reply expired = call(client, silent.getLocalPort(), System.nanoTime() / 1_000_000);
+        try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            Reply expired = call(client, server.getLocalPort(), System.nanoTime() / 1_000_000);
             assertEquals(Reply.LOST, expired.status());
             assertFalse(expired.sent());
         } finally {
@@ -109,7 +109,7 @@
         return reply.get(60, TimeUnit.SECONDS);
     }
 
-    private static long sockets() throws IOException {
+    private static long countOpenSockets() throws IOException {
         try (Stream<Path> open = Files.list(Path.of("/proc/self/fd"))) {
             return open.filter(descriptor -> {
                         try {
--- a/src/test/java/io/quartzgw/http/HttpServerTest.java
+++ b/src/test/java/io/quartzgw/http/HttpServerTest.java
@@ -20,7 +20,7 @@
 import org.xnio.XnioWorker;
 
 class HttpServerTest {
-    private static final int PATIENCE_MS = 30_000;
+    private static final int TIMEOUT_MS = 30_000;
 
     /** Starts a server that answers every request at once, with responses that are valid until a moment. */
     private static HttpServer startServer(XnioWorker worker, LongSupplier validUntilMs) throws IOException {
@@ -31,7 +31,7 @@
                 new Endpoint("127.0.0.1", 0),
                 new Endpoint("127.0.0.1", 0),
                 new SocketBudget(8, 8, 6, 1, 1),
-                PATIENCE_MS,
+                TIMEOUT_MS,
                 request -> {
                     server[0].answer(request.exchange(), Response.error(200, "none"), validUntilMs.getAsLong());
                     return true;
@@ -43,7 +43,7 @@
     // Guards the leases of a cluster with more workers than the leader has sockets: accepting must not stop for
     // those that come last while the first keep their connections.
     @Test
-    void moreClientsThanSocketsAreEachAnsweredAgainAndAgain() throws Exception {
+    void answersMoreClientsThanSocketsRepeatedly() throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         HttpServer server = startServer(worker, () -> Long.MAX_VALUE);
         List<Client> clients = new ArrayList<>();
@@ -51,15 +51,15 @@
             for (int i = 0; i < 40; i++) {
                 clients.add(new Client(server.port(ListenerKind.CLIENT)));
             }
-            int lasting = 0;
+            int openConnections = 0;
             for (int round = 0; round < 3; round++) {
                 for (Client client : clients) {
-                    assertEquals("HTTP/1.1 200 OK", client.ask());
+                    assertEquals("HTTP/1.1 200 OK", client.sendRequest());
                 }
-                lasting = (int)
+                openConnections = (int)
                         clients.stream().filter(client -> client.socket != null).count();
             }
-            assertTrue(lasting > 0 && lasting <= 8, lasting + " connections are kept");
+            assertTrue(openConnections > 0 && openConnections <= 8, openConnections + " connections are kept");
         } finally {
             for (Client client : clients) {
                 client.close();
@@ -71,12 +71,12 @@
 
     // A response that starts tasks, of a process that was paused before it left.
     @Test
-    void aResponseThatIsNotValidAnyMoreIsAnsweredAsUnavailable() throws Exception {
+    void respondsUnavailableWhenResponseExpired() throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         HttpServer server = startServer(worker, () -> System.nanoTime() / 1_000_000);
         Client client = new Client(server.port(ListenerKind.CLIENT));
         try {
-            assertEquals("HTTP/1.1 503 Service Unavailable", client.ask());
+            assertEquals("HTTP/1.1 503 Service Unavailable", client.sendRequest());
         } finally {
             client.close();
             server.stop();
@@ -94,10 +94,10 @@
             this.port = port;
         }
 
-        String ask() throws IOException {
+        String sendRequest() throws IOException {
             if (socket == null) {
                 socket = new Socket(InetAddress.getLoopbackAddress(), port);
-                socket.setSoTimeout(PATIENCE_MS);
+                socket.setSoTimeout(TIMEOUT_MS);
                 reader = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
             }
             socket.getOutputStream()
--- a/src/test/java/io/quartzgw/store/PackedRecordsTest.java
+++ b/src/test/java/io/quartzgw/store/PackedRecordsTest.java
@@ -27,7 +27,7 @@
             new StoreClient(eventLoop, new Endpoint("10.2.0.1", 1), new StoreLimits(100_000, 100_000, 8192, 16));
     private final PackedRecords records = new PackedRecords(client, PREFIX, Transaction::new);
 
-    private Map<String, JsonNode> stored() {
+    private Map<String, JsonNode> storedRecords() {
         Map<String, JsonNode> stored = new TreeMap<>();
         client.listPrefix(PREFIX, result -> {
             ListResult.Listed listed = assertInstanceOf(ListResult.Listed.class, result);
@@ -41,7 +41,7 @@
 
     // Guards against a batch that is applied minutes late and overwrites a newer one.
     @Test
-    void writtenRecordsSurviveLostAndLateTransactions() {
+    void keepsRecordsWhenTransactionsAreLostOrDelayed() {
         Map<String, JsonNode> model = new TreeMap<>();
         for (int round = 0; round < 400; round++) {
             String key = "i-" + random.nextInt(300);
@@ -58,10 +58,10 @@
                 records.write(RequestUrgency.NORMAL, done -> written[0] = done);
                 link.pass(1, true);
             }
-            assertEquals(model, stored(), "round " + round);
+            assertEquals(model, storedRecords(), "round " + round);
             if (random.nextInt(3) == 0) {
                 link.applyOneLate();
-                assertEquals(model, stored(), "after a late copy");
+                assertEquals(model, storedRecords(), "after a late copy");
             }
         }
         assertTrue(storeServer.count(PREFIX) > 1, "more than one page");
@@ -71,7 +71,7 @@
     // Guards against a write that includes what changes while it is in progress: under a small budget something always
     // does, and starts that wait for the write would wait for as long as machines are rented.
     @Test
-    void writeCompletesWhileRecordsGoOnChanging() {
+    void completesWriteWhileRecordsChange() {
         int[] changes = new int[1];
         eventLoop.onBatchEnd(() -> {
             if (changes[0] < 50) {
@@ -84,6 +84,6 @@
         link.pass(1, false);
         assertTrue(changesAtCompletion[0] >= 0, "it has completed");
         assertTrue(changesAtCompletion[0] < 10, "and not only after all changes: " + changesAtCompletion[0]);
-        assertTrue(stored().containsKey("i-first"));
+        assertTrue(storedRecords().containsKey("i-first"));
     }
 }
--- a/src/test/java/io/quartzgw/store/RequestQueueTest.java
+++ b/src/test/java/io/quartzgw/store/RequestQueueTest.java
@@ -36,7 +36,7 @@
 
     // Guards reads against writes: polls of users were rejected while only the budget of writes was short.
     @Test
-    void readIsSentWhileWritesWaitForBudget() {
+    void sendsReadWhileWritesWaitForBudget() {
         RequestQueue queue = new RequestQueue(eventLoop, LIMITS, reply -> {});
         for (int i = 0; i < 4; i++) {
             submit(queue, "/write" + i, 1, RequestUrgency.NORMAL);
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void urgentWriteIsSentFirstAndOverdueNormalWriteIsRejected() {
+    void sendsUrgentWriteFirstAndRejectsOverdueNormalWrite() {
         RequestQueue queue = new RequestQueue(eventLoop, LIMITS, reply -> {});
         submit(queue, "/first", 2, RequestUrgency.NORMAL);
         submit(queue, "/normal", 2, RequestUrgency.NORMAL);
@@ -62,7 +62,7 @@
     // While the leader stood still, the elections of the others waited for longer than agents' leases behind
     // cancellations.
     @Test
-    void electionIsSentBeforeUrgentWritesThatCameEarlier() {
+    void sendsElectionBeforeEarlierUrgentWrites() {
         RequestQueue queue = new RequestQueue(eventLoop, LIMITS, reply -> {});
         for (int i = 0; i < 20; i++) {
             submit(queue, "/cancellation" + i, 2, RequestUrgency.HIGH);
@@ -75,7 +75,7 @@
 
     // Guards submissions while users poll many times as often as usual.
     @Test
-    void writeIsSentBeforeManyQueuedReads() {
+    void sendsWriteBeforeQueuedReads() {
         RequestQueue queue = new RequestQueue(eventLoop, LIMITS, reply -> {});
         for (int i = 0; i < 30; i++) {
             submit(queue, "/read", 0, RequestUrgency.NORMAL);
@@ -90,7 +90,7 @@
     // Guards submissions against a leader that always has something urgent to write, and its starts against
     // submissions.
     @Test
-    void writesThatHaveWaitedAreSentBeforeLaterUrgentWrites() {
+    void sendsLongWaitingWritesBeforeLaterUrgentWrites() {
         RequestQueue queue = new RequestQueue(eventLoop, LIMITS, reply -> {});
         submit(queue, "/first", 2, RequestUrgency.HIGH);
         submit(queue, "/last", 1, RequestUrgency.BACKGROUND);
--- a/src/test/java/io/quartzgw/store/StoreCodecTest.java
+++ b/src/test/java/io/quartzgw/store/StoreCodecTest.java
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void transactionIsEncodedWithGuardsBeforeWrites() {
+    void encodesGuardsBeforeWrites() {
         Transaction transaction = new Transaction()
                 .require("a", 3)
                 .putWithLease("a", Json.object().put("x", 1), 9)
@@ -39,14 +39,14 @@
     }
 
     @Test
-    void transactionWithoutWritesIsEncodedWithoutTheirList() {
+    void omitsWriteListWithoutWrites() {
         assertEquals(
                 "{\"guards\":[{\"path\":\"a\",\"key_rev\":0}]}",
                 body(codec.transactionRequest(new Transaction().require("a", Transaction.NO_REVISION))));
     }
 
     @Test
-    void transactionOutcomeIsDecodedByStatus() {
+    void decodesTransactionOutcomeByStatus() {
         assertEquals(new TransactionOutcome.Committed(7), StoreCodec.decodeOutcome(reply(200, "{\"store_rev\":7}")));
         assertEquals(
                 new TransactionOutcome.Conflict(Set.of("a", "b")),
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void readIsDecodedAsFoundAbsentOrUnavailable() {
+    void decodesReadResultByStatus() {
         ReadResult found = StoreCodec.decodeRead(reply(200, "{\"path\":\"a\",\"data\":{\"x\":1},\"key_rev\":4}"));
         assertEquals(new ReadResult.Found(new KeyValue("a", Json.object().put("x", 1), 4)), found);
         assertEquals(new ReadResult.Absent(), StoreCodec.decodeRead(reply(404, "{}")));
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void pageAfterTheFirstIsRequestedFromTheLastKey() {
+    void requestsNextPageAfterLastKey() {
         assertEquals(
                 "/keys?starts=p/&most=1000",
                 codec.pageRequest("p/", Optional.empty()).path());
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void leaseResultsAreDecodedByStatus() {
+    void decodesLeaseResultsByStatus() {
         assertEquals(new LeaseGrant.Granted(5), StoreCodec.decodeLease(reply(200, "{\"permit\":5}")));
         assertEquals(new LeaseGrant.Unavailable(), StoreCodec.decodeLease(reply(503, "{}")));
         assertEquals(LeaseRenewal.RENEWED, StoreCodec.decodeRenewal(reply(200, "{}")));
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void watchIsDecodedAsChangesCompactedOrUnavailable() {
+    void decodesWatchResponseByStatus() {
         StoreCodec.WatchResponse.Changes response = assertInstanceOf(
                 StoreCodec.WatchResponse.Changes.class,
                 StoreCodec.decodeWatch(reply(
--- a/src/test/java/io/quartzgw/store/WriteBudgetAllocatorTest.java
+++ b/src/test/java/io/quartzgw/store/WriteBudgetAllocatorTest.java
@@ -11,7 +11,7 @@
 
 /** The writes of all controllers together, whatever happens to messages and leaders. */
 class WriteBudgetAllocatorTest {
-    private static final int MEMBERS = 5;
+    private static final int CONTROLLERS = 5;
     private static final long GRANT_MS = 2_000;
     private static final long HEARTBEAT_MS = 800;
     private static final long STEP_MS = 50;
@@ -22,110 +22,126 @@
     private final SplittableRandom random = new SplittableRandom(3);
 
     /** A controller that is granted writes; an answer may reach it late. */
-    private static final class Member {
+    private static final class Controller {
         private final String name;
-        private double wantedPerS;
-        private double grantedPerS;
+        private double demandWritesPerS;
+        private double grantedWritesPerS;
         private long grantedUntilMs;
 
-        Member(int number) {
+        Controller(int number) {
             this.name = "rig-" + number;
         }
 
-        void apply(double writesPerS, long askedAtMs) {
-            grantedPerS = writesPerS;
-            grantedUntilMs = askedAtMs + GRANT_MS;
+        void applyGrant(double writesPerS, long requestedAtMs) {
+            grantedWritesPerS = writesPerS;
+            grantedUntilMs = requestedAtMs + GRANT_MS;
         }
 
         double writesPerS(long nowMs) {
-            return LIMITS.perController(MEMBERS).writesPerS() + (nowMs < grantedUntilMs ? grantedPerS : 0);
+            return LIMITS.perController(CONTROLLERS).writesPerS() + (nowMs < grantedUntilMs ? grantedWritesPerS : 0);
         }
     }
 
-    private record LateAnswer(Member member, double grantedPerS, long askedAtMs, long arrivesAtMs) {}
+    private record DelayedResponse(
+            Controller controller, double grantedWritesPerS, long requestedAtMs, long arrivesAtMs) {}
 
-    private static List<Member> members() {
-        List<Member> members = new ArrayList<>();
-        for (int i = 0; i < MEMBERS; i++) {
-            members.add(new Member(i));
+    private static List<Controller> createControllers() {
+        List<Controller> controllers = new ArrayList<>();
+        for (int i = 0; i < CONTROLLERS; i++) {
+            controllers.add(new Controller(i));
         }
-        return members;
+        return controllers;
     }
 
-    private static double totalPerS(List<Member> members, long nowMs) {
-        return members.stream().mapToDouble(member -> member.writesPerS(nowMs)).sum();
+    private static double totalWritesPerS(List<Controller> controllers, long nowMs) {
+        return controllers.stream()
+                .mapToDouble(controller -> controller.writesPerS(nowMs))
+                .sum();
     }
 
-    /** Sometimes changes a member's demand, and sometimes lets it ask; the answer may be lost or late. */
-    private void step(WriteBudgetAllocator leader, Member member, List<LateAnswer> answers, long nowMs) {
+    /** Sometimes changes a controller's demand, and sometimes lets it ask; the answer may be lost or late. */
+    private void step(
+            WriteBudgetAllocator allocator, Controller controller, List<DelayedResponse> responses, long nowMs) {
         if (random.nextInt(40) == 0) {
-            member.wantedPerS = random.nextInt(3) == 0 ? random.nextInt(30) : 0;
+            controller.demandWritesPerS = random.nextInt(3) == 0 ? random.nextInt(30) : 0;
         }
         if (random.nextInt((int) (HEARTBEAT_MS / STEP_MS)) != 0) {
             return;
         }
-        long askedAtMs = nowMs - random.nextInt(500);
-        Optional<Double> granted = leader.grant(member.name, member.wantedPerS, nowMs);
+        long requestedAtMs = nowMs - random.nextInt(500);
+        Optional<Double> granted = allocator.grant(controller.name, controller.demandWritesPerS, nowMs);
         if (granted.isPresent() && random.nextInt(5) > 0) {
-            answers.add(new LateAnswer(member, granted.get(), askedAtMs, nowMs + random.nextInt(3_000)));
+            responses.add(new DelayedResponse(controller, granted.get(), requestedAtMs, nowMs + random.nextInt(3_000)));
         }
     }
 
-    private static void deliver(List<LateAnswer> answers, long nowMs) {
-        for (LateAnswer answer : List.copyOf(answers)) {
-            if (answer.arrivesAtMs() <= nowMs) {
-                answers.remove(answer);
-                answer.member().apply(answer.grantedPerS(), answer.askedAtMs());
+    private static void deliverDueResponses(List<DelayedResponse> responses, long nowMs) {
+        for (DelayedResponse response : List.copyOf(responses)) {
+            if (response.arrivesAtMs() <= nowMs) {
+                responses.remove(response);
+                response.controller().applyGrant(response.grantedWritesPerS(), response.requestedAtMs());
             }
         }
     }
 
-    // Guards the limit that all controllers share, through lost and late answers, a leader that was paused before it
+    // Guards the limit that all controllers share, through lost and late responses, a leader that was paused before it
     // answered, and leaders that follow each other at once.
     @Test
-    void totalStaysWithinTheLimitWithLateAnswersAndNewLeaders() {
-        List<Member> members = members();
-        List<LateAnswer> answers = new ArrayList<>();
-        WriteBudgetAllocator leader = new WriteBudgetAllocator(LIMITS, MEMBERS, GRANT_MS, 0);
+    void keepsTotalWithinLimitDespiteDelaysAndLeaderChanges() {
+        List<Controller> controllers = createControllers();
+        List<DelayedResponse> responses = new ArrayList<>();
+        WriteBudgetAllocator allocator = new WriteBudgetAllocator(LIMITS, CONTROLLERS, GRANT_MS, 0);
         double maxTotalPerS = 0;
         for (long nowMs = 0; nowMs < 2_000_000; nowMs += STEP_MS) {
             if (random.nextInt(100) == 0) {
-                leader = new WriteBudgetAllocator(LIMITS, MEMBERS, GRANT_MS, nowMs);
+                allocator = new WriteBudgetAllocator(LIMITS, CONTROLLERS, GRANT_MS, nowMs);
             }
-            for (Member member : members) {
-                step(leader, member, answers, nowMs);
+            for (Controller controller : controllers) {
+                step(allocator, controller, responses, nowMs);
             }
-            deliver(answers, nowMs);
-            double total = totalPerS(members, nowMs);
+            deliverDueResponses(responses, nowMs);
+            double total = totalWritesPerS(controllers, nowMs);
             assertTrue(total <= MAX_PER_S + EPSILON, "at " + nowMs + ": " + total);
             maxTotalPerS = Math.max(maxTotalPerS, total);
         }
         assertTrue(maxTotalPerS > 0.95 * MAX_PER_S, "and the limit is made use of: " + maxTotalPerS);
     }
 
-    private static void exchangeUntilSettled(WriteBudgetAllocator leader, List<Member> members) {
+    private static void exchangeGrantsUntilStable(WriteBudgetAllocator allocator, List<Controller> controllers) {
         for (long nowMs = 0; nowMs <= 5 * GRANT_MS; nowMs += HEARTBEAT_MS) {
-            for (Member member : members) {
-                member.apply(leader.grant(member.name, member.wantedPerS, nowMs).orElse(0.0), nowMs);
+            for (Controller controller : controllers) {
+                controller.applyGrant(
+                        allocator
+                                .grant(controller.name, controller.demandWritesPerS, nowMs)
+                                .orElse(0.0),
+                        nowMs);
             }
         }
     }
 
     // Guards a leader that starts and ends many tasks while the others have little to write, and the reverse.
     @Test
-    void membersWithDemandAreGrantedWhatOthersLeave() {
-        List<Member> members = members();
-        members.get(2).wantedPerS = 50;
-        exchangeUntilSettled(new WriteBudgetAllocator(LIMITS, MEMBERS, GRANT_MS, 0), members);
-        assertEquals(LIMITS.sharedWritesPerS(), members.get(2).grantedPerS, EPSILON, "all of the shared part");
-        members.get(4).wantedPerS = 50;
-        exchangeUntilSettled(new WriteBudgetAllocator(LIMITS, MEMBERS, GRANT_MS, 0), members);
-        assertEquals(members.get(2).grantedPerS, members.get(4).grantedPerS, EPSILON, "two in need share evenly");
-        assertEquals(LIMITS.sharedWritesPerS(), members.get(2).grantedPerS + members.get(4).grantedPerS, EPSILON);
+    void grantsUnusedBudgetToControllersWithDemand() {
+        List<Controller> controllers = createControllers();
+        controllers.get(2).demandWritesPerS = 50;
+        exchangeGrantsUntilStable(new WriteBudgetAllocator(LIMITS, CONTROLLERS, GRANT_MS, 0), controllers);
+        assertEquals(
+                LIMITS.sharedWritesPerS(), controllers.get(2).grantedWritesPerS, EPSILON, "all of the shared part");
+        controllers.get(4).demandWritesPerS = 50;
+        exchangeGrantsUntilStable(new WriteBudgetAllocator(LIMITS, CONTROLLERS, GRANT_MS, 0), controllers);
+        assertEquals(
+                controllers.get(2).grantedWritesPerS,
+                controllers.get(4).grantedWritesPerS,
+                EPSILON,
+                "two in need share evenly");
+        assertEquals(
+                LIMITS.sharedWritesPerS(),
+                controllers.get(2).grantedWritesPerS + controllers.get(4).grantedWritesPerS,
+                EPSILON);
     }
 
     @Test
-    void grantedRateExpiresTogetherWithItsUnusedTokens() {
+    void dropsUnusedTokensWhenGrantExpires() {
         TokenBucket budget = new TokenBucket(2, 0);
         budget.grant(8, 1_000, 0);
         assertEquals(0, budget.waitMsFor(10, 999), "one second's worth of both rates");
