--- a/src/main/java/io/quartzgw/store/KeyChange.java
+++ b/src/main/java/io/quartzgw/store/KeyChange.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 
 /**
- * A change of a key that a watch has delivered.
+ * A change of a key, delivered by a watch.
  *
  * @param value the new value, or null when the key was deleted; see {@link #newValue()}
  */
--- a/src/main/java/io/quartzgw/store/LeaseGrant.java
+++ b/src/main/java/io/quartzgw/store/LeaseGrant.java
@@ -1,11 +1,11 @@
 package io.quartzgw.store;
 
-/** The result of a request for a lease. */
+/** The result of a lease request. */
 public sealed interface LeaseGrant {
 
     /** The lease was granted. */
     record Granted(long leaseId) implements LeaseGrant {}
 
-    /** The store refused or did not answer; without an answer a lease may exist that nobody uses. */
+    /** The state service rejected the request or did not respond. Without a response, an unused lease may exist. */
     record Unavailable() implements LeaseGrant {}
 }
--- a/src/main/java/io/quartzgw/store/LeaseRenewal.java
+++ b/src/main/java/io/quartzgw/store/LeaseRenewal.java
@@ -1,11 +1,11 @@
 package io.quartzgw.store;
 
-/** The result of a renewal of a lease. */
+/** The result of a lease renewal. */
 public enum LeaseRenewal {
-    /** The lease has its full time to live again, from a moment after the request. */
+    /** The lease was renewed for its full time to live, counted from some time after the request. */
     RENEWED,
-    /** The store has no such lease any more. */
+    /** The lease no longer exists. */
     EXPIRED,
-    /** The store refused or did not answer: the lease may have been renewed. */
+    /** The state service rejected the request or did not respond. The lease may have been renewed. */
     UNKNOWN
 }
--- a/src/main/java/io/quartzgw/store/ListResult.java
+++ b/src/main/java/io/quartzgw/store/ListResult.java
@@ -1,11 +1,11 @@
 package io.quartzgw.store;
 
-/** The result of a read of all keys with a prefix. */
+/** The result of reading all keys with a prefix. */
 public sealed interface ListResult {
 
     /** All pages were read. */
     record Listed(StoreClient.Listing listing) implements ListResult {}
 
-    /** The store refused a page or did not answer. */
+    /** The state service rejected the request for a page or did not respond. */
     record Unavailable() implements ListResult {}
 }
--- a/src/main/java/io/quartzgw/store/PackedRecords.java
+++ b/src/main/java/io/quartzgw/store/PackedRecords.java
@@ -14,16 +14,19 @@
 import java.util.regex.Pattern;
 
 /**
- * Many small records packed into few values under one prefix, so that a write costs the same whether one record has
- * changed or a hundred.
+ * Many small records packed into a few values (pages) under one prefix. A page is written as a whole, at the same cost
+ * for one changed record as for a hundred.
  *
- * <p>A transaction may be applied minutes late. Every write of a page requires the page's revision, so of two writes
- * that were sent from the same state only one can ever be applied, and a late copy changes nothing.
+ * <p>The state service may apply a transaction minutes late. Every write of a page requires the page's current
+ * revision, so at most one of several writes based on the same revision is applied, and a delayed duplicate has no
+ * effect.
  */
 public final class PackedRecords {
-    /** The fraction of a value that records may fill; the rest is for punctuation. */
+    /** The fraction of a value's maximum size that new records may fill; the rest is reserved for punctuation. */
     private static final double FILL_FACTOR = 0.85;
-    /** All pages of a transaction together; the store takes 64 KiB with everything around them. */
+    /**
+     * Maximum size of all pages in a transaction. The state service's limit of 64 KiB includes the rest of the request.
+     */
     private static final int MAX_TRANSACTION_BYTES = 48 * 1024;
 
     private static final Pattern PAGE_NUMBER = Pattern.compile("\\d{1,9}");
@@ -36,10 +39,10 @@
     private final Map<Integer, RecordPage> pages = new TreeMap<>();
     private final Map<String, RecordPage> pageByKey = new HashMap<>();
 
-    /** What is left of one {@link #write}. */
+    /** The remaining pages of one {@link #write}. */
     private record PendingWrite(List<RecordPage> pages, RequestUrgency urgency, Consumer<Boolean> callback) {}
 
-    /** @param transactionFactory an empty transaction that only the present leader can commit */
+    /** @param transactionFactory creates an empty transaction that only the current leader can commit */
     public PackedRecords(StoreClient store, String prefix, Supplier<Transaction> transactionFactory) {
         this.store = store;
         this.prefix = prefix;
@@ -49,7 +52,7 @@
                 Math.max(1, Math.min(store.maxTransactionWrites(), MAX_TRANSACTION_BYTES / store.maxValueBytes()));
     }
 
-    /** Takes over the stored pages, and passes each record to a consumer, which may remove it. */
+    /** Loads the stored pages and passes each record to the consumer, which may remove it. */
     public void load(List<KeyValue> entries, BiConsumer<String, JsonNode> consumer) {
         for (KeyValue entry : entries) {
             RecordPage page = RecordPage.decode(pageNumber(entry), entry);
@@ -64,7 +67,7 @@
         return Integer.parseInt(entry.key().substring(prefix.length()));
     }
 
-    // A record that was removed lazily and put on another page may stand on both.
+    // A record that was removed lazily and then put on another page may be stored on both pages.
     private void assignToPage(String key, RecordPage page) {
         RecordPage previous = pageByKey.put(key, page);
         if (previous != null) {
@@ -73,13 +76,13 @@
         }
     }
 
-    /** Whether a key is that of a page. */
+    /** Whether the key has the form of a page key. */
     public boolean isPageKey(String key) {
         return key.startsWith(prefix)
                 && PAGE_NUMBER.matcher(key.substring(prefix.length())).matches();
     }
 
-    /** Keeps a stored page that can't be read as it is: it is neither filled nor written. */
+    /** Registers a stored page that can't be decoded. It receives no records and is not written. */
     public void keepUnreadable(KeyValue entry) {
         RecordPage page = RecordPage.empty(pageNumber(entry));
         page.setRevision(entry.revision());
@@ -87,7 +90,7 @@
         pages.put(page.number(), page);
     }
 
-    /** Makes the pages that can't be read empty ones, with the next {@link #write}. */
+    /** Replaces the unreadable pages by empty ones with the next {@link #write}. */
     public void dropUnreadable() {
         pages.values().stream().filter(RecordPage::unreadable).forEach(page -> {
             page.setUnreadable(false);
@@ -95,20 +98,23 @@
         });
     }
 
-    /** How many pages there are. */
+    /** The number of pages. */
     public int pageCount() {
         return pages.size();
     }
 
-    /** Has the pages that still store removed records written with the next {@link #write}. */
+    /**
+     * Marks the pages whose stored copies contain removed records as dirty, so that the next {@link #write} includes
+     * them.
+     */
     public void rewriteOutdatedPages() {
         pages.values().stream().filter(RecordPage::outdated).forEach(page -> page.setDirty(true));
     }
 
     /**
-     * Puts a record, to be written with the next {@link #write}.
+     * Adds or replaces a record. It is stored with the next {@link #write}.
      *
-     * @param reservedBytes how long the record may yet become
+     * @param reservedBytes the size up to which the record may grow later
      */
     public void put(String key, JsonNode record, int reservedBytes) {
         int size = RecordPage.recordSizeBytes(key, record, reservedBytes);
@@ -117,7 +123,7 @@
             page = pageWithRoomFor(key, size).orElseGet(this::addPage);
             pageByKey.put(key, page);
         } else if (page.totalBytesWith(key, size) > store.maxValueBytes()) {
-            // A page that the store rejects would block all others for good.
+            // The state service would reject the oversized page, which would block the writes of all pages permanently.
             throw new IllegalArgumentException(key + " has outgrown what was reserved for it");
         }
         page.put(key, record, size);
@@ -143,7 +149,7 @@
         return pageByKey.containsKey(key);
     }
 
-    /** How many pages the next {@link #write} takes. */
+    /** The number of pages that the next {@link #write} includes. */
     public int dirtyPageCount() {
         return dirtyPages().size();
     }
@@ -152,12 +158,12 @@
         return pages.values().stream().filter(RecordPage::dirty).toList();
     }
 
-    /** Removes a record; it leaves the state store with the next change of its page. */
+    /** Removes a record. It remains in the state service until its page is next written. */
     public void removeLazily(String key) {
         removeFromPage(key);
     }
 
-    /** Removes a record, to be written with the next {@link #write}. */
+    /** Removes a record. The removal is stored with the next {@link #write}. */
     public void remove(String key) {
         removeFromPage(key).ifPresent(page -> page.setDirty(true));
     }
@@ -172,9 +178,9 @@
     }
 
     /**
-     * Writes what has changed up to now and calls back with whether that is in the state store; one write at a time.
-     * What changes meanwhile is left for the next write: where the budget is short something always does, and a write
-     * that included it would never end.
+     * Writes all changes made so far, and passes to the callback whether all of them were stored. Callers must wait for
+     * the callback before the next write. Changes made in the meantime are left for the next write: with a small budget
+     * there are always some, and a write that included them would never complete.
      */
     public void write(RequestUrgency urgency, Consumer<Boolean> callback) {
         writeNextBatch(new PendingWrite(dirtyPages(), urgency, callback));
@@ -185,7 +191,7 @@
             write.callback().accept(true);
             return;
         }
-        // No more than a second's worth, so that others get their turn.
+        // At most the writes of one second, so that other callers can write in between.
         int maxPages = Math.max(1, Math.min(pagesPerTransaction, (int) store.writesPerS()));
         int batchSize = Math.min(maxPages, write.pages().size());
         List<RecordPage> batch = write.pages().subList(0, batchSize);
@@ -220,7 +226,7 @@
         reloadRevisions(conflicting, () -> remainder.callback().accept(false));
     }
 
-    // A conflict shows that a write without an answer was applied after all: its revision has to be read.
+    // A conflict means that an earlier, unanswered write was applied, so the page's current revision has to be read.
     private void reloadRevisions(Deque<RecordPage> conflicting, Runnable callback) {
         if (conflicting.isEmpty()) {
             callback.run();
--- a/src/main/java/io/quartzgw/store/PrefixReader.java
+++ b/src/main/java/io/quartzgw/store/PrefixReader.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** Reads all keys with a prefix, page by page; one object a listing. */
+/** Reads all keys with a prefix, page by page. An instance serves one listing. */
 final class PrefixReader {
     private final RequestQueue requests;
     private final StoreCodec codec;
@@ -45,7 +45,8 @@
         }
         StoreCodec.Page page = StoreCodec.decodePage(reply);
         entries.addAll(page.entries());
-        // A watch from the first page's revision delivers again what changed between the pages.
+        // Pages may be read at different revisions. A watch from the lowest one delivers all changes made between them,
+        // some of them again.
         revision = Math.min(revision, page.revision());
         if (page.more() && !entries.isEmpty()) {
             requestPage(Optional.of(entries.get(entries.size() - 1).key()));
--- a/src/main/java/io/quartzgw/store/PrefixWatch.java
+++ b/src/main/java/io/quartzgw/store/PrefixWatch.java
@@ -4,7 +4,7 @@
 import io.quartzgw.http.Reply;
 import io.quartzgw.store.StoreCodec.WatchResponse;
 
-/** Polls the changes of a prefix for one watcher, for as long as that is active; one object a watch. */
+/** Polls the changes under a prefix while the watcher is active. An instance serves one watch. */
 final class PrefixWatch {
     private static final int RETRY_MS = StoreHealth.UNAVAILABLE_AFTER_MS / 2;
 
@@ -23,7 +23,7 @@
         this.watcher = watcher;
     }
 
-    /** @param caughtUpAtMs a moment before which nothing was changed that the revision lacks */
+    /** @param caughtUpAtMs a time such that the revision includes all changes made before it */
     void poll(long fromRevision, long caughtUpAtMs) {
         if (!watcher.active()) {
             return;
--- a/src/main/java/io/quartzgw/store/ReadResult.java
+++ b/src/main/java/io/quartzgw/store/ReadResult.java
@@ -1,14 +1,14 @@
 package io.quartzgw.store;
 
-/** The result of a read of one key. */
+/** The result of reading one key. */
 public sealed interface ReadResult {
 
     /** The key has a value. */
     record Found(KeyValue entry) implements ReadResult {}
 
-    /** There is no such key. */
+    /** The key does not exist. */
     record Absent() implements ReadResult {}
 
-    /** The store refused or did not answer. */
+    /** The state service rejected the request or did not respond. */
     record Unavailable() implements ReadResult {}
 }
--- a/src/main/java/io/quartzgw/store/RecordPage.java
+++ b/src/main/java/io/quartzgw/store/RecordPage.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** One page of packed records: a JSON object under one key, with a field for each record. */
+/** One page of packed records, stored under one key as a JSON object with a field for each record. */
 final class RecordPage {
     private static final int PUNCTUATION_BYTES = 6;
 
@@ -26,7 +26,7 @@
         this.revision = revision;
     }
 
-    /** A page that is not stored. */
+    /** An empty page that is not stored yet. */
     static RecordPage empty(int number) {
         return new RecordPage(number, Transaction.NO_REVISION);
     }
@@ -47,9 +47,9 @@
     }
 
     /**
-     * How many bytes a record takes in a page.
+     * The number of bytes that a record takes in a page.
      *
-     * @param reservedBytes how long the record may yet become
+     * @param reservedBytes the size up to which the record may grow later
      */
     static int recordSizeBytes(String key, JsonNode record, int reservedBytes) {
         return key.length() + PUNCTUATION_BYTES + Math.max(reservedBytes, Json.write(record).length);
@@ -59,7 +59,7 @@
         return number;
     }
 
-    /** The revision of the stored page, or {@link Transaction#NO_REVISION}. */
+    /** The revision of the stored page, or {@link Transaction#NO_REVISION} if it is not stored. */
     long revision() {
         return revision;
     }
@@ -68,7 +68,7 @@
         this.revision = revision;
     }
 
-    /** Whether the page has changes to be written. */
+    /** Whether the page is to be included in the next write. */
     boolean dirty() {
         return dirty;
     }
@@ -77,7 +77,7 @@
         this.dirty = dirty;
     }
 
-    /** Whether records were removed since the page was last written. */
+    /** Whether records were removed since the page was last written, so that its stored copy still contains them. */
     boolean outdated() {
         return outdated;
     }
@@ -86,7 +86,7 @@
         this.outdated = outdated;
     }
 
-    /** Whether the stored page can't be read, and is left as it is. */
+    /** Whether the stored page can't be decoded. Such a page is not modified. */
     boolean unreadable() {
         return unreadable;
     }
@@ -103,7 +103,7 @@
         return records.get(key);
     }
 
-    /** How long the page would be if a record had this size. */
+    /** The size of the page if the record with this key had the given size. */
     int totalBytesWith(String key, int size) {
         return totalBytes - recordSizes.getOrDefault(key, 0) + size;
     }
--- a/src/main/java/io/quartzgw/store/RequestQueue.java
+++ b/src/main/java/io/quartzgw/store/RequestQueue.java
@@ -10,15 +10,18 @@
 import java.util.function.Consumer;
 
 /**
- * Calls to the state store that wait for this controller's share of the store's limits. Urgent calls go first, those of
- * elections before all, but a write that has waited for a while goes before urgent ones that came later. Reads need
- * only the budget of requests, so they do not wait behind writes that lack the budget of writes.
+ * Queues calls to the state service until this controller's share of the service's limits allows them. Calls for
+ * elections go first, then other urgent calls. A less urgent write that has waited for some time goes before urgent
+ * writes that were queued later. Reads only use the request budget, so they do not wait behind writes that lack write
+ * budget.
  */
 final class RequestQueue {
-    /** Calls of normal urgency that wait longer than this are rejected. */
+    /**
+     * Calls of normal urgency are rejected after this time in the queue; background writes then go before urgent ones.
+     */
     private static final int MAX_QUEUE_MS = 700;
 
-    /** A write that has waited for this much longer than an urgent one goes before it. */
+    /** A normal write that was queued earlier than an urgent one by more than this goes first. */
     private static final int URGENT_HEAD_START_MS = (int) (0.4 * MAX_QUEUE_MS);
 
     private static final long NOT_SCHEDULED = Long.MAX_VALUE;
@@ -38,15 +41,15 @@
     private Optional<EventLoop.Timer> drainTimer = Optional.empty();
     private long drainAtMs = NOT_SCHEDULED;
     private int submittedWrites;
-    /** The writes that were queued when {@link #takeWriteDemand} was last called. */
+    /** Number of writes in the queues when {@link #takeWriteDemand} was last called. */
     private int previouslyQueuedWrites;
 
-    /** A call that waits for its turn. */
+    /** A call that waits for budget. */
     private record QueuedCall(Call call, int writeCount, long queuedAtMs, Consumer<Reply> callback) {}
 
     /**
-     * @param share the part of the store's limits that this controller may use
-     * @param replyObserver receives every reply of the store before the caller does
+     * @param share this controller's share of the state service's limits
+     * @param replyObserver receives every reply before the caller does
      */
     RequestQueue(EventLoop eventLoop, StoreLimits share, Consumer<Reply> replyObserver) {
         this.eventLoop = eventLoop;
@@ -55,7 +58,7 @@
         this.writeBudget = new TokenBucket(share.writesPerS(), eventLoop.nowMs());
     }
 
-    /** Sends a call when its turn comes; the caller gets exactly one reply. */
+    /** Sends a call as soon as the budget allows. The callback gets exactly one reply. */
     void submit(Call call, int writeCount, RequestUrgency urgency, Consumer<Reply> callback) {
         submittedWrites += writeCount;
         queueFor(writeCount == 0, urgency).addLast(new QueuedCall(call, writeCount, eventLoop.nowMs(), callback));
@@ -71,18 +74,20 @@
         };
     }
 
-    /** Grants this controller more writes a second until a moment, in place of the grant before. */
+    /** Adds a granted write rate until the given time. It replaces the previous grant. */
     void applyWriteGrant(double writesPerS, long untilMs) {
         writeBudget.grant(writesPerS, untilMs, eventLoop.nowMs());
         drain();
     }
 
-    /** How many writes a second this controller may make now. */
+    /** The current limit on this controller's writes per second. */
     double writesPerS() {
         return writeBudget.ratePerS(eventLoop.nowMs());
     }
 
-    /** How many writes were queued or submitted since this method was last called. */
+    /**
+     * Returns the number of writes submitted since the last call, plus those that were queued at the time of that call.
+     */
     int takeWriteDemand() {
         int demand = submittedWrites + previouslyQueuedWrites;
         submittedWrites = 0;
@@ -99,7 +104,8 @@
         sendAll(electionReads);
         sendAll(urgentReads);
         sendWrites();
-        // Last, so that many reads starve no write: the budget of writes is far smaller than that of requests.
+        // Normal reads come last so that they do not starve writes, whose budget is far smaller than the request
+        // budget.
         if (urgentReads.isEmpty()) {
             sendAll(normalReads);
         }
@@ -117,7 +123,7 @@
         if (!electionWrites.isEmpty()) {
             return electionWrites;
         }
-        // Guards starts against a stream of submissions: they may have to wait for a write that was not urgent.
+        // Prevents a stream of submissions from starving background writes, since a start may depend on one of them.
         if (isHeadOverdue(backgroundWrites)) {
             return backgroundWrites;
         }
@@ -127,7 +133,7 @@
         if (normalWrites.isEmpty()) {
             return urgentWrites;
         }
-        // Guards submissions against a leader that always has something urgent to write.
+        // Prevents a leader that always has urgent writes from starving submissions.
         long urgentSinceMs = urgentWrites.peekFirst().queuedAtMs();
         long normalSinceMs = normalWrites.peekFirst().queuedAtMs();
         return normalSinceMs + URGENT_HEAD_START_MS < urgentSinceMs ? normalWrites : urgentWrites;
@@ -141,7 +147,7 @@
         while (isHeadOverdue(queue)) {
             QueuedCall rejected = queue.pollFirst();
             eventLoop.increment("store.refused", 1);
-            // Deferred, so that a rejection never runs inside the caller's own call.
+            // Deferred, so that the callback never runs inside the caller's call of submit().
             eventLoop.after(0, () -> rejected.callback().accept(new Reply(TOO_MANY_REQUESTS, new byte[0])));
         }
     }
@@ -153,7 +159,7 @@
         }
     }
 
-    /** Sends the first call of a queue, or schedules the next attempt and returns false when the budget is short. */
+    /** Sends the first call of a queue. If the budget is insufficient, schedules the next attempt and returns false. */
     private boolean sendNext(Deque<QueuedCall> queue) {
         QueuedCall queued = queue.peekFirst();
         long waitMs = waitMsFor(queued);
--- a/src/main/java/io/quartzgw/store/RequestUrgency.java
+++ b/src/main/java/io/quartzgw/store/RequestUrgency.java
@@ -1,13 +1,13 @@
 package io.quartzgw.store;
 
-/** Which requests go first when the budget is short. */
+/** The order in which requests are sent when the budget is insufficient. */
 public enum RequestUrgency {
-    /** Elections and the end of a leader's lease: few, and without a leader all else is of little use. */
+    /** Elections and lease operations. They are few, and without a leader most other requests are of little use. */
     ELECTION,
-    /** Leases, listings and watches, cancellations, ends of jobs, and records that starts wait for. */
+    /** Listings and watches, cancellations, ends of jobs, and records that have to be stored before a task starts. */
     HIGH,
-    /** Submissions and polls of users. */
+    /** Submissions and status queries of users. */
     NORMAL,
-    /** Records that nothing waits for; they are never rejected. */
+    /** Records on which no other operation waits. These writes are never rejected. */
     BACKGROUND
 }
--- a/src/main/java/io/quartzgw/store/StoreClient.java
+++ b/src/main/java/io/quartzgw/store/StoreClient.java
@@ -8,8 +8,8 @@
 import java.util.function.Consumer;
 
 /**
- * The client of the state store. It stays inside this controller's share of the store's limits, and every callback is
- * called exactly once, on the event loop's thread and never inside the call that it belongs to.
+ * Client of the state service. It keeps to this controller's share of the service's limits. Every callback is called
+ * exactly once, on the event loop's thread, after the method that received it has returned.
  */
 public final class StoreClient {
     private static final int DEFAULT_POLL_MS = 20_000;
@@ -20,7 +20,7 @@
     private final RequestQueue requests;
     private final StoreHealth health;
 
-    /** @param share the part of the state store's limits that this controller may use */
+    /** @param share this controller's share of the state service's limits */
     public StoreClient(EventLoop eventLoop, Endpoint endpoint, StoreLimits share) {
         this.eventLoop = eventLoop;
         this.codec = new StoreCodec(endpoint);
@@ -31,42 +31,44 @@
 
     // ---- limits
 
-    /** How many writes a second this controller may make now. */
+    /** The current limit on this controller's writes per second. */
     public double writesPerS() {
         return requests.writesPerS();
     }
 
-    /** How many writes a transaction may have. */
+    /** The maximum number of writes in a transaction. */
     public int maxTransactionWrites() {
         return share.maxTransactionWrites();
     }
 
-    /** How long a value may be. */
+    /** The maximum size of a value. */
     public int maxValueBytes() {
         return share.maxValueBytes();
     }
 
     /**
-     * How long to wait after a number of writes until the same caller's next ones, so that on average they take no more
-     * than a fraction of this controller's share.
+     * The pause that a caller has to make after a number of writes so that its writes use, on average, at most the
+     * given fraction of this controller's share.
      */
     public long pauseMsAfter(int writeCount, double fraction) {
         return (long) (writeCount * 1000 / (fraction * requests.writesPerS()));
     }
 
-    /** Grants this controller more writes a second until a moment, in place of the grant before. */
+    /** Adds a granted write rate until the given time. It replaces the previous grant. */
     public void applyWriteGrant(double writesPerS, long untilMs) {
         requests.applyWriteGrant(writesPerS, untilMs);
     }
 
-    /** How many writes were queued or submitted since this method was last called. */
+    /**
+     * Returns the number of writes submitted since the last call, plus those that were queued at the time of that call.
+     */
     public int takeWriteDemand() {
         return requests.takeWriteDemand();
     }
 
     // ---- health
 
-    /** Whether the store answers this controller, judged by recent calls. */
+    /** Whether the state service responds to this controller, according to recent calls. */
     public boolean reachable() {
         return health.reachable();
     }
@@ -76,7 +78,7 @@
         return health.failingLongerThan(durationMs);
     }
 
-    /** Whether the store has answered any call within the given time. */
+    /** Whether the state service has responded to any call within the given time. */
     public boolean respondedWithin(long durationMs) {
         return health.respondedWithin(durationMs);
     }
@@ -96,8 +98,8 @@
     /**
      * All keys with a prefix.
      *
-     * @param revision the revision of the store before the first page was read
-     * @param readAt when the first page was requested: all changes made before are included
+     * @param revision the lowest store revision of all pages, from which a watch misses no change
+     * @param readAt when the first page was requested; all changes made before then are included
      */
     public record Listing(List<KeyValue> entries, long revision, long readAt) {}
 
@@ -108,7 +110,9 @@
 
     // ---- transactions
 
-    /** Sends a transaction; an outcome that is not known is reported as such and must not be taken for a failure. */
+    /**
+     * Sends a transaction. Without a response the outcome is reported as unknown and must not be treated as a failure.
+     */
     public void commit(Transaction transaction, RequestUrgency urgency, Consumer<TransactionOutcome> callback) {
         requests.submit(
                 codec.transactionRequest(transaction),
@@ -119,7 +123,7 @@
 
     // ---- leases
 
-    /** Requests a lease, to which keys can be attached: they are deleted when it expires. */
+    /** Requests a lease. Keys attached to it are deleted when it expires. */
     public void grantLease(long ttlMs, Consumer<LeaseGrant> callback) {
         submitRead(
                 codec.leaseRequest(ttlMs),
@@ -135,41 +139,41 @@
                 reply -> callback.accept(StoreCodec.decodeRenewal(reply)));
     }
 
-    /** Ends a lease; if the request is lost, the lease expires by itself. */
+    /** Revokes a lease. If the request is lost, the lease expires at the end of its time to live. */
     public void revokeLease(long leaseId) {
         submitRead(codec.revocationRequest(leaseId), RequestUrgency.ELECTION, reply -> {});
     }
 
     // ---- watches
 
-    /** Receives the changes of a prefix until it is no longer active. */
+    /** Receives the changes under a prefix while it is active. */
     public interface Watcher {
-        /** Whether the watch goes on. */
+        /** Whether the watch continues. */
         boolean active();
 
-        /** All changes up to a revision have been delivered, and so all that were made before a moment. */
-        default void caughtUp(long revision, long readAt) {}
+        /** All changes up to the revision, and so all changes made before {@code readAtMs}, have been delivered. */
+        default void caughtUp(long revision, long readAtMs) {}
 
-        /** How long the store may wait for a change before it answers that there was none. */
+        /** How long the state service may wait for a change before it returns an empty response. */
         default long pollMs() {
             return DEFAULT_POLL_MS;
         }
 
-        /** Receives changes in the order of their revisions; there is at least one. */
+        /** Receives one or more changes, in the order of their revisions. */
         void onChanges(List<KeyChange> changes);
 
-        /** Changes were missed, and the watch has ended: everything has to be read again. */
+        /** Changes were missed, and the watch has ended. The whole prefix has to be read again. */
         void onCompacted();
     }
 
     /**
-     * Watches a prefix from a revision until the watcher is no longer active, or the store no longer has all changes
-     * since the revision.
+     * Watches a prefix from a revision until the watcher is no longer active, or the state service has compacted
+     * changes after the revision.
      *
-     * @param readAt a moment before which nothing was changed that the revision lacks
+     * @param readAtMs a time such that the revision includes all changes made before it
      */
-    public void watch(String prefix, long fromRevision, long readAt, Watcher watcher) {
-        new PrefixWatch(eventLoop, requests, codec, prefix, watcher).poll(fromRevision, readAt);
+    public void watch(String prefix, long fromRevision, long readAtMs, Watcher watcher) {
+        new PrefixWatch(eventLoop, requests, codec, prefix, watcher).poll(fromRevision, readAtMs);
     }
 
     private void submitRead(Call call, RequestUrgency urgency, Consumer<Reply> callback) {
--- a/src/main/java/io/quartzgw/store/StoreCodec.java
+++ b/src/main/java/io/quartzgw/store/StoreCodec.java
@@ -16,8 +16,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Encodes the requests of the state store's protocol and decodes its responses. The protocol's own words (permit, hold,
- * guards, follow) are used here only.
+ * Encodes requests and decodes responses of the state service's protocol. Only this class uses the protocol's own
+ * terms: a permit or hold is a lease, guards are preconditions, and follow is a watch.
  */
 final class StoreCodec {
     private static final Logger LOG = LoggerFactory.getLogger(StoreCodec.class);
@@ -25,7 +25,7 @@
     private static final String NO_SUCH_LEASE = "no such lease";
     private static final int LIST_PAGE_SIZE = 1000;
     private static final int CALL_TIMEOUT_MS = 1_500;
-    /** How much longer than the service may wait for a change the response to a watch is awaited. */
+    /** Added to the service's polling time to give the timeout of a watch request. */
     private static final int WATCH_TIMEOUT_SLACK_MS = 3_000;
 
     private static final int OK = 200;
@@ -55,7 +55,7 @@
         return reply.status() == NOT_FOUND ? new ReadResult.Absent() : new ReadResult.Unavailable();
     }
 
-    /** @param afterKey the last key of the page before; empty for the first page */
+    /** @param afterKey the last key of the previous page; empty for the first page */
     Call pageRequest(String prefix, Optional<String> afterKey) {
         String since = afterKey.map(key -> "&since=" + key).orElse("");
         return Call.get(endpoint, "/keys?starts=" + prefix + since + "&most=" + LIST_PAGE_SIZE, CALL_TIMEOUT_MS);
@@ -84,7 +84,7 @@
                 item.path("key_rev").asLong());
     }
 
-    /** A cheap read of a prefix that has no keys. */
+    /** An inexpensive request: lists a prefix that has no keys. */
     Call probeRequest() {
         return Call.get(endpoint, "/keys?starts=probe/&most=1", CALL_TIMEOUT_MS);
     }
@@ -97,7 +97,7 @@
         transaction
                 .preconditions()
                 .forEach(guard -> guards.addObject().put("path", guard.key()).put("key_rev", guard.revision()));
-        // Without writes a transaction only compares revisions.
+        // A transaction without writes only checks its preconditions.
         if (transaction.writeCount() > 0) {
             ArrayNode apply = body.putArray("apply");
             transaction.writes().forEach(write -> encodeWrite(write, apply.addObject()));
@@ -168,7 +168,7 @@
 
     // ---- watches
 
-    /** @param pollMs how long the service may wait for a change before it answers that there was none */
+    /** @param pollMs how long the service may wait for a change before it returns an empty response */
     Call watchRequest(String prefix, long fromRevision, long pollMs) {
         return Call.get(
                 endpoint,
@@ -180,16 +180,16 @@
     sealed interface WatchResponse {
 
         /**
-         * The changes since the polled revision; there may be none.
+         * The changes since the requested revision; there may be none.
          *
-         * @param revision the revision up to which these are all changes
+         * @param revision the revision up to which the changes are complete
          */
         record Changes(List<KeyChange> changes, long revision) implements WatchResponse {}
 
-        /** The service has no longer all changes since the revision. */
+        /** The service has compacted changes since the requested revision. */
         record Compacted() implements WatchResponse {}
 
-        /** The service refused or did not answer. */
+        /** The service rejected the request or did not respond. */
         record Unavailable() implements WatchResponse {}
     }
 
--- a/src/main/java/io/quartzgw/store/StoreHealth.java
+++ b/src/main/java/io/quartzgw/store/StoreHealth.java
@@ -4,9 +4,12 @@
 import io.quartzgw.http.Reply;
 import java.util.function.Consumer;
 
-/** Whether the state store answers this controller, judged by the replies to all calls and by probes while it fails. */
+/**
+ * Tracks whether the state service responds to this controller, from the replies to all calls and, during failures, to
+ * probes.
+ */
 final class StoreHealth {
-    /** Failures in a row for this long mean that this controller can't use the service. */
+    /** The service is considered unreachable when all calls have failed for this long. */
     static final int UNAVAILABLE_AFTER_MS = 400;
 
     private static final long NEVER = Long.MIN_VALUE / 2;
@@ -25,7 +28,7 @@
         this.probeSender = probeSender;
     }
 
-    /** Records how a call ended. */
+    /** Records the result of a call. */
     void record(Reply reply) {
         if (reply.status() == Reply.LOST || reply.status() == SERVICE_UNAVAILABLE) {
             failingSinceMs = Math.min(failingSinceMs, eventLoop.nowMs());
@@ -48,7 +51,8 @@
         return eventLoop.nowMs() - lastResponseAtMs <= durationMs;
     }
 
-    // Users are refused at once while the service is unavailable, so no other call would notice its return.
+    // User requests are rejected immediately while the service is unavailable, so without probes no call might detect
+    // its recovery.
     private void scheduleProbe() {
         if (!probing) {
             probing = true;
--- a/src/main/java/io/quartzgw/store/TokenBucket.java
+++ b/src/main/java/io/quartzgw/store/TokenBucket.java
@@ -1,8 +1,6 @@
 package io.quartzgw.store;
 
-/**
- * A token bucket that holds one second's worth of tokens. Beside its own rate it may have a granted one, which expires.
- */
+/** A token bucket that holds the tokens of one second. A temporary granted rate can be added to its base rate. */
 public final class TokenBucket {
     private static final long NEVER = Long.MIN_VALUE / 2;
     private static final double MS_PER_S = 1000;
@@ -13,33 +11,35 @@
     private double tokens;
     private long refilledAtMs;
 
-    /** @param ratePerS tokens added a second, and the capacity of the bucket, which is full at first */
+    /** @param ratePerS tokens added per second, and the bucket's capacity; the bucket is full at first */
     public TokenBucket(double ratePerS, long nowMs) {
         this.baseRatePerS = ratePerS;
         this.tokens = Math.max(1, ratePerS);
         this.refilledAtMs = nowMs;
     }
 
-    /** Adds a further rate until a moment, in place of the grant before. */
+    /** Adds a granted rate until the given time. It replaces the previous grant. */
     public void grant(double ratePerS, long untilMs, long nowMs) {
         refill(nowMs);
         grantedRatePerS = ratePerS;
         grantedUntilMs = untilMs;
     }
 
-    /** The rate at a moment. */
+    /** The rate at the given time. */
     public double ratePerS(long nowMs) {
         return nowMs < grantedUntilMs ? baseRatePerS + grantedRatePerS : baseRatePerS;
     }
 
-    /** Milliseconds until so many tokens are available; 0 when they are. */
+    /**
+     * Milliseconds until the given number of tokens, or a full bucket if that is less, is available; 0 if it is now.
+     */
     public long waitMsFor(double count, long nowMs) {
         refill(nowMs);
         double missingTokens = Math.min(count, capacity(nowMs)) - tokens;
         return missingTokens <= 0 ? 0 : (long) Math.ceil(missingTokens * MS_PER_S / ratePerS(nowMs));
     }
 
-    /** Takes tokens; the bucket goes into debt when a single request costs more than it holds. */
+    /** Takes tokens. The balance becomes negative when a single request costs more than the bucket holds. */
     public void take(double count, long nowMs) {
         refill(nowMs);
         tokens -= count;
--- a/src/main/java/io/quartzgw/store/Transaction.java
+++ b/src/main/java/io/quartzgw/store/Transaction.java
@@ -6,9 +6,12 @@
 import java.util.List;
 import java.util.OptionalLong;
 
-/** Writes that are all applied, or none, depending on the revisions of keys; a transaction may also only compare. */
+/**
+ * A set of writes that are applied atomically if all preconditions on key revisions hold. A transaction without writes
+ * only checks the preconditions.
+ */
 public final class Transaction {
-    /** The revision that a precondition requires of a key that must not exist. */
+    /** The revision in a precondition that a key must not exist. */
     public static final long NO_REVISION = 0;
 
     private final List<Precondition> preconditions = new ArrayList<>();
@@ -32,7 +35,7 @@
     /** Deletes a key. */
     record Delete(String key) implements Write {}
 
-    /** Requires that a key has a revision. */
+    /** Requires that a key has the given revision. */
     public Transaction require(String key, long revision) {
         preconditions.add(new Precondition(key, revision));
         return this;
@@ -44,7 +47,7 @@
         return this;
     }
 
-    /** Sets the value of a key that is deleted when a lease ends. */
+    /** Sets a key's value and attaches the key to a lease, with whose end it is deleted. */
     public Transaction putWithLease(String key, JsonNode value, long leaseId) {
         writes.add(new Put(key, value, OptionalLong.of(leaseId)));
         return this;
@@ -56,7 +59,7 @@
         return this;
     }
 
-    /** How many writes the transaction has. */
+    /** The number of writes. */
     public int writeCount() {
         return writes.size();
     }
--- a/src/main/java/io/quartzgw/store/TransactionOutcome.java
+++ b/src/main/java/io/quartzgw/store/TransactionOutcome.java
@@ -2,21 +2,21 @@
 
 import java.util.Set;
 
-/** How a transaction ended. */
+/** The outcome of a transaction. */
 public sealed interface TransactionOutcome {
 
     /** All writes were applied, at this revision. */
     record Committed(long revision) implements TransactionOutcome {}
 
-    /** Nothing was written; the preconditions on these keys did not hold. */
+    /** Nothing was written because the preconditions on these keys failed. */
     record Conflict(Set<String> failedKeys) implements TransactionOutcome {}
 
-    /** Nothing was written; a lease that a write refers to has expired. */
+    /** Nothing was written because a lease referenced by a write has expired. */
     record LeaseExpired() implements TransactionOutcome {}
 
-    /** Nothing was written: the store refused, or this controller's budget is spent. */
+    /** Nothing was written because the state service rejected the request or this controller's budget is exhausted. */
     record Refused() implements TransactionOutcome {}
 
-    /** No response: the transaction may have been applied, or may be applied later. */
+    /** No response was received. The transaction may have been applied or may be applied later. */
     record Unknown() implements TransactionOutcome {}
 }
--- a/src/main/java/io/quartzgw/store/WriteBudgetAllocator.java
+++ b/src/main/java/io/quartzgw/store/WriteBudgetAllocator.java
@@ -7,17 +7,20 @@
 import java.util.Optional;
 
 /**
- * A leader's allocation of the state store's shared write budget: beyond their own shares, controllers are granted what
- * they demand, as far as all grants together stay within the shared part.
+ * Allocates the shared part of the state service's write budget; used by the leader. Controllers are granted the writes
+ * that they demand beyond their guaranteed shares, as long as the sum of all grants stays within the shared part.
  *
- * <p>A grant expires. The grantee counts its time to live from when it asked, the allocator from when it answered: so
- * the allocator never takes a grant for expired that is still in use, whichever answers were lost or came late. A
- * leader grants nothing for one time to live after its election: then the grants of its predecessor have expired.
+ * <p>Grants expire. The grantee counts the time to live from its request, the allocator from its response. So a grant
+ * always expires at the grantee first, even if responses are lost or delayed. A new leader grants nothing for one time
+ * to live after its election, until all grants of the previous leader have expired.
  */
 public final class WriteBudgetAllocator {
-    /** Clocks drift by 0.05%: a grant is counted for a little longer than its time to live. */
+    /** Clocks may drift by 0.05%, so the allocator counts a grant for slightly longer than its time to live. */
     private static final double DRIFT_FACTOR = 1.01;
-    /** The fraction of what nobody demands that is granted evenly all the same; the rest waits for new demand. */
+    /**
+     * The fraction of the budget that exceeds all demands which is granted evenly anyway; the rest is kept for new
+     * demand.
+     */
     private static final double SPARE_FRACTION = 0.5;
 
     private final double sharedWritesPerS;
@@ -27,10 +30,10 @@
     private final long electedAtMs;
     private final Map<String, Grantee> grantees = new HashMap<>();
 
-    /** Writes that a controller may make until a moment. */
+    /** A write rate granted to a controller until the given time. */
     private record Grant(double writesPerS, long untilMs) {}
 
-    /** A controller's last demand, and its grants that may be in use. */
+    /** A controller's latest demand and its grants that may still be in use. */
     private static final class Grantee {
         private final List<Grant> grants = new ArrayList<>();
         private double demandWritesPerS;
@@ -45,7 +48,7 @@
             grants.add(grant);
         }
 
-        /** The most that may be in use: an answer with a later grant may have been lost. */
+        /** The highest of the unexpired grants, since the response with the latest one may have been lost. */
         double maxGrantedWritesPerS(long nowMs) {
             grants.removeIf(grant -> grant.untilMs() <= nowMs);
             return grants.stream().mapToDouble(Grant::writesPerS).max().orElse(0);
@@ -53,10 +56,10 @@
     }
 
     /**
-     * @param limits the state store's limits for all controllers together
-     * @param controllerCount how many controllers there are
+     * @param limits the state service's limits for all controllers together
+     * @param controllerCount number of controllers in the cluster
      * @param grantMs time to live of a grant
-     * @param nowMs a moment at which, or after which, this leader was elected
+     * @param nowMs a time at or after this leader's election
      */
     public WriteBudgetAllocator(StoreLimits limits, int controllerCount, long grantMs, long nowMs) {
         this.sharedWritesPerS = limits.sharedWritesPerS();
@@ -67,8 +70,8 @@
     }
 
     /**
-     * Records a controller's demand, and grants it as many writes a second as it may have now; empty while grants of a
-     * former leader may be in use.
+     * Records a controller's demand and returns the granted writes per second beyond its guaranteed share. Returns an
+     * empty result while grants of the previous leader may still be in use.
      */
     public Optional<Double> grant(String controller, double demandWritesPerS, long nowMs) {
         Grantee grantee = grantees.computeIfAbsent(controller, name -> new Grantee());
@@ -90,8 +93,8 @@
         return availableWritesPerS;
     }
 
-    // A controller that demands less than an even part of what is left gets all of it, and leaves the rest to the
-    // others.
+    // Max-min fair allocation in ascending order of demand: a demand below an even share of the remaining budget is
+    // satisfied in full, and the rest of that share remains for the others.
     private double fairShareWritesPerS(Grantee grantee, long nowMs) {
         List<Double> demands = grantees.values().stream()
                 .filter(other -> nowMs - other.requestedAtMs < grantTtlWithDriftMs)
--- a/src/test/java/io/quartzgw/store/PackedRecordsTest.java
+++ b/src/test/java/io/quartzgw/store/PackedRecordsTest.java
@@ -15,7 +15,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Packed records against a plain map, while transactions are lost, or lost and applied late. */
+/** Compares packed records with a plain map while transactions are lost or applied late. */
 class PackedRecordsTest {
     private static final String PREFIX = "p/";
 
@@ -39,7 +39,8 @@
         return stored;
     }
 
-    // Guards against a batch that is applied minutes late and overwrites a newer one.
+    // Guards against a delayed transaction that overwrites newer records when the state service applies it minutes
+    // later.
     @Test
     void keepsRecordsWhenTransactionsAreLostOrDelayed() {
         Map<String, JsonNode> model = new TreeMap<>();
@@ -61,15 +62,15 @@
             assertEquals(model, storedRecords(), "round " + round);
             if (random.nextInt(3) == 0) {
                 link.applyOneLate();
-                assertEquals(model, storedRecords(), "after a late copy");
+                assertEquals(model, storedRecords(), "after a delayed duplicate was applied");
             }
         }
-        assertTrue(storeServer.count(PREFIX) > 1, "more than one page");
-        assertTrue(storeServer.count(PREFIX) < 10, "and far fewer than records");
+        assertTrue(storeServer.count(PREFIX) > 1, "records fill more than one page");
+        assertTrue(storeServer.count(PREFIX) < 10, "records are packed into few pages");
     }
 
-    // Guards against a write that includes what changes while it is in progress: under a small budget something always
-    // does, and starts that wait for the write would wait for as long as machines are rented.
+    // Guards against a write that includes changes made while it is in progress. With a small budget there are always
+    // some, and task starts that wait for the write would be blocked for as long as machines are rented.
     @Test
     void completesWriteWhileRecordsChange() {
         int[] changes = new int[1];
@@ -82,8 +83,10 @@
         int[] changesAtCompletion = {-1};
         records.write(RequestUrgency.NORMAL, written -> changesAtCompletion[0] = written ? changes[0] : -1);
         link.pass(1, false);
-        assertTrue(changesAtCompletion[0] >= 0, "it has completed");
-        assertTrue(changesAtCompletion[0] < 10, "and not only after all changes: " + changesAtCompletion[0]);
+        assertTrue(changesAtCompletion[0] >= 0, "the write completes");
+        assertTrue(
+                changesAtCompletion[0] < 10,
+                "the write completes before most of the changes: " + changesAtCompletion[0]);
         assertTrue(storedRecords().containsKey("i-first"));
     }
 }
--- a/src/test/java/io/quartzgw/store/RequestQueueTest.java
+++ b/src/test/java/io/quartzgw/store/RequestQueueTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The order of calls when the budget is short, and which are rejected. */
+/** Checks the order in which queued calls are sent when the budget is insufficient, and which ones are rejected. */
 class RequestQueueTest {
     private static final Endpoint SERVICE = new Endpoint("10.2.0.1", 1);
     private static final StoreLimits LIMITS = new StoreLimits(10, 2, 8192, 16);
@@ -22,7 +22,7 @@
     private final List<Reply> rejected = new ArrayList<>();
     private long nowMs;
 
-    /** Lets time pass in steps of a millisecond, so that every timer fires when it is due. */
+    /** Advances the time in steps of one millisecond so that every timer fires when it is due. */
     private void advance(long durationMs) {
         for (long endMs = nowMs + durationMs; nowMs < endMs; nowMs++) {
             List<Effect> effects = eventLoop.processBatch(List.of(), new ClockReading(nowMs, nowMs));
@@ -34,7 +34,8 @@
         queue.submit(Call.get(SERVICE, path, 1_000), writes, urgency, rejected::add);
     }
 
-    // Guards reads against writes: polls of users were rejected while only the budget of writes was short.
+    // Guards against reads that wait behind writes: status queries were rejected while only the write budget was
+    // exhausted.
     @Test
     void sendsReadWhileWritesWaitForBudget() {
         RequestQueue queue = new RequestQueue(eventLoop, LIMITS, reply -> {});
@@ -59,8 +60,8 @@
         assertEquals(429, rejected.get(0).status());
     }
 
-    // While the leader stood still, the elections of the others waited for longer than agents' leases behind
-    // cancellations.
+    // Guards against delayed elections: while the leader was paused, election requests of other controllers waited
+    // behind cancellations for longer than the agents' leases.
     @Test
     void sendsElectionBeforeEarlierUrgentWrites() {
         RequestQueue queue = new RequestQueue(eventLoop, LIMITS, reply -> {});
@@ -73,7 +74,7 @@
         assertEquals(List.of("/cancellation0", "/election"), sent);
     }
 
-    // Guards submissions while users poll many times as often as usual.
+    // Guards against starvation of submissions by status queries when users poll much more often than usual.
     @Test
     void sendsWriteBeforeQueuedReads() {
         RequestQueue queue = new RequestQueue(eventLoop, LIMITS, reply -> {});
@@ -87,8 +88,8 @@
         assertEquals("/write", sent.get(10));
     }
 
-    // Guards submissions against a leader that always has something urgent to write, and its starts against
-    // submissions.
+    // Guards against starvation of submissions by a leader that always has urgent writes, and of its background writes,
+    // on which starts may depend, by submissions.
     @Test
     void sendsLongWaitingWritesBeforeLaterUrgentWrites() {
         RequestQueue queue = new RequestQueue(eventLoop, LIMITS, reply -> {});
--- a/src/test/java/io/quartzgw/store/StoreCodecTest.java
+++ b/src/test/java/io/quartzgw/store/StoreCodecTest.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The requests as the protocol has them, and the results that responses are decoded to. */
+/** Checks encoded requests and decoded responses against the state service's protocol. */
 class StoreCodecTest {
     private final StoreCodec codec = new StoreCodec(new Endpoint("10.2.0.1", 1));
 
--- a/src/test/java/io/quartzgw/store/WriteBudgetAllocatorTest.java
+++ b/src/test/java/io/quartzgw/store/WriteBudgetAllocatorTest.java
@@ -9,7 +9,10 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The writes of all controllers together, whatever happens to messages and leaders. */
+/**
+ * Checks that all controllers together stay within the write limit when responses are lost or delayed and leaders
+ * change.
+ */
 class WriteBudgetAllocatorTest {
     private static final int CONTROLLERS = 5;
     private static final long GRANT_MS = 2_000;
@@ -21,7 +24,7 @@
 
     private final SplittableRandom random = new SplittableRandom(3);
 
-    /** A controller that is granted writes; an answer may reach it late. */
+    /** A controller that is granted writes; responses may reach it late. */
     private static final class Controller {
         private final String name;
         private double demandWritesPerS;
@@ -59,7 +62,7 @@
                 .sum();
     }
 
-    /** Sometimes changes a controller's demand, and sometimes lets it ask; the answer may be lost or late. */
+    /** Randomly changes a controller's demand and sends its request. The response may be lost or delayed. */
     private void step(
             WriteBudgetAllocator allocator, Controller controller, List<DelayedResponse> responses, long nowMs) {
         if (random.nextInt(40) == 0) {
@@ -84,8 +87,8 @@
         }
     }
 
-    // Guards the limit that all controllers share, through lost and late responses, a leader that was paused before it
-    // answered, and leaders that follow each other at once.
+    // Guards against exceeding the shared limit after lost or delayed responses, after a pause of the leader between
+    // request and response, and after leader changes in quick succession.
     @Test
     void keepsTotalWithinLimitDespiteDelaysAndLeaderChanges() {
         List<Controller> controllers = createControllers();
@@ -104,7 +107,7 @@
             assertTrue(total <= MAX_PER_S + EPSILON, "at " + nowMs + ": " + total);
             maxTotalPerS = Math.max(maxTotalPerS, total);
         }
-        assertTrue(maxTotalPerS > 0.95 * MAX_PER_S, "and the limit is made use of: " + maxTotalPerS);
+        assertTrue(maxTotalPerS > 0.95 * MAX_PER_S, "the limit is nearly reached: " + maxTotalPerS);
     }
 
     private static void exchangeGrantsUntilStable(WriteBudgetAllocator allocator, List<Controller> controllers) {
@@ -119,21 +122,25 @@
         }
     }
 
-    // Guards a leader that starts and ends many tasks while the others have little to write, and the reverse.
+    // Guards against unused write budget: a leader that starts and ends many tasks needs the budget that other
+    // controllers leave unused, and vice versa.
     @Test
     void grantsUnusedBudgetToControllersWithDemand() {
         List<Controller> controllers = createControllers();
         controllers.get(2).demandWritesPerS = 50;
         exchangeGrantsUntilStable(new WriteBudgetAllocator(LIMITS, CONTROLLERS, GRANT_MS, 0), controllers);
         assertEquals(
-                LIMITS.sharedWritesPerS(), controllers.get(2).grantedWritesPerS, EPSILON, "all of the shared part");
+                LIMITS.sharedWritesPerS(),
+                controllers.get(2).grantedWritesPerS,
+                EPSILON,
+                "one controller with demand gets the whole shared part");
         controllers.get(4).demandWritesPerS = 50;
         exchangeGrantsUntilStable(new WriteBudgetAllocator(LIMITS, CONTROLLERS, GRANT_MS, 0), controllers);
         assertEquals(
                 controllers.get(2).grantedWritesPerS,
                 controllers.get(4).grantedWritesPerS,
                 EPSILON,
-                "two in need share evenly");
+                "two controllers with demand share evenly");
         assertEquals(
                 LIMITS.sharedWritesPerS(),
                 controllers.get(2).grantedWritesPerS + controllers.get(4).grantedWritesPerS,
@@ -144,9 +151,9 @@
     void dropsUnusedTokensWhenGrantExpires() {
         TokenBucket budget = new TokenBucket(2, 0);
         budget.grant(8, 1_000, 0);
-        assertEquals(0, budget.waitMsFor(10, 999), "one second's worth of both rates");
+        assertEquals(0, budget.waitMsFor(10, 999), "the bucket holds one second of both rates");
         assertEquals(0, budget.waitMsFor(2, 1_000));
         budget.take(2, 1_000);
-        assertEquals(500, budget.waitMsFor(1, 1_000), "nothing beyond its own rate has been kept");
+        assertEquals(500, budget.waitMsFor(1, 1_000), "tokens beyond the base rate are dropped");
     }
 }
--- a/src/test/java/io/quartzgw/store/package-info.java
+++ b/src/test/java/io/quartzgw/store/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the queue of requests, the write budget and packed records. */
+/** Tests of the request queue, the protocol codec, the write budget and packed records. */
 package io.quartzgw.store;
