--- a/src/main/java/io/quartzgw/eventloop/ClockReading.java
+++ b/src/main/java/io/quartzgw/eventloop/ClockReading.java
@@ -1,9 +1,9 @@
 package io.quartzgw.eventloop;
 
 /**
- * A moment as one controller's clocks show it.
+ * A point in time, read from one controller's clocks.
  *
- * @param steadyMs milliseconds on this process's steady clock; only differences mean anything
- * @param wallClockMs milliseconds of the time of day, within the bound that the settings give
+ * @param steadyMs milliseconds of this process's steady (monotonic) clock; only differences are meaningful
+ * @param wallClockMs milliseconds since the epoch, accurate to within the bound in the settings
  */
 public record ClockReading(long steadyMs, long wallClockMs) {}
--- a/src/main/java/io/quartzgw/eventloop/CoalescedTask.java
+++ b/src/main/java/io/quartzgw/eventloop/CoalescedTask.java
@@ -1,6 +1,6 @@
 package io.quartzgw.eventloop;
 
-/** A task that is scheduled at most once at a time: requests that come while it waits are served by the same run. */
+/** A task that is scheduled at most once at a time. Further requests to schedule it have no effect until it runs. */
 public final class CoalescedTask {
     private final EventLoop eventLoop;
     private final Runnable task;
@@ -11,7 +11,7 @@
         this.task = task;
     }
 
-    /** Schedules the task after a delay, unless it is scheduled already. */
+    /** Schedules the task after a delay unless it is already scheduled. */
     public void schedule(long delayMs) {
         if (!scheduled) {
             scheduled = true;
--- a/src/main/java/io/quartzgw/eventloop/Command.java
+++ b/src/main/java/io/quartzgw/eventloop/Command.java
@@ -6,9 +6,9 @@
 /** An input of the event loop. */
 public sealed interface Command {
 
-    /** A request arrived; it gets exactly one {@link Effect.Answer}. */
+    /** An inbound request was received. It gets exactly one {@link Effect.Answer}. */
     record Arrived(Request request) implements Command {}
 
-    /** An outbound call ended, with a response or without one. */
+    /** An outbound call ended, with or without a response. */
     record CallEnded(long call, Reply reply) implements Command {}
 }
--- a/src/main/java/io/quartzgw/eventloop/Effect.java
+++ b/src/main/java/io/quartzgw/eventloop/Effect.java
@@ -4,24 +4,24 @@
 import io.quartzgw.http.Response;
 
 /**
- * An output of the event loop, carried out outside its thread.
+ * An output of the event loop, executed outside its thread.
  *
- * <p>The right to send something may end before it leaves: the process may be paused between the two. So an effect may
- * have a moment of the steady clock from which on it is not carried out any more.
+ * <p>A controller may lose the right to send something before it is sent, because the process may be paused in between.
+ * So an effect may have an expiry time, after which it is no longer executed.
  */
 public sealed interface Effect {
-    /** For what may leave at any later time. */
+    /** Expiry time of effects that may be executed at any later time. */
     long ALWAYS_VALID = Long.MAX_VALUE;
 
-    /** The moment, in milliseconds of the steady clock, from which on this may not leave any more. */
+    /** The expiry time in milliseconds of the steady clock, from which on the effect must not be executed. */
     long validUntilMs();
 
-    /** Answers an inbound request; if the response is not valid any more, the request is answered as unavailable. */
+    /** Answers an inbound request. If the response has expired, the client gets a 503 response instead. */
     record Answer(long exchange, Response response, long validUntilMs) implements Effect {}
 
     /**
-     * Starts an outbound call; it ends in one {@link Command.CallEnded}. If it is not valid any more when it could
-     * leave, it ends as one that was not sent.
+     * Starts an outbound call, which ends in one {@link Command.CallEnded}. If it expires before it can be sent, the
+     * reply reports it as unsent.
      */
     record Send(long call, Call request, long validUntilMs) implements Effect {}
 }
--- a/src/main/java/io/quartzgw/eventloop/EventLoop.java
+++ b/src/main/java/io/quartzgw/eventloop/EventLoop.java
@@ -31,7 +31,7 @@
     private final Map<Long, Consumer<Reply>> pendingCalls = new HashMap<>();
     private final List<Runnable> batchBeginListeners = new ArrayList<>();
     private final List<Runnable> batchEndListeners = new ArrayList<>();
-    /** What waits until this batch's commands and timers have been applied, in the order of its requests. */
+    /** Tasks to run after this batch's commands and timers, in the order in which they were added. */
     private final Deque<Runnable> afterCommands = new ArrayDeque<>();
 
     private Consumer<Request> requestHandler = request -> {};
@@ -50,19 +50,19 @@
         this.requestHandler = handler;
     }
 
-    /** Adds a listener that runs once at the beginning of every batch, before any command is applied. */
+    /** Adds a listener that runs once at the beginning of every batch, before any of its commands are applied. */
     public void onBatchBegin(Runnable listener) {
         batchBeginListeners.add(listener);
     }
 
-    /** Adds a listener that runs once at the end of every batch, when all its commands were applied. */
+    /** Adds a listener that runs once at the end of every batch, after all its commands were applied. */
     public void onBatchEnd(Runnable listener) {
         batchEndListeners.add(listener);
     }
 
     /**
-     * Runs a task once, after all commands and timers of this batch and before the listeners of its end: for what must
-     * not be older than any of them when it leaves.
+     * Runs a task once, after all commands and timers of this batch and before its end listeners. Used for messages
+     * that have to reflect all commands of the batch.
      */
     public void afterCommands(Runnable task) {
         afterCommands.addLast(task);
@@ -87,7 +87,7 @@
         return timer;
     }
 
-    /** Repeats a task, first after one period, for the life of the process. */
+    /** Runs a task periodically for the life of the process, first after one period. */
     public void every(long periodMs, Runnable task) {
         after(periodMs, () -> {
             every(periodMs, task);
@@ -100,7 +100,7 @@
         call(call, Effect.ALWAYS_VALID, callback);
     }
 
-    /** As {@link #call(Call, Consumer)}, but the call leaves before a moment or not at all. */
+    /** As {@link #call(Call, Consumer)}, but the call is only sent before the given time. */
     public void call(Call call, long validUntilMs, Consumer<Reply> callback) {
         long id = ++lastSequence;
         pendingCalls.put(id, callback);
@@ -112,7 +112,7 @@
         answer(exchange, response, Effect.ALWAYS_VALID);
     }
 
-    /** As {@link #answer(long, Response)}, but the response leaves before a moment or not at all. */
+    /** As {@link #answer(long, Response)}, but the response is only sent before the given time. */
     public void answer(long exchange, Response response, long validUntilMs) {
         pendingEffects.add(new Effect.Answer(exchange, response, validUntilMs));
     }
@@ -139,7 +139,7 @@
         return effects;
     }
 
-    /** When {@link #processBatch} has to be called again at the latest, or {@code Long.MAX_VALUE}. */
+    /** The time by which {@link #processBatch} has to be called again, or {@code Long.MAX_VALUE} if no timer is set. */
     public long nextTimerAt() {
         while (!timers.isEmpty() && timers.peek().cancelled) {
             timers.poll();
@@ -147,22 +147,25 @@
         return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().dueMs;
     }
 
-    /** How many commands and tasks have failed; each is a defect. */
+    /** The number of commands and tasks that threw an exception. Each one is a defect. */
     public long failures() {
         return failures;
     }
 
-    /** Counts something that operators may want to see: what each duty costs is a matter of how often. */
+    /**
+     * Increments a counter that is exported as a metric. Counters show how often each operation runs, which determines
+     * its cost.
+     */
     public void increment(String counter, long amount) {
         counters.merge(counter, amount, Long::sum);
     }
 
-    /** Sets a figure that operators may want to see as it is now, among the counts. */
+    /** Sets a gauge, which is exported among the counters. */
     public void setGauge(String name, long value) {
         counters.put(name, value);
     }
 
-    /** All counts so far, by name. */
+    /** All counters and gauges by name. */
     public Map<String, Long> counters() {
         return counters;
     }
@@ -178,7 +181,8 @@
         }
     }
 
-    // One defect must not end the process: a message that ends one controller would end every other one, too.
+    // A defect must not end the process: a message that crashes one controller would crash every other one that
+    // receives it.
     private void runGuarded(Runnable task) {
         try {
             task.run();
@@ -188,7 +192,7 @@
         }
     }
 
-    /** A task due at a moment; may be cancelled. */
+    /** A scheduled task that can be cancelled. */
     public static final class Timer implements Comparable<Timer> {
         private final long dueMs;
         private final long sequence;
--- a/src/main/java/io/quartzgw/eventloop/EventLoopThread.java
+++ b/src/main/java/io/quartzgw/eventloop/EventLoopThread.java
@@ -13,8 +13,8 @@
 /**
  * Runs an event loop on one thread, in batches.
  *
- * <p>Inbound requests wait in a small buffer; what does not fit is refused at once by the caller. Ends of outbound
- * calls are always taken, since the event loop bounds how many it starts.
+ * <p>Inbound requests wait in a small buffer. When it is full, the caller rejects further requests immediately. Results
+ * of outbound calls are always accepted, since the event loop limits the number of calls that it starts.
  */
 public final class EventLoopThread implements Runnable {
     private static final Logger LOG = LoggerFactory.getLogger(EventLoopThread.class);
@@ -28,8 +28,8 @@
     private volatile boolean stopRequested;
 
     /**
-     * @param requestCapacity how many inbound requests may wait
-     * @param effectRunner carries out effects; must not block
+     * @param requestCapacity the maximum number of waiting inbound requests
+     * @param effectRunner executes effects; must not block
      */
     public EventLoopThread(EventLoop eventLoop, int requestCapacity, Consumer<Effect> effectRunner) {
         this.eventLoop = eventLoop;
@@ -38,7 +38,7 @@
         this.requestBuffer = new ArrayBlockingQueue<>(requestCapacity);
     }
 
-    /** Takes an inbound request, or says false when the buffer is full. */
+    /** Queues an inbound request. Returns false when the buffer is full. */
     public boolean offerRequest(Command.Arrived arrived) {
         if (!requestBuffer.offer(arrived)) {
             return false;
--- a/src/main/java/io/quartzgw/eventloop/package-info.java
+++ b/src/main/java/io/quartzgw/eventloop/package-info.java
@@ -1,9 +1,9 @@
 /**
- * The event loop, and the thread that owns all state of a controller.
+ * The event loop and the thread that owns all state of a controller.
  *
- * <p>{@link io.quartzgw.eventloop.EventLoop} is the deterministic core: batches of commands and the time go in, effects
- * come out. It owns the timers, the calls in flight, the counters and the random source. Every package above runs
- * inside it. {@link io.quartzgw.eventloop.EventLoopThread} is its only caller in a running process; tests drive it
- * directly in simulated time.
+ * <p>{@link io.quartzgw.eventloop.EventLoop} is the deterministic core: its input is batches of commands and the
+ * current time, its output is effects. It owns the timers, the calls in flight, the counters and the random source. The
+ * packages with the controller's logic run inside it. {@link io.quartzgw.eventloop.EventLoopThread} is its only caller
+ * in production; tests call it directly in simulated time.
  */
 package io.quartzgw.eventloop;
--- a/src/main/java/io/quartzgw/http/Call.java
+++ b/src/main/java/io/quartzgw/http/Call.java
@@ -3,10 +3,10 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * An outbound call.
+ * An outbound HTTP request.
  *
  * @param body the request body, or null for none
- * @param timeoutMs when to give up, counted from now
+ * @param timeoutMs timeout, counted from the start of the call
  */
 public record Call(Endpoint endpoint, String method, String path, String type, byte[] body, long timeoutMs) {
 
--- a/src/main/java/io/quartzgw/http/CancellableConnector.java
+++ b/src/main/java/io/quartzgw/http/CancellableConnector.java
@@ -9,8 +9,8 @@
 import org.xnio.XnioIoThread;
 
 /**
- * Stands for an I/O thread where Undertow's client opens connections on it, and keeps hold of the connection in the
- * making: the client itself has no way to give one up.
+ * Wraps the I/O thread on which Undertow's client opens connections and keeps the future of the pending connection, so
+ * that it can be cancelled. The client itself has no way to cancel a connection attempt.
  */
 final class CancellableConnector extends XnioIoThread {
     private final XnioIoThread delegate;
@@ -21,7 +21,7 @@
         this.delegate = thread;
     }
 
-    /** The connection whose opening was asked for last, or null when none was. */
+    /** Returns and clears the future of the connection requested last, or null if there is none. */
     IoFuture<StreamConnection> takeLastOpened() {
         IoFuture<StreamConnection> last = lastOpened;
         lastOpened = null;
--- a/src/main/java/io/quartzgw/http/HttpClient.java
+++ b/src/main/java/io/quartzgw/http/HttpClient.java
@@ -32,8 +32,8 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /**
- * Outbound calls over pooled connections. All of it runs on one I/O thread; a call always ends in exactly one reply, at
- * its time-out at the latest.
+ * Sends outbound calls over pooled connections, on a single I/O thread. Every call ends in exactly one reply, at its
+ * timeout at the latest.
  */
 public final class HttpClient {
     private static final int READ_BUFFER_BYTES = 8 * 1024;
@@ -43,12 +43,12 @@
     private final CancellableConnector connector;
     private final ByteBufferPool buffers;
     private final int maxIdleConnections;
-    /** Pooled connections, the longest idle first. */
+    /** Idle connections, the one that has been idle longest first. */
     private final Set<IdleConnection> idleConnections = new LinkedHashSet<>();
 
     private final Map<Endpoint, Deque<IdleConnection>> idleByEndpoint = new HashMap<>();
 
-    /** @param maxIdleConnections the most idle connections in the pool; each takes a socket */
+    /** @param maxIdleConnections maximum number of idle connections in the pool; each takes a socket */
     public HttpClient(XnioWorker worker, ByteBufferPool buffers, int maxIdleConnections) {
         this.thread = worker.getIoThread(0);
         this.connector = new CancellableConnector(thread);
@@ -59,7 +59,7 @@
     /**
      * Starts a call; may be called from any thread.
      *
-     * @param validUntilMs the moment of the steady clock from which on the call does not leave any more
+     * @param validUntilMs time of the steady clock from which on the call must not be sent; it then ends as unsent
      */
     public void send(Call call, long validUntilMs, Consumer<Reply> callback) {
         thread.execute(() -> new PendingCall(call, validUntilMs, callback).start());
@@ -102,8 +102,8 @@
         IdleConnection added = new IdleConnection(endpoint, connection);
         idleConnections.add(added);
         idleByEndpoint.computeIfAbsent(endpoint, key -> new ArrayDeque<>()).addLast(added);
-        // The oldest are closed first, so that connections to hundreds of agents that were called once, or those of
-        // a burst, don't take the sockets that new ones need.
+        // The connections that have been idle longest are closed first. Otherwise connections from a burst, or to
+        // hundreds of agents that were called once, would take the sockets that new connections need.
         while (!idleConnections.isEmpty()) {
             IdleConnection oldest = idleConnections.iterator().next();
             if (idleConnections.size() <= maxIdleConnections && oldest.usable()) {
@@ -254,7 +254,8 @@
             completed = true;
             timeout.remove();
             if (connectFuture != null) {
-                // Connecting to an unreachable machine hangs, and would hold a socket long after the call.
+                // An attempt to connect to an unreachable machine hangs and would hold a socket long after the call
+                // ended.
                 connectFuture.cancel();
             }
             IoUtils.safeClose(connection);
--- a/src/main/java/io/quartzgw/http/HttpServer.java
+++ b/src/main/java/io/quartzgw/http/HttpServer.java
@@ -21,11 +21,11 @@
 import org.xnio.XnioWorker;
 
 /**
- * The two listeners of a controller. Each complete request goes to the receiver; while the receiver's buffer is full,
- * clients get 503 at once.
+ * The client and peer listeners of a controller. Complete requests are passed to the receiver. While its buffer is
+ * full, clients get a 503 response immediately.
  */
 public final class HttpServer {
-    /** The protocol's bound on a request body. */
+    /** Maximum size of a request body, as specified by the protocol. */
     public static final long MAX_BODY_BYTES = 64 * 1024;
 
     private static final int REQUEST_READ_TIMEOUT_MS = 5_000;
@@ -40,9 +40,9 @@
     private volatile ConnectorStatistics clientStatistics;
 
     /**
-     * @param socketBudget what the client listener may hold; the rest is for outbound calls and peers
-     * @param idleMs how long a connection may be without a request
-     * @param receiver accepts a request, or returns false while its buffer is full
+     * @param socketBudget limits of the client listener; the remaining sockets are for outbound calls and peers
+     * @param idleMs time after which a connection without requests is closed
+     * @param receiver accepts a request or returns false when its buffer is full
      */
     public HttpServer(
             XnioWorker worker,
@@ -81,21 +81,21 @@
         undertow.stop();
     }
 
-    /** The port that a listener is bound to; settings may ask for port 0. */
+    /** The port that a listener is bound to, which differs from the requested one if that is 0. */
     public int port(ListenerKind listener) {
         return ((InetSocketAddress) listenerInfo(listener).getAddress()).getPort();
     }
 
     private Undertow.ListenerInfo listenerInfo(ListenerKind listener) {
-        // In the order in which the listeners were added to the builder.
+        // Listeners are listed in the order in which they were added to the builder.
         int position = listener == ListenerKind.CLIENT ? 0 : 1;
         return undertow.getListenerInfo().get(position);
     }
 
     /**
-     * Answers an exchange; may be called from any thread.
+     * Sends the response of an exchange; may be called from any thread.
      *
-     * @param validUntilMs the moment of the steady clock from which on the client is told to retry instead
+     * @param validUntilMs time of the steady clock from which on the client gets a 503 response to retry instead
      */
     public void answer(long id, Response response, long validUntilMs) {
         HttpServerExchange exchange = pendingExchanges.remove(id);
@@ -116,7 +116,7 @@
                 ? null
                 : exchange.getIoThread()
                         .executeAfter(
-                                // Guards the sockets against a client that never ends its body.
+                                // Frees the socket of a client that never completes its request body.
                                 () -> IoUtils.safeClose(exchange.getConnection()),
                                 REQUEST_READ_TIMEOUT_MS,
                                 TimeUnit.MILLISECONDS);
@@ -165,7 +165,8 @@
         if (exchange.isResponseStarted()) {
             return;
         }
-        // With more clients than sockets, those that were answered have to make way for those that wait to be accepted.
+        // With more clients than sockets, connections are closed after their response so that waiting clients can be
+        // accepted.
         if (clientStatistics != null && clientStatistics.getActiveConnections() > socketBudget.keepAliveConnections()) {
             exchange.setPersistent(false);
         }
--- a/src/main/java/io/quartzgw/http/Json.java
+++ b/src/main/java/io/quartzgw/http/Json.java
@@ -10,10 +10,10 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** Jackson trees to and from bytes: JSON on the protocol's interfaces, CBOR between controllers. */
+/** Reads and writes Jackson trees: as JSON on the protocol's interfaces, as CBOR between controllers. */
 public final class Json {
-    // Trees, not bound classes: reflection on a dozen record types costs a starting controller more of
-    // its share of a core than all its other work.
+    // Uses trees instead of data binding, since reflection on a dozen record types would cost a starting controller
+    // more CPU time than all its other work.
     private static final ObjectMapper JSON = new ObjectMapper().enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
     private static final ObjectMapper CBOR = new CBORMapper();
 
@@ -35,12 +35,12 @@
         return write(CBOR, node);
     }
 
-    /** The tree, or null when the bytes are no JSON document. */
+    /** Returns the tree, or null if the bytes are not a JSON document. */
     public static JsonNode readOrNull(byte[] bytes) {
         return read(JSON, bytes);
     }
 
-    /** The tree, or null when the bytes are no CBOR document. */
+    /** Returns the tree, or null if the bytes are not a CBOR document. */
     public static JsonNode readCborOrNull(byte[] bytes) {
         return read(CBOR, bytes);
     }
--- a/src/main/java/io/quartzgw/http/ListenerKind.java
+++ b/src/main/java/io/quartzgw/http/ListenerKind.java
@@ -1,6 +1,6 @@
 package io.quartzgw.http;
 
-/** Which listener a request came through. */
+/** The listener that received a request. */
 public enum ListenerKind {
     CLIENT,
     PEER
--- a/src/main/java/io/quartzgw/http/Reply.java
+++ b/src/main/java/io/quartzgw/http/Reply.java
@@ -4,16 +4,16 @@
 import com.fasterxml.jackson.databind.node.MissingNode;
 
 /**
- * How an outbound call ended.
+ * The result of an outbound call.
  *
- * @param status the status, or {@link #LOST} when there was no response: the request may have been carried out, or may
- *     still be
- * @param sent whether the request may have left: without a response, one that has not is never carried out
+ * @param status the HTTP status, or {@link #LOST} if no response was received
+ * @param sent whether the request may have been sent. If it may have been and there is no response, the request may
+ *     have been executed or may still be. An unsent request is never executed.
  */
 public record Reply(int status, byte[] body, boolean sent) {
     public static final int LOST = 0;
 
-    /** The reply to a request that has left. */
+    /** The reply to a request that was sent. */
     public Reply(int status, byte[] body) {
         this(status, body, true);
     }
@@ -22,7 +22,7 @@
         return new Reply(LOST, new byte[0]);
     }
 
-    /** There was no response, and no connection over which the request could have left. */
+    /** The reply to a request that was not sent, because there was no connection or the call had expired. */
     public static Reply unsent() {
         return new Reply(LOST, new byte[0], false);
     }
@@ -31,13 +31,13 @@
         return status == 200;
     }
 
-    /** The JSON body; a missing node when there is none that can be read. */
+    /** The JSON body, or a missing node if it can't be parsed. */
     public JsonNode json() {
         JsonNode node = Json.readOrNull(body);
         return node == null ? MissingNode.getInstance() : node;
     }
 
-    /** The CBOR body; a missing node when there is none that can be read. */
+    /** The CBOR body, or a missing node if it can't be parsed. */
     public JsonNode cbor() {
         JsonNode node = Json.readCborOrNull(body);
         return node == null ? MissingNode.getInstance() : node;
--- a/src/main/java/io/quartzgw/http/Response.java
+++ b/src/main/java/io/quartzgw/http/Response.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * An answer to an inbound request.
+ * A response to an inbound request.
  *
  * @param retryAfterS seconds for a {@code Retry-After} header, 0 for none
  */
@@ -23,7 +23,7 @@
         return json(status, Json.object().put("error", error));
     }
 
-    /** A request that can't be served now: says so at once, and when to come back. */
+    /** A 503 response that asks the client to retry after the given time. */
     public static Response unavailable(String error, int retryAfterS) {
         return new Response(503, JSON, Json.write(Json.object().put("error", error)), retryAfterS);
     }
--- a/src/main/java/io/quartzgw/model/JobSpec.java
+++ b/src/main/java/io/quartzgw/model/JobSpec.java
@@ -6,7 +6,7 @@
  * The specification of a job, as its owner submitted it.
  *
  * @param jobClass the class of jobs whose service-level objectives apply
- * @param tasks the number of tasks, which are alike
+ * @param tasks the number of tasks, all with the same specification
  * @param demand the resources that each task needs
  * @param image the name of the image that tasks run from
  * @param imageGb size of the image
@@ -18,7 +18,7 @@
  * @param estimateS the owner's estimate of a task's runtime; 0 for services
  * @param checkpointIntervalS the interval at which a task saves a checkpoint; 0 for never
  * @param checkpointGraceS how long a task may take to save a checkpoint when it is stopped
- * @param deadlineS when the job should be done, from its submission; null for no deadline
+ * @param deadlineS seconds from submission within which the job should complete; null for no deadline
  */
 public record JobSpec(
         String id,
@@ -50,7 +50,7 @@
         return shape == JobShape.GANG;
     }
 
-    /** The least resources that the job needs at once: an array can run one task after the other. */
+    /** The minimum resources that the job needs at the same time. An array can run its tasks one after the other. */
     public Resources neededAtOnce() {
         return shape == JobShape.ARRAY ? demand : demand.times(tasks);
     }
@@ -60,7 +60,10 @@
         return spread ? (tasks + 1) / 2 : tasks;
     }
 
-    /** Whether a machine of this type, zone and kind may run a task of the job, leaving its other tasks aside. */
+    /**
+     * Whether a machine of this type and zone, spot or on-demand, may run a task of the job, regardless of its other
+     * tasks.
+     */
     public boolean allows(String machineType, String inZone, boolean onSpot) {
         return (machineTypes == null || machineTypes.contains(machineType))
                 && (zone == null || zone.equals(inZone))
--- a/src/main/java/io/quartzgw/model/MachineTypes.java
+++ b/src/main/java/io/quartzgw/model/MachineTypes.java
@@ -3,10 +3,10 @@
 import java.util.Collection;
 import java.util.Optional;
 
-/** Read-only view of the machine types that the cloud offers, as this controller knows them. */
+/** Read-only view of the machine types that the cloud offers, as last read by this controller. */
 public interface MachineTypes {
 
-    /** Whether at least one machine type is known; before that, nothing can be said about any job. */
+    /** Whether at least one machine type is known. Until then, no job can be checked against the machine types. */
     boolean isKnown();
 
     /** All known machine types, in the order in which the cloud lists them. */
--- a/src/main/java/io/quartzgw/model/Resources.java
+++ b/src/main/java/io/quartzgw/model/Resources.java
@@ -4,25 +4,25 @@
 public record Resources(double cpus, double gpus, double memoryGb) {
     /** Nothing of any resource. */
     public static final Resources NONE = new Resources(0, 0, 0);
-    /** Tolerance for sums of decimals that miss a whole number by a rounding error. */
+    /** Tolerance for rounding errors in sums of decimal amounts. */
     private static final double EPSILON = 1e-6;
 
-    /** The sum. */
+    /** Returns the sum. */
     public Resources plus(Resources other) {
         return new Resources(cpus + other.cpus, gpus + other.gpus, memoryGb + other.memoryGb);
     }
 
-    /** The difference. */
+    /** Returns the difference. */
     public Resources minus(Resources other) {
         return new Resources(cpus - other.cpus, gpus - other.gpus, memoryGb - other.memoryGb);
     }
 
-    /** Each amount times a factor. */
+    /** Returns each amount multiplied by the factor. */
     public Resources times(double factor) {
         return new Resources(cpus * factor, gpus * factor, memoryGb * factor);
     }
 
-    /** The lesser of each amount. */
+    /** Returns the smaller of the two amounts of each resource. */
     public Resources least(Resources other) {
         return new Resources(
                 Math.min(cpus, other.cpus), Math.min(gpus, other.gpus), Math.min(memoryGb, other.memoryGb));
--- a/src/test/java/io/quartzgw/eventloop/EventLoopTest.java
+++ b/src/test/java/io/quartzgw/eventloop/EventLoopTest.java
@@ -16,7 +16,8 @@
         return new Command.Arrived(new Request(exchange, ListenerKind.CLIENT, "GET", "/", "", new byte[0]));
     }
 
-    // A response that is built when its request is handled would not know what the rest of the batch tells.
+    // Guards against outdated responses: a response built while its request is handled lacks the changes made by later
+    // commands of the batch.
     @Test
     void runsDeferredTasksOnceBetweenTimersAndBatchEnd() {
         eventLoop.after(0, () -> order.add("timer"));
--- a/src/test/java/io/quartzgw/http/HttpClientTest.java
+++ b/src/test/java/io/quartzgw/http/HttpClientTest.java
@@ -25,14 +25,14 @@
 class HttpClientTest {
     private static final int CALLS = 50;
 
-    // Guards the sockets against machines that are cut off: an attempt to connect that hangs would hold one for
-    // minutes after its call was given up, and hundreds of silent machines are asked again and again.
+    // Guards against running out of sockets when machines are partitioned: a hanging connection attempt would hold a
+    // socket for minutes after its call timed out, and hundreds of unresponsive machines are called repeatedly.
     @Test
     void releasesSocketWhenCallTimesOutDuringConnect() throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         HttpClient client = new HttpClient(worker, new DefaultByteBufferPool(true, 8 * 1024), 4);
         List<SocketChannel> fillers = new ArrayList<>();
-        // A listener that accepts nothing and whose backlog is full: connecting to it hangs.
+        // Connecting hangs because this listener accepts nothing and its backlog is full.
         try (ServerSocket unresponsiveListener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             for (int i = 0; i < 4; i++) {
                 SocketChannel filler = SocketChannel.open();
@@ -58,7 +58,7 @@
                 Thread.sleep(50);
                 leakedSockets = countOpenSockets() - before;
             }
-            assertTrue(leakedSockets <= 2, leakedSockets + " sockets are left of " + CALLS + " calls");
+            assertTrue(leakedSockets <= 2, leakedSockets + " sockets are still open after " + CALLS + " calls");
         } finally {
             for (SocketChannel filler : fillers) {
                 filler.close();
@@ -67,7 +67,8 @@
         }
     }
 
-    // A start in such a call needs no fencing: it is never executed.
+    // Guards the distinction between unsent and unanswered calls: a start in an unsent call is never executed and needs
+    // no fencing.
     @Test
     void reportsCallWithoutConnectionAsUnsent() throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
@@ -77,15 +78,16 @@
             port = server.getLocalPort();
             Reply unanswered = call(client, port);
             assertEquals(Reply.LOST, unanswered.status());
-            assertTrue(unanswered.sent(), "the connection was opened, and nothing was answered");
+            assertTrue(unanswered.sent(), "a call without a response on an open connection may have been sent");
         }
         Reply refused = call(client, port);
         worker.shutdownNow();
         assertEquals(Reply.LOST, refused.status());
-        assertFalse(refused.sent(), "the connection was refused");
+        assertFalse(refused.sent(), "a call whose connection was refused is unsent");
     }
 
-    // A start whose sender was paused: by the time it could leave, another leader may have been elected.
+    // Guards against starts sent by a leader that was paused: by the time it resumes, another leader may have been
+    // elected.
     @Test
     void doesNotSendExpiredCall() throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
--- a/src/test/java/io/quartzgw/http/HttpServerTest.java
+++ b/src/test/java/io/quartzgw/http/HttpServerTest.java
@@ -22,7 +22,7 @@
 class HttpServerTest {
     private static final int TIMEOUT_MS = 30_000;
 
-    /** Starts a server that answers every request at once, with responses that are valid until a moment. */
+    /** Starts a server that answers every request immediately with a response that expires at the given time. */
     private static HttpServer startServer(XnioWorker worker, LongSupplier validUntilMs) throws IOException {
         HttpServer[] server = new HttpServer[1];
         server[0] = new HttpServer(
@@ -40,8 +40,8 @@
         return server[0];
     }
 
-    // Guards the leases of a cluster with more workers than the leader has sockets: accepting must not stop for
-    // those that come last while the first keep their connections.
+    // Guards against expired agent leases when a cluster has more agents than the leader has sockets: idle connections
+    // of the first agents must not keep the server from accepting the others.
     @Test
     void answersMoreClientsThanSocketsRepeatedly() throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
@@ -59,7 +59,7 @@
                 openConnections = (int)
                         clients.stream().filter(client -> client.socket != null).count();
             }
-            assertTrue(openConnections > 0 && openConnections <= 8, openConnections + " connections are kept");
+            assertTrue(openConnections > 0 && openConnections <= 8, openConnections + " connections are kept open");
         } finally {
             for (Client client : clients) {
                 client.close();
@@ -69,7 +69,7 @@
         }
     }
 
-    // A response that starts tasks, of a process that was paused before it left.
+    // Guards against starts in a response that is sent late because the process was paused.
     @Test
     void respondsUnavailableWhenResponseExpired() throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
@@ -84,7 +84,7 @@
         }
     }
 
-    /** Keeps its connection until the server says that it closes it, as the protocol has it. */
+    /** An HTTP client that keeps its connection alive until the server announces that it closes it. */
     private static final class Client {
         private final int port;
         private Socket socket;
--- a/src/test/java/io/quartzgw/store/PackedRecordsTest.java
+++ b/src/test/java/io/quartzgw/store/PackedRecordsTest.java
@@ -43,26 +43,26 @@
     // later.
     @Test
     void keepsRecordsWhenTransactionsAreLostOrDelayed() {
-        Map<String, JsonNode> model = new TreeMap<>();
+        Map<String, JsonNode> expected = new TreeMap<>();
         for (int round = 0; round < 400; round++) {
             String key = "i-" + random.nextInt(300);
             if (random.nextInt(5) == 0) {
                 records.remove(key);
-                model.remove(key);
+                expected.remove(key);
             } else {
                 JsonNode value = Json.array().add(round).add("x".repeat(random.nextInt(60)));
                 records.put(key, value, 80);
-                model.put(key, value);
+                expected.put(key, value);
             }
             boolean[] written = new boolean[1];
             while (!written[0]) {
-                records.write(RequestUrgency.NORMAL, done -> written[0] = done);
+                records.write(RequestUrgency.NORMAL, success -> written[0] = success);
                 link.pass(1, true);
             }
-            assertEquals(model, storedRecords(), "round " + round);
+            assertEquals(expected, storedRecords(), "round " + round);
             if (random.nextInt(3) == 0) {
                 link.applyOneLate();
-                assertEquals(model, storedRecords(), "after a delayed duplicate was applied");
+                assertEquals(expected, storedRecords(), "after a delayed duplicate was applied");
             }
         }
         assertTrue(storeServer.count(PREFIX) > 1, "records fill more than one page");
