--- a/src/main/java/io/quartzgw/http/CancellableConnector.java
+++ b/src/main/java/io/quartzgw/http/CancellableConnector.java
@@ -9,44 +9,44 @@
 import org.xnio.XnioIoThread;
 
 /**
- * Stands for an I/O thread where Undertow's client opens connections on it, and keeps hold of the connection in the
- * making: the client itself has no way to give one up.
+ * Wraps the I/O thread on which Undertow's client opens connections and keeps the future of the pending connection, so
+ * that it can be cancelled. The client itself has no way to cancel a connection attempt.
  */
 final class CancellableConnector extends XnioIoThread {
-    private final XnioIoThread thread;
-    private IoFuture<StreamConnection> takeLastOpened;
+    private final XnioIoThread delegate;
+    private IoFuture<StreamConnection> lastOpened;
 
     CancellableConnector(XnioIoThread thread) {
         super(thread.getWorker(), thread.getNumber());
-        this.thread = thread;
+        this.delegate = thread;
     }
 
-    /** The connection whose opening was asked for last, or null when none was. */
+    /** Returns and clears the future of the connection requested last, or null if there is none. */
     IoFuture<StreamConnection> takeLastOpened() {
-        IoFuture<StreamConnection> last = takeLastOpened;
-        takeLastOpened = null;
+        IoFuture<StreamConnection> last = lastOpened;
+        lastOpened = null;
         return last;
     }
 
     @Override
     public IoFuture<StreamConnection> openStreamConnection(
             SocketAddress destination, ChannelListener<? super StreamConnection> openListener, OptionMap options) {
-        takeLastOpened = thread.openStreamConnection(destination, openListener, options);
-        return takeLastOpened;
+        lastOpened = delegate.openStreamConnection(destination, openListener, options);
+        return lastOpened;
     }
 
     @Override
     public void execute(Runnable task) {
-        thread.execute(task);
+        delegate.execute(task);
     }
 
     @Override
     public Key executeAfter(Runnable task, long time, TimeUnit unit) {
-        return thread.executeAfter(task, time, unit);
+        return delegate.executeAfter(task, time, unit);
     }
 
     @Override
     public Key executeAtInterval(Runnable task, long time, TimeUnit unit) {
-        return thread.executeAtInterval(task, time, unit);
+        return delegate.executeAtInterval(task, time, unit);
     }
 }
--- a/src/main/java/io/quartzgw/http/HttpServer.java
+++ b/src/main/java/io/quartzgw/http/HttpServer.java
@@ -21,28 +21,28 @@
 import org.xnio.XnioWorker;
 
 /**
- * The two listeners of a controller. Each complete request goes to the receiver; while the receiver's buffer is full,
- * clients get 503 at once.
+ * The client and peer listeners of a controller. Complete requests are passed to the receiver. While its buffer is
+ * full, clients get a 503 response immediately.
  */
 public final class HttpServer {
-    /** The protocol's bound on a request body. */
+    /** Maximum size of a request body, as specified by the protocol. */
     public static final long MAX_BODY_BYTES = 64 * 1024;
 
-    private static final int SLOW_REQUEST_MS = 5_000;
+    private static final int REQUEST_READ_TIMEOUT_MS = 5_000;
     private static final int NANOS_PER_MS = 1_000_000;
-    private static final int BUSY_RETRY_S = 1;
+    private static final int RETRY_AFTER_S = 1;
 
     private final Undertow undertow;
     private final SocketBudget socketBudget;
     private final Predicate<Request> receiver;
-    private final Map<Long, HttpServerExchange> openExchanges = new ConcurrentHashMap<>();
+    private final Map<Long, HttpServerExchange> pendingExchanges = new ConcurrentHashMap<>();
     private final AtomicLong lastExchangeId = new AtomicLong();
     private volatile ConnectorStatistics clientStatistics;
 
     /**
-     * @param socketBudget what the client listener may hold; the rest is for outbound calls and peers
-     * @param idleMs how long a connection may be without a request
-     * @param receiver accepts a request, or returns false while its buffer is full
+     * @param socketBudget limits of the client listener; the remaining sockets are for outbound calls and peers
+     * @param idleMs time after which a connection without requests is closed
+     * @param receiver accepts a request or returns false when its buffer is full
      */
     public HttpServer(
             XnioWorker worker,
@@ -63,7 +63,7 @@
                 .setSocketOption(Options.CONNECTION_LOW_WATER, socketBudget.clientConnections())
                 .setServerOption(UndertowOptions.ENABLE_STATISTICS, true)
                 .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, idleMs)
-                .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, SLOW_REQUEST_MS)
+                .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, REQUEST_READ_TIMEOUT_MS)
                 .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, MAX_BODY_BYTES)
                 .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
                 .setServerOption(UndertowOptions.DECODE_URL, false)
@@ -74,35 +74,35 @@
 
     public void start() {
         undertow.start();
-        clientStatistics = listener(ListenerKind.CLIENT).getConnectorStatistics();
+        clientStatistics = listenerInfo(ListenerKind.CLIENT).getConnectorStatistics();
     }
 
     public void stop() {
         undertow.stop();
     }
 
-    /** The port that a listener is bound to; settings may ask for port 0. */
+    /** The port that a listener is bound to, which differs from the requested one if that is 0. */
     public int port(ListenerKind listener) {
-        return ((InetSocketAddress) listener(listener).getAddress()).getPort();
+        return ((InetSocketAddress) listenerInfo(listener).getAddress()).getPort();
     }
 
-    private Undertow.ListenerInfo listener(ListenerKind listener) {
-        // In the order in which the listeners were added to the builder.
+    private Undertow.ListenerInfo listenerInfo(ListenerKind listener) {
+        // Listeners are listed in the order in which they were added to the builder.
         int position = listener == ListenerKind.CLIENT ? 0 : 1;
         return undertow.getListenerInfo().get(position);
     }
 
     /**
-     * Answers an exchange; may be called from any thread.
+     * Sends the response of an exchange; may be called from any thread.
      *
-     * @param validUntilMs the moment of the steady clock from which on the client is told to retry instead
+     * @param validUntilMs time of the steady clock from which on the client gets a 503 response to retry instead
      */
     public void answer(long id, Response response, long validUntilMs) {
-        HttpServerExchange exchange = openExchanges.remove(id);
+        HttpServerExchange exchange = pendingExchanges.remove(id);
         if (exchange != null) {
             exchange.getIoThread().execute(() -> {
                 boolean valid = System.nanoTime() / NANOS_PER_MS < validUntilMs;
-                send(exchange, valid ? response : Response.unavailable("late", BUSY_RETRY_S));
+                send(exchange, valid ? response : Response.unavailable("late", RETRY_AFTER_S));
             });
         }
     }
@@ -116,9 +116,9 @@
                 ? null
                 : exchange.getIoThread()
                         .executeAfter(
-                                // Guards the sockets against a client that never ends its body.
+                                // Frees the socket of a client that never completes its request body.
                                 () -> IoUtils.safeClose(exchange.getConnection()),
-                                SLOW_REQUEST_MS,
+                                REQUEST_READ_TIMEOUT_MS,
                                 TimeUnit.MILLISECONDS);
         exchange.getRequestReceiver()
                 .receiveFullBytes(
@@ -126,7 +126,8 @@
                             if (bodyTimeout != null) {
                                 bodyTimeout.remove();
                             }
-                            complete.dispatch(SameThreadExecutor.INSTANCE, () -> passOn(complete, listener, body));
+                            complete.dispatch(
+                                    SameThreadExecutor.INSTANCE, () -> forwardToReceiver(complete, listener, body));
                         },
                         (failed, error) -> {
                             if (bodyTimeout != null) {
@@ -136,11 +137,11 @@
                         });
     }
 
-    private void passOn(HttpServerExchange exchange, ListenerKind listener, byte[] body) {
+    private void forwardToReceiver(HttpServerExchange exchange, ListenerKind listener, byte[] body) {
         long id = lastExchangeId.incrementAndGet();
-        openExchanges.put(id, exchange);
+        pendingExchanges.put(id, exchange);
         exchange.addExchangeCompleteListener((ended, next) -> {
-            openExchanges.remove(id);
+            pendingExchanges.remove(id);
             next.proceed();
         });
         Request request = new Request(
@@ -151,7 +152,7 @@
                 exchange.getQueryString(),
                 body);
         if (!receiver.test(request)) {
-            answer(id, Response.unavailable("busy", BUSY_RETRY_S), Long.MAX_VALUE);
+            answer(id, Response.unavailable("busy", RETRY_AFTER_S), Long.MAX_VALUE);
         }
     }
 
@@ -164,7 +165,8 @@
         if (exchange.isResponseStarted()) {
             return;
         }
-        // With more clients than sockets, those that were answered have to make way for those that wait to be accepted.
+        // With more clients than sockets, connections are closed after their response so that waiting clients can be
+        // accepted.
         if (clientStatistics != null && clientStatistics.getActiveConnections() > socketBudget.keepAliveConnections()) {
             exchange.setPersistent(false);
         }
--- a/src/main/java/io/quartzgw/store/PrefixReader.java
+++ b/src/main/java/io/quartzgw/store/PrefixReader.java
@@ -7,12 +7,12 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** Reads all keys with a prefix, page by page; one object a listing. */
+/** Reads all keys with a prefix, page by page. An instance serves one listing. */
 final class PrefixReader {
     private final RequestQueue requests;
     private final StoreCodec codec;
     private final String prefix;
-    private final long readAt;
+    private final long readAtMs;
     private final Consumer<ListResult> callback;
     private final List<KeyValue> entries = new ArrayList<>();
     private long revision = Long.MAX_VALUE;
@@ -26,7 +26,7 @@
         this.requests = requests;
         this.codec = codec;
         this.prefix = prefix;
-        this.readAt = eventLoop.nowMs();
+        this.readAtMs = eventLoop.nowMs();
         this.callback = callback;
     }
 
@@ -45,12 +45,13 @@
         }
         StoreCodec.Page page = StoreCodec.decodePage(reply);
         entries.addAll(page.entries());
-        // A watch from the first page's revision delivers again what changed between the pages.
+        // Pages may be read at different revisions. A watch from the lowest one delivers all changes made between them,
+        // some of them again.
         revision = Math.min(revision, page.revision());
         if (page.more() && !entries.isEmpty()) {
             requestPage(Optional.of(entries.get(entries.size() - 1).key()));
         } else {
-            callback.accept(new ListResult.Listed(new StoreClient.Listing(entries, revision, readAt)));
+            callback.accept(new ListResult.Listed(new StoreClient.Listing(entries, revision, readAtMs)));
         }
     }
 }
--- a/src/main/java/io/quartzgw/store/RecordPage.java
+++ b/src/main/java/io/quartzgw/store/RecordPage.java
@@ -8,15 +8,15 @@
 import java.util.Map;
 import java.util.Set;
 
-/** One page of packed records: a JSON object under one key, with a field for each record. */
+/** One page of packed records, stored under one key as a JSON object with a field for each record. */
 final class RecordPage {
     private static final int PUNCTUATION_BYTES = 6;
 
     private final int number;
     private final Map<String, JsonNode> records = new LinkedHashMap<>();
-    private final Map<String, Integer> recordBytes = new HashMap<>();
+    private final Map<String, Integer> recordSizes = new HashMap<>();
     private long revision;
-    private int bytes;
+    private int totalBytes;
     private boolean dirty;
     private boolean outdated;
     private boolean unreadable;
@@ -26,7 +26,7 @@
         this.revision = revision;
     }
 
-    /** A page that is not stored. */
+    /** An empty page that is not stored yet. */
     static RecordPage empty(int number) {
         return new RecordPage(number, Transaction.NO_REVISION);
     }
@@ -35,8 +35,8 @@
         RecordPage page = new RecordPage(number, stored.revision());
         stored.value()
                 .properties()
-                .forEach(
-                        field -> page.put(field.getKey(), field.getValue(), size(field.getKey(), field.getValue(), 0)));
+                .forEach(field -> page.put(
+                        field.getKey(), field.getValue(), recordSizeBytes(field.getKey(), field.getValue(), 0)));
         return page;
     }
 
@@ -47,11 +47,11 @@
     }
 
     /**
-     * How many bytes a record takes in a page.
+     * The number of bytes that a record takes in a page.
      *
-     * @param reservedBytes how long the record may yet become
+     * @param reservedBytes the size up to which the record may grow later
      */
-    static int size(String key, JsonNode record, int reservedBytes) {
+    static int recordSizeBytes(String key, JsonNode record, int reservedBytes) {
         return key.length() + PUNCTUATION_BYTES + Math.max(reservedBytes, Json.write(record).length);
     }
 
@@ -59,40 +59,40 @@
         return number;
     }
 
-    /** The revision of the stored page, or {@link Transaction#NO_REVISION}. */
+    /** The revision of the stored page, or {@link Transaction#NO_REVISION} if it is not stored. */
     long revision() {
         return revision;
     }
 
-    void setRevision(long storedRevision) {
-        revision = storedRevision;
+    void setRevision(long revision) {
+        this.revision = revision;
     }
 
-    /** Whether the page has changes to be written. */
+    /** Whether the page is to be included in the next write. */
     boolean dirty() {
         return dirty;
     }
 
-    void setDirty(boolean toBeWritten) {
-        dirty = toBeWritten;
+    void setDirty(boolean dirty) {
+        this.dirty = dirty;
     }
 
-    /** Whether records were removed since the page was last written. */
+    /** Whether records were removed since the page was last written, so that its stored copy still contains them. */
     boolean outdated() {
         return outdated;
     }
 
-    void setOutdated(boolean hasRemovedRecords) {
-        outdated = hasRemovedRecords;
+    void setOutdated(boolean outdated) {
+        this.outdated = outdated;
     }
 
-    /** Whether the stored page can't be read, and is left as it is. */
+    /** Whether the stored page can't be decoded. Such a page is not modified. */
     boolean unreadable() {
         return unreadable;
     }
 
-    void setUnreadable(boolean leftAsItIs) {
-        unreadable = leftAsItIs;
+    void setUnreadable(boolean unreadable) {
+        this.unreadable = unreadable;
     }
 
     Set<String> keys() {
@@ -103,19 +103,19 @@
         return records.get(key);
     }
 
-    /** How long the page would be if a record had this size. */
-    int bytesWith(String key, int size) {
-        return bytes - recordBytes.getOrDefault(key, 0) + size;
+    /** The size of the page if the record with this key had the given size. */
+    int totalBytesWith(String key, int size) {
+        return totalBytes - recordSizes.getOrDefault(key, 0) + size;
     }
 
     void put(String key, JsonNode record, int size) {
-        bytes = bytesWith(key, size);
+        totalBytes = totalBytesWith(key, size);
         records.put(key, record);
-        recordBytes.put(key, size);
+        recordSizes.put(key, size);
     }
 
     void remove(String key) {
         records.remove(key);
-        bytes -= recordBytes.remove(key);
+        totalBytes -= recordSizes.remove(key);
     }
 }
--- a/src/main/java/io/quartzgw/store/WriteBudgetAllocator.java
+++ b/src/main/java/io/quartzgw/store/WriteBudgetAllocator.java
@@ -7,104 +7,108 @@
 import java.util.Optional;
 
 /**
- * A leader's allocation of the state store's shared write budget: beyond their own shares, controllers are granted what
- * they demand, as far as all grants together stay within the shared part.
+ * Allocates the shared part of the state service's write budget; used by the leader. Controllers are granted the writes
+ * that they demand beyond their guaranteed shares, as long as the sum of all grants stays within the shared part.
  *
- * <p>A grant expires. The grantee counts its time to live from when it asked, the allocator from when it answered: so
- * the allocator never takes a grant for expired that is still in use, whichever answers were lost or came late. A
- * leader grants nothing for one time to live after its election: then the grants of its predecessor have expired.
+ * <p>Grants expire. The grantee counts the time to live from its request, the allocator from its response. So a grant
+ * always expires at the grantee first, even if responses are lost or delayed. A new leader grants nothing for one time
+ * to live after its election, until all grants of the previous leader have expired.
  */
 public final class WriteBudgetAllocator {
-    /** Clocks drift by 0.05%: a grant is counted for a little longer than its time to live. */
+    /** Clocks may drift by 0.05%, so the allocator counts a grant for slightly longer than its time to live. */
     private static final double DRIFT_FACTOR = 1.01;
-    /** The fraction of what nobody demands that is granted evenly all the same; the rest waits for new demand. */
+    /**
+     * The fraction of the budget that exceeds all demands which is granted evenly anyway; the rest is kept for new
+     * demand.
+     */
     private static final double SPARE_FRACTION = 0.5;
 
-    private final double sharedPerS;
-    private final double ownPerS;
-    private final int members;
-    private final long countedGrantMs;
+    private final double sharedWritesPerS;
+    private final double guaranteedWritesPerS;
+    private final int controllerCount;
+    private final long grantTtlWithDriftMs;
     private final long electedAtMs;
     private final Map<String, Grantee> grantees = new HashMap<>();
 
-    /** Writes that a controller may make until a moment. */
+    /** A write rate granted to a controller until the given time. */
     private record Grant(double writesPerS, long untilMs) {}
 
-    /** A controller's last demand, and its grants that may be in use. */
+    /** A controller's latest demand and its grants that may still be in use. */
     private static final class Grantee {
         private final List<Grant> grants = new ArrayList<>();
-        private double demandPerS;
-        private long askedAtMs;
+        private double demandWritesPerS;
+        private long requestedAtMs;
 
-        void demand(double writesPerS, long nowMs) {
-            demandPerS = writesPerS;
-            askedAtMs = nowMs;
+        void recordDemand(double demand, long nowMs) {
+            demandWritesPerS = demand;
+            requestedAtMs = nowMs;
         }
 
-        void add(Grant grant) {
+        void addGrant(Grant grant) {
             grants.add(grant);
         }
 
-        /** The most that may be in use: an answer with a later grant may have been lost. */
-        double grantedPerS(long nowMs) {
+        /** The highest of the unexpired grants, since the response with the latest one may have been lost. */
+        double maxGrantedWritesPerS(long nowMs) {
             grants.removeIf(grant -> grant.untilMs() <= nowMs);
             return grants.stream().mapToDouble(Grant::writesPerS).max().orElse(0);
         }
     }
 
     /**
-     * @param limits the state store's limits for all controllers together
-     * @param members how many controllers there are
+     * @param limits the state service's limits for all controllers together
+     * @param controllerCount number of controllers in the cluster
      * @param grantMs time to live of a grant
-     * @param nowMs a moment at which, or after which, this leader was elected
+     * @param nowMs a time at or after this leader's election
      */
-    public WriteBudgetAllocator(StoreLimits limits, int members, long grantMs, long nowMs) {
-        this.sharedPerS = limits.sharedWritesPerS();
-        this.ownPerS = limits.perController(members).writesPerS();
-        this.members = members;
-        this.countedGrantMs = (long) Math.ceil(grantMs * DRIFT_FACTOR);
+    public WriteBudgetAllocator(StoreLimits limits, int controllerCount, long grantMs, long nowMs) {
+        this.sharedWritesPerS = limits.sharedWritesPerS();
+        this.guaranteedWritesPerS = limits.perController(controllerCount).writesPerS();
+        this.controllerCount = controllerCount;
+        this.grantTtlWithDriftMs = (long) Math.ceil(grantMs * DRIFT_FACTOR);
         this.electedAtMs = nowMs;
     }
 
     /**
-     * Records a controller's demand, and grants it as many writes a second as it may have now; empty while grants of a
-     * former leader may be in use.
+     * Records a controller's demand and returns the granted writes per second beyond its guaranteed share. Returns an
+     * empty result while grants of the previous leader may still be in use.
      */
-    public Optional<Double> grant(String member, double wantedPerS, long nowMs) {
-        Grantee grantee = grantees.computeIfAbsent(member, name -> new Grantee());
-        grantee.demand(Math.max(0, wantedPerS - ownPerS), nowMs);
-        if (nowMs - electedAtMs < countedGrantMs) {
+    public Optional<Double> grant(String controller, double demandWritesPerS, long nowMs) {
+        Grantee grantee = grantees.computeIfAbsent(controller, name -> new Grantee());
+        grantee.recordDemand(Math.max(0, demandWritesPerS - guaranteedWritesPerS), nowMs);
+        if (nowMs - electedAtMs < grantTtlWithDriftMs) {
             return Optional.empty();
         }
-        double writesPerS = Math.max(0, Math.min(freePerSFor(grantee, nowMs), fairSharePerS(grantee, nowMs)));
-        grantee.add(new Grant(writesPerS, nowMs + countedGrantMs));
+        double writesPerS =
+                Math.max(0, Math.min(availableWritesPerS(grantee, nowMs), fairShareWritesPerS(grantee, nowMs)));
+        grantee.addGrant(new Grant(writesPerS, nowMs + grantTtlWithDriftMs));
         return Optional.of(writesPerS);
     }
 
-    private double freePerSFor(Grantee grantee, long nowMs) {
-        double freePerS = sharedPerS;
+    private double availableWritesPerS(Grantee grantee, long nowMs) {
+        double availableWritesPerS = sharedWritesPerS;
         for (Grantee other : grantees.values()) {
-            freePerS -= other == grantee ? 0 : other.grantedPerS(nowMs);
+            availableWritesPerS -= other == grantee ? 0 : other.maxGrantedWritesPerS(nowMs);
         }
-        return freePerS;
+        return availableWritesPerS;
     }
 
-    // A controller that demands less than an even part of what is left gets all of it, and leaves the rest to the
-    // others.
-    private double fairSharePerS(Grantee grantee, long nowMs) {
+    // Max-min fair allocation in ascending order of demand: a demand below an even share of the remaining budget is
+    // satisfied in full, and the rest of that share remains for the others.
+    private double fairShareWritesPerS(Grantee grantee, long nowMs) {
         List<Double> demands = grantees.values().stream()
-                .filter(other -> nowMs - other.askedAtMs < countedGrantMs)
-                .map(other -> other.demandPerS)
+                .filter(other -> nowMs - other.requestedAtMs < grantTtlWithDriftMs)
+                .map(other -> other.demandWritesPerS)
                 .sorted()
                 .toList();
-        double leftPerS = sharedPerS;
+        double remainingWritesPerS = sharedWritesPerS;
         for (int i = 0; i < demands.size(); i++) {
-            double evenPerS = leftPerS / (demands.size() - i);
-            if (demands.get(i) > evenPerS) {
-                return Math.min(grantee.demandPerS, evenPerS);
+            double evenShareWritesPerS = remainingWritesPerS / (demands.size() - i);
+            if (demands.get(i) > evenShareWritesPerS) {
+                return Math.min(grantee.demandWritesPerS, evenShareWritesPerS);
             }
-            leftPerS -= demands.get(i);
+            remainingWritesPerS -= demands.get(i);
         }
-        return grantee.demandPerS + leftPerS * SPARE_FRACTION / members;
+        return grantee.demandWritesPerS + remainingWritesPerS * SPARE_FRACTION / controllerCount;
     }
 }
--- a/src/test/java/io/quartzgw/store/PackedRecordsTest.java
+++ b/src/test/java/io/quartzgw/store/PackedRecordsTest.java
@@ -15,7 +15,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Packed records against a plain map, while transactions are lost, or lost and applied late. */
+/** Compares packed records with a plain map while transactions are lost or applied late. */
 class PackedRecordsTest {
     private static final String PREFIX = "p/";
 
@@ -27,7 +27,7 @@
             new StoreClient(eventLoop, new Endpoint("10.2.0.1", 1), new StoreLimits(100_000, 100_000, 8192, 16));
     private final PackedRecords records = new PackedRecords(client, PREFIX, Transaction::new);
 
-    private Map<String, JsonNode> stored() {
+    private Map<String, JsonNode> storedRecords() {
         Map<String, JsonNode> stored = new TreeMap<>();
         client.listPrefix(PREFIX, result -> {
             ListResult.Listed listed = assertInstanceOf(ListResult.Listed.class, result);
@@ -39,39 +39,40 @@
         return stored;
     }
 
-    // Guards against a batch that is applied minutes late and overwrites a newer one.
+    // Guards against a delayed transaction that overwrites newer records when the state service applies it minutes
+    // later.
     @Test
-    void writtenRecordsSurviveLostAndLateTransactions() {
-        Map<String, JsonNode> model = new TreeMap<>();
+    void keepsRecordsWhenTransactionsAreLostOrDelayed() {
+        Map<String, JsonNode> expected = new TreeMap<>();
         for (int round = 0; round < 400; round++) {
             String key = "i-" + random.nextInt(300);
             if (random.nextInt(5) == 0) {
                 records.remove(key);
-                model.remove(key);
+                expected.remove(key);
             } else {
                 JsonNode value = Json.array().add(round).add("x".repeat(random.nextInt(60)));
                 records.put(key, value, 80);
-                model.put(key, value);
+                expected.put(key, value);
             }
             boolean[] written = new boolean[1];
             while (!written[0]) {
-                records.write(RequestUrgency.NORMAL, done -> written[0] = done);
+                records.write(RequestUrgency.NORMAL, success -> written[0] = success);
                 link.pass(1, true);
             }
-            assertEquals(model, stored(), "round " + round);
+            assertEquals(expected, storedRecords(), "round " + round);
             if (random.nextInt(3) == 0) {
                 link.applyOneLate();
-                assertEquals(model, stored(), "after a late copy");
+                assertEquals(expected, storedRecords(), "after a delayed duplicate was applied");
             }
         }
-        assertTrue(storeServer.count(PREFIX) > 1, "more than one page");
-        assertTrue(storeServer.count(PREFIX) < 10, "and far fewer than records");
+        assertTrue(storeServer.count(PREFIX) > 1, "records fill more than one page");
+        assertTrue(storeServer.count(PREFIX) < 10, "records are packed into few pages");
     }
 
-    // Guards against a write that includes what changes while it is in progress: under a small budget something always
-    // does, and starts that wait for the write would wait for as long as machines are rented.
+    // Guards against a write that includes changes made while it is in progress. With a small budget there are always
+    // some, and task starts that wait for the write would be blocked for as long as machines are rented.
     @Test
-    void writeCompletesWhileRecordsGoOnChanging() {
+    void completesWriteWhileRecordsChange() {
         int[] changes = new int[1];
         eventLoop.onBatchEnd(() -> {
             if (changes[0] < 50) {
@@ -82,8 +83,10 @@
         int[] changesAtCompletion = {-1};
         records.write(RequestUrgency.NORMAL, written -> changesAtCompletion[0] = written ? changes[0] : -1);
         link.pass(1, false);
-        assertTrue(changesAtCompletion[0] >= 0, "it has completed");
-        assertTrue(changesAtCompletion[0] < 10, "and not only after all changes: " + changesAtCompletion[0]);
-        assertTrue(stored().containsKey("i-first"));
+        assertTrue(changesAtCompletion[0] >= 0, "the write completes");
+        assertTrue(
+                changesAtCompletion[0] < 10,
+                "the write completes before most of the changes: " + changesAtCompletion[0]);
+        assertTrue(storedRecords().containsKey("i-first"));
     }
 }
