--- a/src/test/java/io/quartzgw/simulation/ClassArchive.java
+++ b/src/test/java/io/quartzgw/simulation/ClassArchive.java
@@ -14,7 +14,7 @@
  * services on loopback. A process that starts from the archive is up in a fraction of the time.
  */
 public final class ClassArchive {
-    private static final long LIMIT_MS = 20_000;
+    private static final long TIMEOUT_MS = 20_000;
 
     private ClassArchive() {}
 
@@ -41,7 +41,7 @@
                     .start();
             runJobs(cluster);
             process.destroy();
-            if (!process.waitFor(LIMIT_MS, TimeUnit.MILLISECONDS)) {
+            if (!process.waitFor(TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
                 process.destroyForcibly();
             }
         }
@@ -50,7 +50,7 @@
     }
 
     private static void runJobs(LoopbackCluster cluster) {
-        long end = System.currentTimeMillis() + LIMIT_MS;
+        long end = System.currentTimeMillis() + TIMEOUT_MS;
         ObjectNode spec = Json.object()
                 .put("id", "j-000001")
                 .put("workload", "w")
--- a/src/test/java/io/quartzgw/simulation/ClusterSimulation.java
+++ b/src/test/java/io/quartzgw/simulation/ClusterSimulation.java
@@ -25,9 +25,9 @@
     private static final long CLOUD_PERIOD_MS = 200;
     private static final long MACHINE_LIST_LAG_MS = 5_000;
     private static final long MACHINE_BOOT_MS = 8_000;
-    private static final int HANGING_MACHINES = 4;
+    private static final int MAX_HANGING_MACHINES = 4;
     private static final long STORE_OUTAGE_MS = 2_000;
-    private static final long STORE_GAP_MS = 1_000;
+    private static final long STORE_AVAILABLE_MS = 1_000;
 
     private final EventQueue events = new EventQueue();
     private final SimulatedStore store;
@@ -108,7 +108,7 @@
         network = new SimulatedNetwork(context, this::handle);
         SimulationSettings settings = new SimulationSettings(builder.timing, store.limits());
         controllers = new SimulatedControllers(
-                context, settings, network, new LeaderActions(invariants), builder.controllers);
+                context, settings, network, new LeaderActionChecks(invariants), builder.controllers);
         agents = new SimulatedAgents(
                 context,
                 network,
@@ -300,7 +300,7 @@
         store.setOutage(true);
         events.scheduleAfter(STORE_OUTAGE_MS, () -> {
             store.setOutage(false);
-            events.scheduleAfter(STORE_GAP_MS, () -> letStoreComeAndGo(end));
+            events.scheduleAfter(STORE_AVAILABLE_MS, () -> letStoreComeAndGo(end));
         });
     }
 
@@ -309,7 +309,7 @@
         users.cancelRunningJobs(count);
         if (hangMs > 0) {
             List<String> machines = agents.machineIds();
-            List<String> hanging = machines.subList(0, Math.min(HANGING_MACHINES, machines.size()));
+            List<String> hanging = machines.subList(0, Math.min(MAX_HANGING_MACHINES, machines.size()));
             hanging.forEach(machine -> agents.setHanging(machine, true));
             schedule(now() + hangMs, () -> hanging.forEach(machine -> agents.setHanging(machine, false)));
         }
--- a/src/test/java/io/quartzgw/simulation/ConfirmedLease.java
+++ b/src/test/java/io/quartzgw/simulation/ConfirmedLease.java
@@ -13,26 +13,26 @@
     private static final String RENEWAL_SUFFIX = "/extend";
 
     private long durationMs;
-    private long heldUntil = Long.MIN_VALUE;
+    private long confirmedUntil = Long.MIN_VALUE;
 
     /** Whether the last lease that was granted or renewed has surely not expired. */
     boolean isHeldAt(long now) {
-        return now < heldUntil;
+        return now < confirmedUntil;
     }
 
     /** The process sends a request. */
-    void sent(Call call) {
+    void recordRequest(Call call) {
         if (isGrant(call)) {
             durationMs = Json.readOrNull(call.body()).path("life_ms").asLong();
         } else if (isRevocation(call)) {
-            heldUntil = Long.MIN_VALUE;
+            confirmedUntil = Long.MIN_VALUE;
         }
     }
 
     /** The process has received the reply to a request that was sent at a time. */
-    void received(Call call, long sentAt, Reply reply) {
+    void recordReply(Call call, long sentAt, Reply reply) {
         if (reply.ok() && (isGrant(call) || isRenewal(call))) {
-            heldUntil = Math.max(heldUntil, sentAt + durationMs);
+            confirmedUntil = Math.max(confirmedUntil, sentAt + durationMs);
         }
     }
 
--- a/src/test/java/io/quartzgw/simulation/InvalidJobs.java
+++ b/src/test/java/io/quartzgw/simulation/InvalidJobs.java
@@ -11,7 +11,7 @@
 
     /** One of each kind, all with this id. */
     static List<ObjectNode> of(String id) {
-        ObjectNode good = good(id);
+        ObjectNode good = validJob(id);
         List<ObjectNode> bad = new ArrayList<>();
         good.fieldNames().forEachRemaining(field -> bad.add(good.deepCopy().without(field)));
         bad.add(good.deepCopy().put("cpus", 99.0));
@@ -26,7 +26,7 @@
         return bad;
     }
 
-    private static ObjectNode good(String id) {
+    private static ObjectNode validJob(String id) {
         return Json.object()
                 .put("id", id)
                 .put("workload", "odd")
--- a/src/test/java/io/quartzgw/simulation/JobRecord.java
+++ b/src/test/java/io/quartzgw/simulation/JobRecord.java
@@ -8,9 +8,9 @@
 
     private final long acceptedAt;
     private long lastResponseAt;
-    private Optional<String> finalPhase = Optional.empty();
-    private long finalSince = NEVER;
-    private long cancelledAt = NEVER;
+    private Optional<String> terminalState = Optional.empty();
+    private long terminalSince = NEVER;
+    private long cancellationAcknowledgedAt = NEVER;
 
     /** Makes the record of a job of which users are told for the first time. */
     JobRecord(long acceptedAt) {
@@ -28,40 +28,40 @@
         return lastResponseAt;
     }
 
-    void responded(long now) {
+    void recordResponse(long now) {
         lastResponseAt = now;
     }
 
     /** The final phase of which users were told first; empty while the job is open. */
-    Optional<String> finalPhase() {
-        return finalPhase;
+    Optional<String> terminalState() {
+        return terminalState;
     }
 
     /** A user is told of a final phase; only the first one counts. */
-    void end(String phase, long now) {
-        if (finalPhase.isEmpty()) {
-            finalPhase = Optional.of(phase);
-            finalSince = now;
+    void recordTerminalState(String phase, long now) {
+        if (terminalState.isEmpty()) {
+            terminalState = Optional.of(phase);
+            terminalSince = now;
         }
     }
 
     /** Whether a request of a time was sent after users were told of a final phase other than this one. */
     boolean contradicts(String phase, long sentAt) {
-        return finalPhase.isPresent() && !finalPhase.get().equals(phase) && sentAt > finalSince;
+        return terminalState.isPresent() && !terminalState.get().equals(phase) && sentAt > terminalSince;
     }
 
     /** A user is told that the job is cancelled. */
-    void cancelled(long now) {
-        cancelledAt = Math.min(cancelledAt, now);
+    void recordCancellation(long now) {
+        cancellationAcknowledgedAt = Math.min(cancellationAcknowledgedAt, now);
     }
 
     /** Whether a user was told that the job is cancelled. */
-    boolean isCancelled() {
-        return cancelledAt != NEVER;
+    boolean isCancellationAcknowledged() {
+        return cancellationAcknowledgedAt != NEVER;
     }
 
     /** Whether a user was told longer ago than a limit that the job is cancelled. */
-    boolean isCancelledLongerThan(long limitMs, long now) {
-        return isCancelled() && now - cancelledAt > limitMs;
+    boolean isCancellationOlderThan(long limitMs, long now) {
+        return isCancellationAcknowledged() && now - cancellationAcknowledgedAt > limitMs;
     }
 }
--- a/src/test/java/io/quartzgw/simulation/LeaderActions.java
+++ b/src/test/java/io/quartzgw/simulation/LeaderActionChecks.java
@@ -15,15 +15,15 @@
  * controller's term is confirmed, it does not know the job as cancelled, and no controller with a higher token has sent
  * a start before: two leaders never act at once.
  */
-final class LeaderActions {
-    private static final String COMMANDS_PATH = "/orders";
+final class LeaderActionChecks {
+    private static final String DIRECT_CALL_PATH = "/orders";
     private static final String DELETION_PATH = "/rentals/delete";
     private static final String COMMANDS_FIELD = "orders";
 
     private final ProtocolInvariants invariants;
     private long highestTermIndex;
 
-    LeaderActions(ProtocolInvariants invariants) {
+    LeaderActionChecks(ProtocolInvariants invariants) {
         this.invariants = invariants;
     }
 
@@ -37,8 +37,8 @@
         if (!confirmed && isDeletion(effect)) {
             invariants.recordUnconfirmedDeletion(controller);
         }
-        JsonNode message = commandMessage(effect);
-        for (String task : startedTasks(message)) {
+        JsonNode message = messageWithCommands(effect);
+        for (String task : tasksToStart(message)) {
             if (!confirmed) {
                 invariants.recordUnconfirmedStart(controller, task);
             }
@@ -59,9 +59,9 @@
     }
 
     /** The message with commands that an effect sends, or a missing node if it sends none. */
-    private static JsonNode commandMessage(Effect effect) {
+    private static JsonNode messageWithCommands(Effect effect) {
         JsonNode message = null;
-        if (effect instanceof Effect.Send send && send.request().path().equals(COMMANDS_PATH)) {
+        if (effect instanceof Effect.Send send && send.request().path().equals(DIRECT_CALL_PATH)) {
             message = Json.readOrNull(send.request().body());
         } else if (effect instanceof Effect.Answer answer) {
             message = Json.readOrNull(answer.response().body());
@@ -69,7 +69,7 @@
         return message == null ? MissingNode.getInstance() : message;
     }
 
-    private static List<String> startedTasks(JsonNode message) {
+    private static List<String> tasksToStart(JsonNode message) {
         List<String> tasks = new ArrayList<>();
         for (JsonNode command : message.path(COMMANDS_FIELD)) {
             if (command.path("verb").asText().equals("run")) {
--- a/src/test/java/io/quartzgw/simulation/LoopbackCluster.java
+++ b/src/test/java/io/quartzgw/simulation/LoopbackCluster.java
@@ -38,20 +38,20 @@
 public final class LoopbackCluster implements AutoCloseable {
     private static final int FIRST_PORT = 10_000;
     /** The usual range of ports for outbound connections begins here. */
-    private static final int END_OF_PORTS = 32_768;
+    private static final int FIRST_EPHEMERAL_PORT = 32_768;
 
-    private static final long HEARTBEAT_MS = 1_000;
+    private static final long HEARTBEAT_INTERVAL_MS = 1_000;
     private static final long LEASE_MS = 8_000;
 
     private final SimulatedStore store = new SimulatedStore();
     private final SimulatedCloud cloud = new SimulatedCloud(200, 300, 4, this::addressOf);
-    private final ExecutorService threads = Executors.newCachedThreadPool();
-    private final ScheduledExecutorService clock = Executors.newSingleThreadScheduledExecutor();
-    private final ScheduledFuture<?> ticks;
+    private final ExecutorService executor = Executors.newCachedThreadPool();
+    private final ScheduledExecutorService scheduler = Executors.newSingleThreadScheduledExecutor();
+    private final ScheduledFuture<?> periodicTick;
     private final HttpClient http = HttpClient.newBuilder()
             .version(HttpClient.Version.HTTP_1_1)
             .connectTimeout(Duration.ofSeconds(2))
-            .executor(threads)
+            .executor(executor)
             .build();
     private final Map<String, JsonNode> jobs = new ConcurrentHashMap<>();
     private final Map<String, HttpServer> agentServers = new HashMap<>();
@@ -69,20 +69,20 @@
     public LoopbackCluster(int controllers) throws IOException {
         storeServer = serve((call, now, onReply) -> store.handle(call, now, onReply));
         cloudServer = serve((call, now, onReply) -> cloud.handle(call, now, onReply));
-        int[] ports = freePorts(2 * controllers);
+        int[] ports = chooseFreePorts(2 * controllers);
         clientPorts = Arrays.copyOf(ports, controllers);
         peerPorts = Arrays.copyOfRange(ports, controllers, 2 * controllers);
         cloud.onMachineChange(this::boot, agents::remove);
-        ticks = clock.scheduleAtFixedRate(this::tick, 20, 20, TimeUnit.MILLISECONDS);
+        periodicTick = scheduler.scheduleAtFixedRate(this::tick, 20, 20, TimeUnit.MILLISECONDS);
     }
 
     /**
      * Finds different ports that nobody listens on, below those that the system gives to outbound connections: one of
      * these could take a port between its choice and the start of the controller that is to listen there.
      */
-    private static int[] freePorts(int count) {
+    private static int[] chooseFreePorts(int count) {
         return ThreadLocalRandom.current()
-                .ints(FIRST_PORT, END_OF_PORTS)
+                .ints(FIRST_PORT, FIRST_EPHEMERAL_PORT)
                 .distinct()
                 .filter(LoopbackCluster::isFree)
                 .limit(count)
@@ -103,13 +103,13 @@
 
     private HttpServer serve(Handler handler) throws IOException {
         HttpServer server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
-        server.setExecutor(threads);
-        server.createContext("/", exchange -> answer(exchange, handler));
+        server.setExecutor(executor);
+        server.createContext("/", exchange -> handleExchange(exchange, handler));
         server.start();
         return server;
     }
 
-    private void answer(HttpExchange exchange, Handler handler) throws IOException {
+    private void handleExchange(HttpExchange exchange, Handler handler) throws IOException {
         byte[] body = exchange.getRequestBody().readAllBytes();
         Call call = new Call(
                 new Endpoint("127.0.0.1", 1),
@@ -160,7 +160,7 @@
         SimulatedAgent agent = new SimulatedAgent(
                 id, addressOf(id), type, zone, spot, LEASE_MS, now(), this::describe, new SimulatedAgent.Watcher() {});
         agents.put(id, agent);
-        threads.execute(() -> sendHeartbeats(agent));
+        executor.execute(() -> sendHeartbeats(agent));
     }
 
     private SimulatedAgent.Description describe(String job) {
@@ -196,7 +196,7 @@
             synchronized (this) {
                 agent.receiveHeartbeatResponse(reply, epoch, sentAt, now());
             }
-            pause(HEARTBEAT_MS);
+            pause(HEARTBEAT_INTERVAL_MS);
         }
     }
 
@@ -225,7 +225,7 @@
 
     /** Sends a request with any body to a controller's client listener. */
     public Reply raw(int controller, String method, String path, HttpRequest.BodyPublisher body) {
-        return exchange(clientPorts[controller], method, path, body);
+        return send(clientPorts[controller], method, path, body);
     }
 
     /** The port of a controller's client listener. */
@@ -240,10 +240,10 @@
 
     /** Reads from a controller's peer listener, which serves operators too. */
     public Reply peer(int controller, String path) {
-        return exchange(peerPorts[controller], "GET", path, HttpRequest.BodyPublishers.noBody());
+        return send(peerPorts[controller], "GET", path, HttpRequest.BodyPublishers.noBody());
     }
 
-    private Reply exchange(int port, String method, String path, HttpRequest.BodyPublisher body) {
+    private Reply send(int port, String method, String path, HttpRequest.BodyPublisher body) {
         HttpRequest request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + path))
                 .timeout(Duration.ofSeconds(4))
                 .method(method, body)
@@ -308,13 +308,13 @@
     @Override
     public void close() {
         agents.clear();
-        ticks.cancel(false);
-        clock.shutdownNow();
+        periodicTick.cancel(false);
+        scheduler.shutdownNow();
         storeServer.stop(0);
         cloudServer.stop(0);
         synchronized (this) {
             agentServers.values().forEach(server -> server.stop(0));
         }
-        threads.shutdownNow();
+        executor.shutdownNow();
     }
 }
--- a/src/test/java/io/quartzgw/simulation/PlacementRules.java
+++ b/src/test/java/io/quartzgw/simulation/PlacementRules.java
@@ -77,12 +77,12 @@
     }
 
     /** Whether one more task of a job in an agent's zone leaves the job spread over zones, where it has to be. */
-    boolean isSpreadKept(String job, SimulatedAgent agent) {
+    boolean keepsZoneSpread(String job, SimulatedAgent agent) {
         return !spec(job).path("scatter").asBoolean() || tasksInZone(job, agent) + 1 <= (taskCount(job) + 1) / 2;
     }
 
     /** Whether one more task of a job in an agent's zone leaves the job in one zone, where it has to be. */
-    boolean isOneZoneKept(String job, SimulatedAgent agent) {
+    boolean keepsSingleZone(String job, SimulatedAgent agent) {
         return !spec(job).path("together").asBoolean()
                 || tasksInZone(job, agent) == agentsOf(job).size();
     }
@@ -113,13 +113,13 @@
     }
 
     /** Whether one more task of a job could start on a machine now. */
-    boolean fits(String job, SimulatedAgent agent) {
+    boolean canStartTask(String job, SimulatedAgent agent) {
         double cpus = spec(job).path("cpus").asDouble();
         String team = team(job);
         return agent.freeCpus() >= cpus
                 && isMachineAllowed(job, agent)
-                && isOneZoneKept(job, agent)
-                && isSpreadKept(job, agent)
+                && keepsSingleZone(job, agent)
+                && keepsZoneSpread(job, agent)
                 && (!cpuLimits.containsKey(team) || usedCpus(team) + cpus <= cpuLimits.get(team));
     }
 }
--- a/src/test/java/io/quartzgw/simulation/ProtocolInvariants.java
+++ b/src/test/java/io/quartzgw/simulation/ProtocolInvariants.java
@@ -23,7 +23,7 @@
     /** After all faults, no job waits for so long while a machine that fits has room. */
     private static final long WAITING_LIMIT_MS = 90_000;
 
-    private static final String DONE = "done";
+    private static final String COMPLETED = "done";
     private static final String CANCELLED = "withdrawn";
     private static final int CREATED = 201;
 
@@ -31,14 +31,14 @@
     private final LongSupplier clock;
     private final PlacementRules placement;
     private final List<String> violations = new ArrayList<>();
-    private final Map<String, Integer> starts = new HashMap<>();
+    private final Map<String, Integer> startCounts = new HashMap<>();
     private final Map<String, Set<Integer>> completed = new HashMap<>();
-    private final Map<String, JobRecord> accepted = new HashMap<>();
+    private final Map<String, JobRecord> acceptedJobs = new HashMap<>();
     private final Set<String> cancellationRequested = new HashSet<>();
     private final Map<String, Long> waitingSince = new HashMap<>();
     private int startsAfterCancellation;
     private Consumer<String> onLastTaskEnded = job -> {};
-    private long faultsOverAt = Long.MAX_VALUE;
+    private long faultsEndedAt = Long.MAX_VALUE;
 
     /**
      * @param cancelLimitMs within what time after a user is told of a cancellation the job's tasks are gone
@@ -60,7 +60,7 @@
 
     /** How many times tasks have begun to run. */
     public int startCount() {
-        return starts.values().stream().mapToInt(Integer::intValue).sum();
+        return startCounts.values().stream().mapToInt(Integer::intValue).sum();
     }
 
     /** How many tasks began to run after a user was told that their job is cancelled. */
@@ -73,7 +73,7 @@
         return placement.runningTasks().stream()
                 .map(PlacementRules::jobOf)
                 .distinct()
-                .filter(job -> !isFinal(job))
+                .filter(job -> !hasEnded(job))
                 .sorted()
                 .toList();
     }
@@ -90,7 +90,7 @@
 
     /** The final phase of a job as users were told it; empty while it is open. */
     public Optional<String> finalPhase(String job) {
-        return Optional.ofNullable(accepted.get(job)).flatMap(JobRecord::finalPhase);
+        return Optional.ofNullable(acceptedJobs.get(job)).flatMap(JobRecord::terminalState);
     }
 
     /** Whether users were told that a job has ended in a phase. */
@@ -98,15 +98,15 @@
         return finalPhase(job).filter(phase::equals).isPresent();
     }
 
-    private boolean isFinal(String job) {
+    private boolean hasEnded(String job) {
         return finalPhase(job).isPresent();
     }
 
     /** The replicas of accepted services that run nowhere, though users were told of no cancellation. */
     public List<String> missingReplicas() {
         List<String> missing = new ArrayList<>();
-        for (String job : accepted.keySet()) {
-            if (!placement.isService(job) || isFinal(job)) {
+        for (String job : acceptedJobs.keySet()) {
+            if (!placement.isService(job) || hasEnded(job)) {
                 continue;
             }
             for (int i = 0; i < placement.taskCount(job); i++) {
@@ -123,7 +123,7 @@
         this.onLastTaskEnded = action;
     }
 
-    private void violated(String invariant, String details) {
+    private void recordViolation(String invariant, String details) {
         violations.add(clock.getAsLong() + " ms: " + invariant + ": " + details);
     }
 
@@ -132,51 +132,51 @@
     @Override
     public void startExecuted(SimulatedAgent agent, String task) {
         if (isCancellationOverdue(PlacementRules.jobOf(task), clock.getAsLong())) {
-            violated("ran_cancelled", task + " is started on " + agent.id);
+            recordViolation("ran_cancelled", task + " is started on " + agent.id);
         }
     }
 
     /** A controller sends a command to start a task though its term is not confirmed. */
     void recordUnconfirmedStart(String controller, String task) {
-        violated("unconfirmed_start", task + " is started by " + controller);
+        recordViolation("unconfirmed_start", task + " is started by " + controller);
     }
 
     /** A controller sends a request to delete machines though its term is not confirmed. */
     void recordUnconfirmedDeletion(String controller) {
-        violated("unconfirmed_deletion", "machines are deleted by " + controller);
+        recordViolation("unconfirmed_deletion", "machines are deleted by " + controller);
     }
 
     /** A controller sends a command to start a task after one with a higher term has done so. */
     void recordSupersededStart(String controller, String task) {
-        violated("superseded_start", task + " is started by " + controller);
+        recordViolation("superseded_start", task + " is started by " + controller);
     }
 
     /** A controller sends a command to start a task of a job that it knows as cancelled. */
     void recordCancelledStart(String controller, String task) {
-        violated("cancelled_start", task + " is started by " + controller);
+        recordViolation("cancelled_start", task + " is started by " + controller);
     }
 
     @Override
     public void started(SimulatedAgent agent, String task) {
-        starts.merge(task, 1, Integer::sum);
+        startCounts.merge(task, 1, Integer::sum);
         String job = PlacementRules.jobOf(task);
         placement
                 .agentOf(task)
-                .ifPresent(other -> violated("ran_twice", task + " on " + agent.id + " and " + other.id));
+                .ifPresent(other -> recordViolation("ran_twice", task + " on " + agent.id + " and " + other.id));
         checkNotCancelled(task, job);
         if (!placement.isMachineAllowed(job, agent)) {
-            violated("wrong_place", task + " on " + agent.id);
+            recordViolation("wrong_place", task + " on " + agent.id);
         }
-        if (!placement.isSpreadKept(job, agent)) {
-            violated("wrong_place", task + " is one too many in " + agent.zone);
+        if (!placement.keepsZoneSpread(job, agent)) {
+            recordViolation("wrong_place", task + " is one too many in " + agent.zone);
         }
-        if (!placement.isOneZoneKept(job, agent)) {
-            violated("wrong_place", task + " is not with the others in " + agent.zone);
+        if (!placement.keepsSingleZone(job, agent)) {
+            recordViolation("wrong_place", task + " is not with the others in " + agent.zone);
         }
         placement.add(task, agent);
         if (placement.isQuotaExceeded(job)) {
             String team = placement.team(job);
-            violated("quota", team + " uses " + placement.usedCpus(team));
+            recordViolation("quota", team + " uses " + placement.usedCpus(team));
         }
     }
 
@@ -186,16 +186,16 @@
         }
         startsAfterCancellation++;
         if (isCancellationOverdue(job, clock.getAsLong())) {
-            violated("ran_cancelled", task + " starts");
+            recordViolation("ran_cancelled", task + " starts");
         }
     }
 
     private boolean isCancelled(String job) {
-        return accepted.containsKey(job) && accepted.get(job).isCancelled();
+        return acceptedJobs.containsKey(job) && acceptedJobs.get(job).isCancellationAcknowledged();
     }
 
     private boolean isCancellationOverdue(String job, long now) {
-        return accepted.containsKey(job) && accepted.get(job).isCancelledLongerThan(cancelLimitMs, now);
+        return acceptedJobs.containsKey(job) && acceptedJobs.get(job).isCancellationOlderThan(cancelLimitMs, now);
     }
 
     @Override
@@ -231,22 +231,22 @@
 
     /** A submission got a response other than an acceptance: it must not reject a job that was accepted before. */
     void recordRejection(String job, int status) {
-        if (accepted.containsKey(job) && (status == 400 || status == 422)) {
-            violated("forgotten", job + " is refused with " + status);
+        if (acceptedJobs.containsKey(job) && (status == 400 || status == 422)) {
+            recordViolation("forgotten", job + " is refused with " + status);
         }
     }
 
     /** A job that can't run, or is no job, got a response: it must be rejected. */
     void recordResponseToInvalidJob(String spec, int status) {
         if (status / 100 == 2 || status == 404) {
-            violated("accepted", spec + " is answered " + status);
+            recordViolation("accepted", spec + " is answered " + status);
         }
     }
 
     /** A request about a job that nobody submitted got a response: it must be no success. */
     void recordResponseForUnknownJob(String job, int status) {
         if (status / 100 == 2) {
-            violated("invented", job);
+            recordViolation("invented", job);
         }
     }
 
@@ -256,38 +256,39 @@
      * @param sentAt when the request was sent: a response to an earlier request may tell an earlier state
      */
     void recordResponse(String job, Reply reply, long sentAt, long now) {
-        JobRecord known = accepted.get(job);
+        JobRecord known = acceptedJobs.get(job);
         if (reply.status() == 404 && known != null && sentAt > known.acceptedAt()) {
-            violated("forgotten", job + " is answered 404");
+            recordViolation("forgotten", job + " is answered 404");
         }
         if (!reply.ok() && reply.status() != CREATED) {
             return;
         }
-        JobRecord jobRecord = accepted.computeIfAbsent(job, id -> new JobRecord(now));
-        jobRecord.responded(now);
+        JobRecord jobRecord = acceptedJobs.computeIfAbsent(job, id -> new JobRecord(now));
+        jobRecord.recordResponse(now);
         String phase = reply.json().path("phase").asText();
         if (jobRecord.contradicts(phase, sentAt)) {
-            violated("went_back", job + " was " + jobRecord.finalPhase().orElseThrow() + " and is " + phase);
+            recordViolation(
+                    "went_back", job + " was " + jobRecord.terminalState().orElseThrow() + " and is " + phase);
         }
-        if (phase.equals(DONE)) {
-            recordDone(job, jobRecord, now);
+        if (phase.equals(COMPLETED)) {
+            recordCompletion(job, jobRecord, now);
         } else if (phase.equals(CANCELLED)) {
-            recordCancelled(job, jobRecord, now);
+            recordCancellation(job, jobRecord, now);
         }
     }
 
-    private void recordDone(String job, JobRecord jobRecord, long now) {
-        jobRecord.end(DONE, now);
+    private void recordCompletion(String job, JobRecord jobRecord, long now) {
+        jobRecord.recordTerminalState(COMPLETED, now);
         if (completedCount(job) < placement.taskCount(job)) {
-            violated("not_done", job);
+            recordViolation("not_done", job);
         }
     }
 
-    private void recordCancelled(String job, JobRecord jobRecord, long now) {
-        jobRecord.end(CANCELLED, now);
-        jobRecord.cancelled(now);
+    private void recordCancellation(String job, JobRecord jobRecord, long now) {
+        jobRecord.recordTerminalState(CANCELLED, now);
+        jobRecord.recordCancellation(now);
         if (!cancellationRequested.contains(job)) {
-            violated("went_back", job + " is cancelled though nobody asked for it");
+            recordViolation("went_back", job + " is cancelled though nobody asked for it");
         }
     }
 
@@ -295,36 +296,36 @@
 
     /** All faults are over: from now on requests about every accepted job have to succeed in time. */
     public void faultsOver(long now) {
-        faultsOverAt = now;
+        faultsEndedAt = now;
     }
 
     /** Checks that no task runs too long after its job's cancellation, and that no job is without responses. */
     public void checkDeadlines(long now) {
-        accepted.forEach((job, jobRecord) -> {
-            if (now > faultsOverAt
-                    && !jobRecord.isCancelled()
-                    && now - Math.max(faultsOverAt, jobRecord.lastResponseAt()) > RESPONSE_LIMIT_MS) {
-                violated("forgotten", job + " gets no answer");
+        acceptedJobs.forEach((job, jobRecord) -> {
+            if (now > faultsEndedAt
+                    && !jobRecord.isCancellationAcknowledged()
+                    && now - Math.max(faultsEndedAt, jobRecord.lastResponseAt()) > RESPONSE_LIMIT_MS) {
+                recordViolation("forgotten", job + " gets no answer");
             }
         });
         for (String task : placement.runningTasks()) {
             if (isCancellationOverdue(PlacementRules.jobOf(task), now)) {
-                violated("ran_cancelled", task + " is still there");
+                recordViolation("ran_cancelled", task + " is still there");
             }
         }
     }
 
     /** Checks that no job waits too long while a machine that fits has room; for the time after all faults. */
     public void checkWaitingJobs(Collection<SimulatedAgent> agents, long now) {
-        for (String job : accepted.keySet()) {
-            boolean couldStart = !isFinal(job)
+        for (String job : acceptedJobs.keySet()) {
+            boolean couldStart = !hasEnded(job)
                     && placement.taskCount(job)
                             > completedCount(job) + placement.agentsOf(job).size()
-                    && agents.stream().anyMatch(agent -> placement.fits(job, agent));
+                    && agents.stream().anyMatch(agent -> placement.canStartTask(job, agent));
             if (!couldStart) {
                 waitingSince.remove(job);
             } else if (now - waitingSince.computeIfAbsent(job, id -> now) > WAITING_LIMIT_MS) {
-                violated("waiting", job + " waits though there is room");
+                recordViolation("waiting", job + " waits though there is room");
                 waitingSince.put(job, now);
             }
         }
--- a/src/test/java/io/quartzgw/simulation/MessageDigests.java
+++ b/src/test/java/io/quartzgw/simulation/SentMessagesDigest.java
@@ -12,8 +12,8 @@
  * A digest of everything that the controllers of a simulation send: requests to each other, to agents, to the state
  * service and to the cloud, and responses, each with its time. Equal digests mean equal decisions.
  */
-final class MessageDigests {
-    private static final int SHOWN_CHARACTERS = 16;
+final class SentMessagesDigest {
+    private static final int SUMMARY_HEX_CHARACTERS = 16;
 
     private final MessageDigest digest = sha256();
     private long messages;
@@ -49,7 +49,7 @@
     String summary() {
         try {
             MessageDigest soFar = (MessageDigest) digest.clone();
-            return messages + " " + HexFormat.of().formatHex(soFar.digest()).substring(0, SHOWN_CHARACTERS);
+            return messages + " " + HexFormat.of().formatHex(soFar.digest()).substring(0, SUMMARY_HEX_CHARACTERS);
         } catch (CloneNotSupportedException e) {
             throw new IllegalStateException("SHA-256 digests can be cloned", e);
         }
--- a/src/test/java/io/quartzgw/simulation/SimulatedController.java
+++ b/src/test/java/io/quartzgw/simulation/SimulatedController.java
@@ -29,16 +29,16 @@
     private final String name;
     private final SimulationContext context;
     private final SimulatedNetwork network;
-    private final MessageDigests digests;
-    private final LeaderActions leaderActions;
-    private final Map<Long, Consumer<Response>> openRequests = new HashMap<>();
+    private final SentMessagesDigest messagesDigest;
+    private final LeaderActionChecks leaderActionChecks;
+    private final Map<Long, Consumer<Response>> unansweredRequests = new HashMap<>();
     private final List<Command> receivedWhilePaused = new ArrayList<>();
     /** What the batch in which the process was paused has left to be sent. */
-    private final List<Effect> unsentWhilePaused = new ArrayList<>();
+    private final List<Effect> unsentEffects = new ArrayList<>();
     /** When calls time out, by their number, while they have not ended. */
-    private final Map<Long, Long> callTimeouts = new HashMap<>();
+    private final Map<Long, Long> callDeadlines = new HashMap<>();
 
-    private final List<Command> nextBatch = new ArrayList<>();
+    private final List<Command> pendingBatch = new ArrayList<>();
     private Optional<Controller> controller = Optional.empty();
     private ConfirmedLease lease = new ConfirmedLease();
     private EventLoop eventLoop;
@@ -49,7 +49,7 @@
     private long requestCount;
     private boolean paused;
     /** Which batch the process is to be paused in, before anything of it is sent. */
-    private Predicate<List<Effect>> pausingWithinBatch = SimulatedController::noBatch;
+    private Predicate<List<Effect>> pauseCondition = SimulatedController::neverPause;
 
     private long maxBatchDelayMs;
 
@@ -57,26 +57,26 @@
             String name,
             SimulationContext context,
             SimulatedNetwork network,
-            MessageDigests digests,
-            LeaderActions leaderActions) {
+            SentMessagesDigest digests,
+            LeaderActionChecks leaderActions) {
         this.name = name;
         this.context = context;
         this.network = network;
-        this.digests = digests;
-        this.leaderActions = leaderActions;
+        this.messagesDigest = digests;
+        this.leaderActionChecks = leaderActions;
     }
 
     /** Starts a new process. */
     void start(Settings settings, long processId) {
         incarnation++;
         wakeUpAt = Long.MAX_VALUE;
-        openRequests.clear();
+        unansweredRequests.clear();
         paused = false;
-        pausingWithinBatch = SimulatedController::noBatch;
+        pauseCondition = SimulatedController::neverPause;
         receivedWhilePaused.clear();
-        unsentWhilePaused.clear();
-        callTimeouts.clear();
-        nextBatch.clear();
+        unsentEffects.clear();
+        callDeadlines.clear();
+        pendingBatch.clear();
         lease = new ConfirmedLease();
         eventLoop = new EventLoop(context.random().nextLong());
         eventLoop.processBatch(List.of(), context.events().clockReading());
@@ -113,7 +113,7 @@
                         && send.request().path().equals(path)));
     }
 
-    private static boolean noBatch(List<Effect> effects) {
+    private static boolean neverPause(List<Effect> effects) {
         return false;
     }
 
@@ -121,9 +121,9 @@
         if (!isUp() || paused) {
             return;
         }
-        pausingWithinBatch = batch;
+        pauseCondition = batch;
         scheduleForThisProcess(durationMs, () -> {
-            pausingWithinBatch = SimulatedController::noBatch;
+            pauseCondition = SimulatedController::neverPause;
             resume();
         });
     }
@@ -131,12 +131,12 @@
     /** A process that resumes looks at its timers and at calls that have ended before it reads new requests. */
     private void resume() {
         paused = false;
-        List<Effect> unsent = List.copyOf(unsentWhilePaused);
-        unsentWhilePaused.clear();
-        unsent.forEach(this::carryOut);
+        List<Effect> unsent = List.copyOf(unsentEffects);
+        unsentEffects.clear();
+        unsent.forEach(this::execute);
         List<Command> endedCalls = receivedWhilePaused.stream()
                 .filter(Command.CallEnded.class::isInstance)
-                .map(ended -> unlessTimedOut((Command.CallEnded) ended))
+                .map(ended -> withTimeoutApplied((Command.CallEnded) ended))
                 .toList();
         List<Command> requests = receivedWhilePaused.stream()
                 .filter(Command.Arrived.class::isInstance)
@@ -147,8 +147,8 @@
     }
 
     /** A call that has timed out while the process was paused has got no response. */
-    private Command unlessTimedOut(Command.CallEnded ended) {
-        boolean timedOut = callTimeouts.getOrDefault(ended.call(), Long.MAX_VALUE)
+    private Command withTimeoutApplied(Command.CallEnded ended) {
+        boolean timedOut = callDeadlines.getOrDefault(ended.call(), Long.MAX_VALUE)
                 <= context.events().now();
         return timedOut ? new Command.CallEnded(ended.call(), Reply.lost()) : ended;
     }
@@ -187,7 +187,7 @@
             return;
         }
         long id = ++requestCount;
-        openRequests.put(id, response -> onReply.accept(new Reply(response.status(), response.body())));
+        unansweredRequests.put(id, response -> onReply.accept(new Reply(response.status(), response.body())));
         byte[] body = call.body() == null ? new byte[0] : call.body();
         receive(new Command.Arrived(new Request(id, listener, call.method(), call.path(), "", body)));
     }
@@ -197,11 +197,11 @@
             process(List.of(command));
             return;
         }
-        nextBatch.add(command);
-        if (nextBatch.size() == 1) {
+        pendingBatch.add(command);
+        if (pendingBatch.size() == 1) {
             scheduleForThisProcess(context.random().nextLong(maxBatchDelayMs), () -> {
-                List<Command> batch = List.copyOf(nextBatch);
-                nextBatch.clear();
+                List<Command> batch = List.copyOf(pendingBatch);
+                pendingBatch.clear();
                 process(batch);
             });
         }
@@ -212,36 +212,37 @@
             receivedWhilePaused.addAll(batch);
             return;
         }
-        batch.forEach(this::forgetTimeout);
+        batch.forEach(this::removeCallDeadline);
         EventQueue events = context.events();
         // Log lines show the thread's name: here the simulated time and the controller.
         Thread.currentThread().setName(events.now() + " " + name);
         List<Effect> effects = eventLoop.processBatch(batch, events.clockReading());
-        if (pausingWithinBatch.test(effects)) {
+        if (pauseCondition.test(effects)) {
             paused = true;
-            unsentWhilePaused.addAll(effects);
+            unsentEffects.addAll(effects);
         } else {
-            effects.forEach(this::carryOut);
+            effects.forEach(this::execute);
         }
         scheduleWakeUp();
     }
 
-    private void forgetTimeout(Command command) {
+    private void removeCallDeadline(Command command) {
         if (command instanceof Command.CallEnded ended) {
-            callTimeouts.remove(ended.call());
+            callDeadlines.remove(ended.call());
         }
     }
 
-    private void carryOut(Effect effect) {
+    private void execute(Effect effect) {
         EventQueue events = context.events();
         if (events.now() >= effect.validUntilMs()) {
-            drop(effect);
+            rejectExpired(effect);
             return;
         }
-        digests.add(events.now(), name, effect);
-        leaderActions.check(name, effect, lease.isHeldAt(events.now()), controller.orElseThrow()::isKnownCancelled);
+        messagesDigest.add(events.now(), name, effect);
+        leaderActionChecks.check(
+                name, effect, lease.isHeldAt(events.now()), controller.orElseThrow()::isKnownCancelled);
         if (effect instanceof Effect.Answer answer) {
-            Consumer<Response> receiver = openRequests.remove(answer.exchange());
+            Consumer<Response> receiver = unansweredRequests.remove(answer.exchange());
             if (receiver != null) {
                 receiver.accept(answer.response());
             }
@@ -250,9 +251,9 @@
         }
     }
 
-    private void drop(Effect effect) {
+    private void rejectExpired(Effect effect) {
         if (effect instanceof Effect.Answer answer) {
-            carryOut(new Effect.Answer(
+            execute(new Effect.Answer(
                     answer.exchange(), Response.unavailable("late", RETRY_AFTER_S), Effect.ALWAYS_VALID));
         } else if (effect instanceof Effect.Send send) {
             receive(new Command.CallEnded(send.call(), Reply.unsent()));
@@ -262,11 +263,11 @@
     private void send(Effect.Send send) {
         long sender = incarnation;
         long sentAt = context.events().now();
-        lease.sent(send.request());
-        callTimeouts.put(send.call(), sentAt + send.request().timeoutMs());
+        lease.recordRequest(send.request());
+        callDeadlines.put(send.call(), sentAt + send.request().timeoutMs());
         network.send(name, send.request(), reply -> {
             if (incarnation == sender && isUp()) {
-                lease.received(send.request(), sentAt, reply);
+                lease.recordReply(send.request(), sentAt, reply);
                 receive(new Command.CallEnded(send.call(), reply));
             }
         });
--- a/src/test/java/io/quartzgw/simulation/SimulatedControllers.java
+++ b/src/test/java/io/quartzgw/simulation/SimulatedControllers.java
@@ -14,7 +14,7 @@
 final class SimulatedControllers {
     private final SimulationContext context;
     private final SimulationSettings settings;
-    private final MessageDigests digests = new MessageDigests();
+    private final SentMessagesDigest messagesDigest = new SentMessagesDigest();
     private final List<SimulatedController> controllers = new ArrayList<>();
     private long processCount;
 
@@ -22,12 +22,13 @@
             SimulationContext context,
             SimulationSettings settings,
             SimulatedNetwork network,
-            LeaderActions leaderActions,
+            LeaderActionChecks leaderActions,
             int count) {
         this.context = context;
         this.settings = settings;
         for (int i = 0; i < count; i++) {
-            controllers.add(new SimulatedController(Hosts.controller(i), context, network, digests, leaderActions));
+            controllers.add(
+                    new SimulatedController(Hosts.controller(i), context, network, messagesDigest, leaderActions));
         }
     }
 
@@ -41,7 +42,7 @@
     }
 
     Settings settings(int index) {
-        return settings.of(index, controllers.size());
+        return settings.forController(index, controllers.size());
     }
 
     void start(int index) {
@@ -112,6 +113,6 @@
     }
 
     String messageDigest() {
-        return digests.summary();
+        return messagesDigest.summary();
     }
 }
--- a/src/test/java/io/quartzgw/simulation/SimulationSettings.java
+++ b/src/test/java/io/quartzgw/simulation/SimulationSettings.java
@@ -11,19 +11,19 @@
 import java.util.Map;
 
 /** The settings of the controllers of a simulated cluster. */
-record SimulationSettings(AgentTiming times, StoreLimits storeLimits) {
+record SimulationSettings(AgentTiming timing, StoreLimits storeLimits) {
     /** By team, the CPUs that its tasks may use; teams that are not named have no limit. */
     static final Map<String, Double> CPU_LIMITS = Map.of("red", 40.0, "green", 24.0);
 
     private static final int CLIENT_PORT = 8080;
     private static final int PEER_PORT = 8081;
 
-    private static TeamQuota team(String name, double guaranteedCpus) {
+    private static TeamQuota teamQuota(String name, double guaranteedCpus) {
         return new TeamQuota(name, guaranteedCpus, CPU_LIMITS.getOrDefault(name, 0.0), 0, 0);
     }
 
     /** The settings of one controller of a cluster of a size. */
-    Settings of(int index, int size) {
+    Settings forController(int index, int size) {
         Map<String, Endpoint> peers = new LinkedHashMap<>();
         for (int i = 0; i < size; i++) {
             if (i != index) {
@@ -41,10 +41,10 @@
                 size,
                 List.of("a", "b"),
                 100,
-                Map.of("red", team("red", 0), "blue", team("blue", 0), "green", team("green", 8)),
+                Map.of("red", teamQuota("red", 0), "blue", teamQuota("blue", 0), "green", teamQuota("green", 8)),
                 List.of(),
-                times,
-                times.cancelMs() / 1000.0,
+                timing,
+                timing.cancelMs() / 1000.0,
                 storeLimits,
                 new CloudLimits(4, 5_000),
                 1000);
