--- a/src/test/java/io/quartzgw/simulation/ClassArchive.java
+++ b/src/test/java/io/quartzgw/simulation/ClassArchive.java
@@ -10,8 +10,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Run by the build: makes the class-data archive from one process of the program that serves a few jobs with simulated
- * services on loopback. A process that starts from the archive is up in a fraction of the time.
+ * Creates the class-data sharing (CDS) archive during the build: runs a process of the program against simulated
+ * services on the loopback interface, lets it serve a few jobs, and has it write the archive when it exits. The archive
+ * reduces the startup time of the program to a fraction.
  */
 public final class ClassArchive {
     private static final long TIMEOUT_MS = 20_000;
@@ -21,10 +22,10 @@
     /**
      * Writes the archive.
      *
-     * @param args the jar, the archive to write, and the options of the JVM that will use it
+     * @param args the path of the jar, the path of the archive, and the options of the JVM that will use the archive
      */
     public static void main(String[] args) throws IOException, InterruptedException {
-        Path folder = Files.createTempDirectory("quartzgw");
+        Path directory = Files.createTempDirectory("quartzgw");
         try (LoopbackCluster cluster = new LoopbackCluster(1)) {
             List<String> command = new ArrayList<>();
             command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
@@ -34,7 +35,7 @@
                     "-jar",
                     args[0],
                     "--config",
-                    cluster.settings(0, folder).toString()));
+                    cluster.settings(0, directory).toString()));
             Process process = new ProcessBuilder(command)
                     .redirectErrorStream(true)
                     .redirectOutput(ProcessBuilder.Redirect.DISCARD)
@@ -45,12 +46,12 @@
                 process.destroyForcibly();
             }
         }
-        // HTTP threads of the simulated services may wait for a reply for ever.
+        // HTTP threads of the simulated services may wait for a reply indefinitely and would keep the JVM running.
         System.exit(0);
     }
 
     private static void runJobs(LoopbackCluster cluster) {
-        long end = System.currentTimeMillis() + TIMEOUT_MS;
+        long deadline = System.currentTimeMillis() + TIMEOUT_MS;
         ObjectNode spec = Json.object()
                 .put("id", "j-000001")
                 .put("workload", "w")
@@ -69,7 +70,7 @@
                 .put("runtime_guess_s", 0.3)
                 .put("snapshot_every_s", 0.0)
                 .put("snapshot_cost_s", 0.0);
-        while (cluster.submit(0, spec).status() / 100 != 2 && System.currentTimeMillis() < end) {
+        while (cluster.submit(0, spec).status() / 100 != 2 && System.currentTimeMillis() < deadline) {
             LoopbackCluster.pause(200);
         }
         cluster.request(0, "GET", "/ready");
@@ -78,7 +79,7 @@
                         .path("phase")
                         .asText()
                         .equals("done")
-                && System.currentTimeMillis() < end) {
+                && System.currentTimeMillis() < deadline) {
             LoopbackCluster.pause(200);
         }
         cluster.submit(0, spec.put("id", "j-000002").put("shape", "daemon"));
--- a/src/test/java/io/quartzgw/simulation/ClusterSimulation.java
+++ b/src/test/java/io/quartzgw/simulation/ClusterSimulation.java
@@ -12,12 +12,12 @@
 import java.util.function.Consumer;
 
 /**
- * A whole cluster in simulated time: the program's controllers, simulated agents, state service, cloud and users, and a
- * network with faults between them. Everything random is drawn from one source, so that a seed always gives the same
- * run.
+ * A whole cluster in simulated time: the program's controllers; simulated agents, state service, cloud and users; and a
+ * simulated network with faults. All random values come from one seeded source, which makes each run reproducible by
+ * its seed.
  */
 public final class ClusterSimulation {
-    /** What {@link #leader()} returns when no controller leads. */
+    /** Returned by {@link #leader()} when no controller leads. */
     public static final int NO_LEADER = -1;
 
     private static final long CHECK_PERIOD_MS = 500;
@@ -39,7 +39,7 @@
     private final SimulatedAgents agents;
     private final SimulatedUsers users;
 
-    /** What a simulation is made of; each value has a default. */
+    /** The parameters of a simulation; each has a default. */
     public static final class Builder {
         private final long seed;
         private int controllers = 3;
@@ -52,48 +52,48 @@
             this.seed = seed;
         }
 
-        /** Sets how many controllers there are. */
+        /** Sets the number of controllers. */
         public Builder controllers(int count) {
             this.controllers = count;
             return this;
         }
 
-        /** Sets how many machines the cloud has. */
+        /** Sets the maximum number of machines that can be rented at a time. */
         public Builder machines(int count) {
             this.machines = count;
             return this;
         }
 
-        /** Sets how often agents look at their tasks. */
+        /** Sets the interval at which agents advance their tasks. */
         public Builder agentStepMs(long ms) {
             this.agentStepMs = ms;
             return this;
         }
 
-        /** Sets the heartbeat period, the lease and the cancellation limit. */
-        public Builder timing(AgentTiming of) {
-            this.timing = of;
+        /** Sets the agents' heartbeat interval and lease duration, and the cancellation limit. */
+        public Builder timing(AgentTiming value) {
+            this.timing = value;
             return this;
         }
 
-        /** Sets limits of the state service, beyond which it rejects requests. */
+        /** Sets the limits beyond which the state service rejects requests. */
         public Builder storeLimits(StoreLimits limits) {
             this.store = new SimulatedStore(limits);
             return this;
         }
 
-        /** Makes the simulation; its controllers have started. */
+        /** Creates the simulation and starts its controllers. */
         public ClusterSimulation build() {
             return new ClusterSimulation(this);
         }
     }
 
-    /** A simulation with the default number of controllers, and limits of the state service that bind nowhere. */
+    /** Returns a builder with default parameters; by default the state service does not limit the write rate. */
     public static Builder builder(long seed) {
         return new Builder(seed);
     }
 
-    /** A simulation with the builder's defaults but for the number of controllers. */
+    /** Creates a simulation with the builder's defaults except for the number of controllers. */
     public ClusterSimulation(long seed, int controllers) {
         this(builder(seed).controllers(controllers));
     }
@@ -134,7 +134,7 @@
         }
     }
 
-    // ---- parts
+    // ---- components
 
     /** The state service. */
     public SimulatedStore store() {
@@ -146,12 +146,12 @@
         return cloud;
     }
 
-    /** The network, with its faults. */
+    /** The network, for injecting network faults. */
     public SimulatedNetwork network() {
         return network;
     }
 
-    /** The agents, with the faults of their machines. */
+    /** The agents, for injecting faults of their machines. */
     public SimulatedAgents agents() {
         return agents;
     }
@@ -161,7 +161,7 @@
         return users;
     }
 
-    /** The invariants, and what was observed of jobs and tasks to check them. */
+    /** The invariants, with the observations of jobs and tasks on which their checks are based. */
     public ProtocolInvariants invariants() {
         return invariants;
     }
@@ -173,17 +173,17 @@
         return events.now();
     }
 
-    /** Schedules an action at a simulated time; one in the past runs at once. */
+    /** Schedules an action at a simulated time; if that has passed, the action is due now. */
     public void schedule(long time, Runnable action) {
         events.schedule(time, action);
     }
 
-    /** Runs up to a time, without checks of what holds at each moment. */
+    /** Runs up to a time without checking deadlines. */
     public void runUntil(long end) {
         events.runUntil(end);
     }
 
-    /** Runs for a duration, and checks every half second that no task or job is overdue. */
+    /** Runs for a duration, and checks every half second the deadlines of tasks and jobs. */
     public void runChecked(long durationMs) {
         for (long end = now() + durationMs; now() < end; ) {
             runUntil(Math.min(end, now() + CHECK_PERIOD_MS));
@@ -191,7 +191,7 @@
         }
     }
 
-    /** Checks that no job waits though there is room; for the time after all faults. */
+    /** As {@link ProtocolInvariants#checkWaitingJobs}, for all agents and the present time. */
     public void checkWaitingJobs() {
         invariants.checkWaitingJobs(agents.all(), now());
     }
@@ -208,12 +208,12 @@
         controllers.start(index);
     }
 
-    /** Ends the process of a controller without notice. */
+    /** Ends a controller's process abruptly, without shutdown. */
     public void crash(int index) {
         controllers.crash(index);
     }
 
-    /** Crashes a controller and starts it again after a time; one that is down already is left as it is. */
+    /** Crashes a controller and restarts it after {@code downMs}; has no effect if the controller is down already. */
     public void crash(int index, long downMs) {
         if (isUp(index)) {
             crash(index);
@@ -221,37 +221,42 @@
         }
     }
 
-    /** Pauses a controller while its clocks run on; it processes what it received meanwhile when it resumes. */
+    /**
+     * Pauses a controller while its clocks continue to run. It processes what it received meanwhile when it resumes.
+     */
     public void pauseController(int index, long durationMs) {
         controllers.pause(index, durationMs);
     }
 
-    /** As {@link #pauseController}, but in the middle of its next batch: what that sends leaves after the pause. */
+    /** As {@link #pauseController}, but in the middle of the next batch: its messages are sent after the pause. */
     public void pauseControllerWithinBatch(int index, long durationMs) {
         controllers.pauseWithinBatch(index, durationMs);
     }
 
-    /** As {@link #pauseControllerWithinBatch}, but in the next batch that sends a call to a path. */
+    /** As {@link #pauseControllerWithinBatch}, but in the next batch that sends a call to {@code path}. */
     public void pauseControllerBeforeCall(int index, String path, long durationMs) {
         controllers.pauseBeforeCall(index, path, durationMs);
     }
 
-    /** Makes controllers process what they receive in batches, collected for up to a time. */
+    /** Makes controllers collect what they receive into batches for a random time of less than {@code maxMs}. */
     public void batchCommandsUpTo(long maxMs) {
         controllers.setMaxBatchDelay(maxMs);
     }
 
-    /** Makes the state service reject the requests of one controller alone; its open watches wait. */
+    /**
+     * Makes the state service reject the requests of one controller only. The responses to its pending watches are
+     * delayed until the fault ends.
+     */
     public void setStoreRejects(int controller, boolean on) {
         storeRejections.setRejected(Hosts.controller(controller), on);
     }
 
-    /** Whether a controller's process runs. */
+    /** Whether a controller's process is running; also true while it is paused. */
     public boolean isUp(int index) {
         return controllers.isUp(index);
     }
 
-    /** The index of the controller that leads with the highest term, or {@link #NO_LEADER}. */
+    /** The index of the leading controller with the highest term, or {@link #NO_LEADER}. */
     public int leader() {
         return controllers.leader();
     }
@@ -261,36 +266,36 @@
         return leader() != NO_LEADER;
     }
 
-    /** The index of the leader, or of the first controller when none leads. */
+    /** The index of the leader, or 0 when no controller leads. */
     public int leaderOrFirst() {
         return Math.max(0, leader());
     }
 
-    /** How many commands have failed inside the running controllers. */
+    /** The number of event loop commands that failed in the running controllers since their starts. */
     public long failedCommands() {
         return controllers.failedCommands();
     }
 
-    /** The counters of the running controllers since their starts, summed up by name. */
+    /** The counters of the running controllers since their starts, summed by name. */
     public Map<String, Long> counters() {
         return controllers.counters();
     }
 
-    /** One of {@link #counters()}; 0 when nothing was counted. */
+    /** The value of one of the {@link #counters()}; 0 if it does not exist. */
     public long counter(String name) {
         return counters().getOrDefault(name, 0L);
     }
 
-    /** A digest of all messages that controllers have sent, to tell whether two versions decide alike. */
+    /** A digest of all messages that controllers have sent, for checking that two versions decide alike. */
     public String messageDigest() {
         return controllers.messageDigest();
     }
 
-    // ---- faults of several parts
+    // ---- faults of several components
 
     /**
-     * Makes the state service come and go until a time: each outage is shorter than the agents' lease, and the gaps are
-     * shorter than the leader's.
+     * Makes the state service available only intermittently until {@code end}. Each outage is shorter than the agents'
+     * lease; each time of availability is shorter than the leader's lease.
      */
     public void letStoreComeAndGo(long end) {
         if (now() >= end) {
@@ -304,7 +309,7 @@
         });
     }
 
-    /** Cancels a number of the running jobs while some machines hang for a duration. */
+    /** Cancels a number of running jobs while up to four machines hang for {@code hangMs}. */
     public void cancelRunningJobsWhileMachinesHang(int count, long hangMs) {
         users.cancelRunningJobs(count);
         if (hangMs > 0) {
--- a/src/test/java/io/quartzgw/simulation/ConfirmedLease.java
+++ b/src/test/java/io/quartzgw/simulation/ConfirmedLease.java
@@ -5,8 +5,8 @@
 import io.quartzgw.http.Reply;
 
 /**
- * Until when a process can be sure to hold a lease of the state service, as its requests and their responses show it: a
- * plain model, with which the controllers' own account is compared.
+ * The time up to which a process is known to hold a lease of the state service, derived from its requests and their
+ * replies alone. This simple model is independent of the controllers' own computation, and checks it.
  */
 final class ConfirmedLease {
     private static final String LEASES_PATH = "/holds";
@@ -15,12 +15,12 @@
     private long durationMs;
     private long confirmedUntil = Long.MIN_VALUE;
 
-    /** Whether the last lease that was granted or renewed has surely not expired. */
+    /** Whether the lease that was last granted or renewed is known to be valid at a time. */
     boolean isHeldAt(long now) {
         return now < confirmedUntil;
     }
 
-    /** The process sends a request. */
+    /** Records a request that the process sends. */
     void recordRequest(Call call) {
         if (isGrant(call)) {
             durationMs = Json.readOrNull(call.body()).path("life_ms").asLong();
@@ -29,7 +29,7 @@
         }
     }
 
-    /** The process has received the reply to a request that was sent at a time. */
+    /** Records the reply to a request. A lease is valid at least for its duration after the request was sent. */
     void recordReply(Call call, long sentAt, Reply reply) {
         if (reply.ok() && (isGrant(call) || isRenewal(call))) {
             confirmedUntil = Math.max(confirmedUntil, sentAt + durationMs);
--- a/src/test/java/io/quartzgw/simulation/Elections.java
+++ b/src/test/java/io/quartzgw/simulation/Elections.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.function.LongConsumer;
 
-/** Elects a controller without peers as leader, for tests of what only a leader does. */
+/** Elects a controller without peers as the leader, for tests of functions that only a leader carries out. */
 public final class Elections {
     private static final int STEP_MS = 50;
     private static final double HEARTBEAT_S = 2.5;
@@ -18,7 +18,7 @@
 
     private Elections() {}
 
-    /** A candidate that has no peers, as process 1 of its controller. */
+    /** Creates a candidate without peers, with process ID 1. */
     public static Leadership candidate(EventLoop eventLoop, StoreClient store) {
         return new Leadership(
                 eventLoop,
@@ -28,8 +28,12 @@
                 new CancellationWatermark(eventLoop, (long) (CANCEL_S * 1_000), List.of()));
     }
 
-    /** Lets time pass until the candidate leads. */
-    public static void elect(Leadership leadership, LongConsumer pass) {
+    /**
+     * Advances time until the candidate leads.
+     *
+     * @param advance advances time by a number of milliseconds
+     */
+    public static void elect(Leadership leadership, LongConsumer advance) {
         leadership.start(new Leadership.Listener() {
             @Override
             public void elected(long term, long termRevision) {}
@@ -38,7 +42,7 @@
             public void leadershipLost() {}
         });
         while (!leadership.leading()) {
-            pass.accept(STEP_MS);
+            advance.accept(STEP_MS);
         }
     }
 }
--- a/src/test/java/io/quartzgw/simulation/InvalidJobs.java
+++ b/src/test/java/io/quartzgw/simulation/InvalidJobs.java
@@ -5,25 +5,26 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Submissions that no controller may accept: they lack a field, have an invalid one, or can never run. */
+/** Submissions that controllers must reject: a field is missing or invalid, or the job could never run. */
 final class InvalidJobs {
     private InvalidJobs() {}
 
-    /** One of each kind, all with this id. */
+    /** One submission of each kind, all with the same ID. */
     static List<ObjectNode> of(String id) {
-        ObjectNode good = validJob(id);
-        List<ObjectNode> bad = new ArrayList<>();
-        good.fieldNames().forEachRemaining(field -> bad.add(good.deepCopy().without(field)));
-        bad.add(good.deepCopy().put("cpus", 99.0));
-        bad.add(good.deepCopy().put("crew", "nobody"));
-        bad.add(good.deepCopy()
+        ObjectNode valid = validJob(id);
+        List<ObjectNode> invalid = new ArrayList<>();
+        valid.fieldNames()
+                .forEachRemaining(field -> invalid.add(valid.deepCopy().without(field)));
+        invalid.add(valid.deepCopy().put("cpus", 99.0));
+        invalid.add(valid.deepCopy().put("crew", "nobody"));
+        invalid.add(valid.deepCopy()
                 .put("crew", "red")
                 .put("shape", "daemon")
                 .put("shards", 30)
                 .put("cpus", 4.0));
-        bad.add(good.deepCopy().put("shards", "one"));
-        bad.add(good.deepCopy().put("yard", "nowhere"));
-        return bad;
+        invalid.add(valid.deepCopy().put("shards", "one"));
+        invalid.add(valid.deepCopy().put("yard", "nowhere"));
+        return invalid;
     }
 
     private static ObjectNode validJob(String id) {
--- a/src/test/java/io/quartzgw/simulation/JobRecord.java
+++ b/src/test/java/io/quartzgw/simulation/JobRecord.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** What users were told of a job that was accepted. */
+/** What users have learned about an accepted job from the responses they received. */
 final class JobRecord {
     private static final long NEVER = Long.MAX_VALUE;
 
@@ -12,18 +12,18 @@
     private long terminalSince = NEVER;
     private long cancellationAcknowledgedAt = NEVER;
 
-    /** Makes the record of a job of which users are told for the first time. */
+    /** Creates the record on the first successful response for a job. */
     JobRecord(long acceptedAt) {
         this.acceptedAt = acceptedAt;
         this.lastResponseAt = acceptedAt;
     }
 
-    /** When users were first told that the job is accepted. */
+    /** When a user first received a successful response for the job. */
     long acceptedAt() {
         return acceptedAt;
     }
 
-    /** When a user was last told anything of the job. */
+    /** When a user last received a successful response for the job. */
     long lastResponseAt() {
         return lastResponseAt;
     }
@@ -32,12 +32,12 @@
         lastResponseAt = now;
     }
 
-    /** The final phase of which users were told first; empty while the job is open. */
+    /** The first terminal state that a user received; empty while users have received none. */
     Optional<String> terminalState() {
         return terminalState;
     }
 
-    /** A user is told of a final phase; only the first one counts. */
+    /** Records a terminal state that a user received; only the first one is kept. */
     void recordTerminalState(String phase, long now) {
         if (terminalState.isEmpty()) {
             terminalState = Optional.of(phase);
@@ -45,22 +45,24 @@
         }
     }
 
-    /** Whether a request of a time was sent after users were told of a final phase other than this one. */
+    /**
+     * Whether a response's phase contradicts the terminal state that a user had received before its request was sent.
+     */
     boolean contradicts(String phase, long sentAt) {
         return terminalState.isPresent() && !terminalState.get().equals(phase) && sentAt > terminalSince;
     }
 
-    /** A user is told that the job is cancelled. */
+    /** Records that a user received the cancelled state; the earliest time is kept. */
     void recordCancellation(long now) {
         cancellationAcknowledgedAt = Math.min(cancellationAcknowledgedAt, now);
     }
 
-    /** Whether a user was told that the job is cancelled. */
+    /** Whether the cancellation is acknowledged: a user has received the cancelled state. */
     boolean isCancellationAcknowledged() {
         return cancellationAcknowledgedAt != NEVER;
     }
 
-    /** Whether a user was told longer ago than a limit that the job is cancelled. */
+    /** Whether the cancellation was acknowledged more than {@code limitMs} ago. */
     boolean isCancellationOlderThan(long limitMs, long now) {
         return isCancellationAcknowledged() && now - cancellationAcknowledgedAt > limitMs;
     }
--- a/src/test/java/io/quartzgw/simulation/JobSpecs.java
+++ b/src/test/java/io/quartzgw/simulation/JobSpecs.java
@@ -5,7 +5,7 @@
 import io.quartzgw.model.Priority;
 import io.quartzgw.model.Resources;
 
-/** Descriptions of jobs for tests, which name only what matters to them. */
+/** Builder of job specs for tests, with defaults for the values that a test does not depend on. */
 public final class JobSpecs {
     private static final double IMAGE_GB = 1;
     private static final double ESTIMATE_S = 10;
@@ -26,7 +26,7 @@
         this.id = id;
     }
 
-    /** An array of one small task, of class {@code w} and team {@code free}, that may run on any ordinary machine. */
+    /** An array job of one small task, of class {@code w} and team {@code free}, for any machine but spot machines. */
     public static JobSpecs named(String id) {
         return new JobSpecs(id);
     }
@@ -36,13 +36,13 @@
         return this;
     }
 
-    public JobSpecs shape(JobShape of) {
-        this.shape = of;
+    public JobSpecs shape(JobShape value) {
+        this.shape = value;
         return this;
     }
 
-    public JobSpecs priority(Priority of) {
-        this.priority = of;
+    public JobSpecs priority(Priority value) {
+        this.priority = value;
         return this;
     }
 
@@ -51,7 +51,7 @@
         return this;
     }
 
-    /** What each task takes. */
+    /** Sets the resources that each task needs. */
     public JobSpecs demand(double cpus, double gpus, double memoryGb) {
         this.demand = new Resources(cpus, gpus, memoryGb);
         return this;
@@ -62,18 +62,18 @@
         return this;
     }
 
-    public JobSpecs oneZone(boolean so) {
-        this.oneZone = so;
+    public JobSpecs oneZone(boolean on) {
+        this.oneZone = on;
         return this;
     }
 
-    public JobSpecs spread(boolean so) {
-        this.spread = so;
+    public JobSpecs spread(boolean on) {
+        this.spread = on;
         return this;
     }
 
-    public JobSpecs spot(boolean so) {
-        this.spot = so;
+    public JobSpecs spot(boolean on) {
+        this.spot = on;
         return this;
     }
 
@@ -82,7 +82,7 @@
         return this;
     }
 
-    /** The description. */
+    /** Builds the spec. */
     public JobSpec spec() {
         return new JobSpec(
                 id,
--- a/src/test/java/io/quartzgw/simulation/LeaderActionChecks.java
+++ b/src/test/java/io/quartzgw/simulation/LeaderActionChecks.java
@@ -10,10 +10,10 @@
 import java.util.function.Predicate;
 
 /**
- * Checks what only a confirmed leader may send, at the moment when it leaves. Of deletions of machines, and of every
- * start in a direct call or in the response to a heartbeat: the controller's term is confirmed. Of a start also: the
- * controller's term is confirmed, it does not know the job as cancelled, and no controller with a higher token has sent
- * a start before: two leaders never act at once.
+ * Checks, when a message is sent, the actions that only a confirmed leader may take. The sender of a machine deletion
+ * or of a start, in a direct call or in a heartbeat response, must be confirmed. The sender of a start must also have
+ * no cancellation of the job recorded, and no controller with a higher term may have sent a start before: two leaders
+ * never act at the same time.
  */
 final class LeaderActionChecks {
     private static final String DIRECT_CALL_PATH = "/orders";
@@ -28,10 +28,10 @@
     }
 
     /**
-     * Checks what a controller sends.
+     * Checks a message that a controller sends.
      *
-     * @param confirmed whether the controller surely leads
-     * @param isCancelled whether the controller knows a job as cancelled
+     * @param confirmed whether the controller's lease is known to be valid
+     * @param isCancelled whether the controller has recorded the cancellation of the job with a given ID
      */
     void check(String controller, Effect effect, boolean confirmed, Predicate<String> isCancelled) {
         if (!confirmed && isDeletion(effect)) {
@@ -45,7 +45,8 @@
             if (isCancelled.test(PlacementRules.jobOf(task))) {
                 invariants.recordCancelledStart(controller, task);
             }
-            // All terms of a simulation have full ranges of tokens, one after the other.
+            // In a simulation each term has a full range of tokens, and the ranges are contiguous: the quotient
+            // identifies the term of a token.
             long termIndex = (message.path("baton").asLong() - 1) / FencingTokens.PER_TERM;
             if (termIndex < highestTermIndex) {
                 invariants.recordSupersededStart(controller, task);
@@ -58,7 +59,7 @@
         return effect instanceof Effect.Send send && send.request().path().equals(DELETION_PATH);
     }
 
-    /** The message with commands that an effect sends, or a missing node if it sends none. */
+    /** The body of a direct call or of a response, which may contain commands; a missing node for other effects. */
     private static JsonNode messageWithCommands(Effect effect) {
         JsonNode message = null;
         if (effect instanceof Effect.Send send && send.request().path().equals(DIRECT_CALL_PATH)) {
--- a/src/test/java/io/quartzgw/simulation/LoopbackCluster.java
+++ b/src/test/java/io/quartzgw/simulation/LoopbackCluster.java
@@ -32,12 +32,12 @@
 import java.util.function.Consumer;
 
 /**
- * The simulated state service, cloud and agents over HTTP on the loopback interface and in real time, for whole
- * processes of the program.
+ * Serves the simulated state service, cloud and agents over HTTP on the loopback interface in real time, for tests that
+ * run whole processes of the program.
  */
 public final class LoopbackCluster implements AutoCloseable {
     private static final int FIRST_PORT = 10_000;
-    /** The usual range of ports for outbound connections begins here. */
+    /** The first port that the system usually assigns to outbound connections. */
     private static final int FIRST_EPHEMERAL_PORT = 32_768;
 
     private static final long HEARTBEAT_INTERVAL_MS = 1_000;
@@ -65,7 +65,7 @@
         void handle(Call call, long now, Consumer<Reply> onReply);
     }
 
-    /** Starts the simulated services, and reserves the ports of a number of controllers. */
+    /** Starts the simulated services, and chooses the ports for a number of controllers. */
     public LoopbackCluster(int controllers) throws IOException {
         storeServer = serve((call, now, onReply) -> store.handle(call, now, onReply));
         cloudServer = serve((call, now, onReply) -> cloud.handle(call, now, onReply));
@@ -77,8 +77,8 @@
     }
 
     /**
-     * Finds different ports that nobody listens on, below those that the system gives to outbound connections: one of
-     * these could take a port between its choice and the start of the controller that is to listen there.
+     * Chooses distinct ports that are not in use, below the ephemeral range. An outbound connection could take a port
+     * of that range before the controller listens on it.
      */
     private static int[] chooseFreePorts(int count) {
         return ThreadLocalRandom.current()
@@ -122,9 +122,9 @@
         synchronized (this) {
             handler.handle(call, now(), reply::complete);
         }
-        Reply done = reply.join();
-        exchange.sendResponseHeaders(done.status(), done.body().length == 0 ? -1 : done.body().length);
-        exchange.getResponseBody().write(done.body());
+        Reply response = reply.join();
+        exchange.sendResponseHeaders(response.status(), response.body().length == 0 ? -1 : response.body().length);
+        exchange.getResponseBody().write(response.body());
         exchange.close();
     }
 
@@ -177,7 +177,7 @@
     }
 
     private void sendHeartbeats(SimulatedAgent agent) {
-        int home = 0;
+        int targetController = 0;
         while (agents.get(agent.id) == agent) {
             long sentAt = now();
             JsonNode heartbeat;
@@ -186,12 +186,12 @@
                 heartbeat = agent.heartbeat(now());
                 epoch = agent.epoch();
             }
-            Reply reply = request(home, "POST", "/hello", heartbeat);
+            Reply reply = request(targetController, "POST", "/hello", heartbeat);
             if (reply.status() == 421 && reply.json().has("home_controller")) {
-                home = Integer.parseInt(
+                targetController = Integer.parseInt(
                         reply.json().path("home_controller").asText().substring(4));
             } else if (!reply.ok()) {
-                home = (home + 1) % clientPorts.length;
+                targetController = (targetController + 1) % clientPorts.length;
             }
             synchronized (this) {
                 agent.receiveHeartbeatResponse(reply, epoch, sentAt, now());
@@ -200,7 +200,7 @@
         }
     }
 
-    /** Waits for a duration of real time. */
+    /** Sleeps for a duration of real time. */
     public static void pause(long ms) {
         try {
             Thread.sleep(ms);
@@ -212,7 +212,7 @@
     // ---- users
 
     /**
-     * Sends a request without a body to a controller's client listener; its reply is lost when there is none in time.
+     * Sends a request without a body to a controller's client listener; returns a lost reply if none arrives in time.
      */
     public Reply request(int controller, String method, String path) {
         return raw(controller, method, path, HttpRequest.BodyPublishers.noBody());
@@ -223,7 +223,7 @@
         return raw(controller, method, path, HttpRequest.BodyPublishers.ofByteArray(Json.write(body)));
     }
 
-    /** Sends a request with any body to a controller's client listener. */
+    /** Sends a request with an arbitrary body to a controller's client listener. */
     public Reply raw(int controller, String method, String path, HttpRequest.BodyPublisher body) {
         return send(clientPorts[controller], method, path, body);
     }
@@ -238,7 +238,7 @@
         store.setOutage(on);
     }
 
-    /** Reads from a controller's peer listener, which serves operators too. */
+    /** Sends a GET request to a controller's peer listener, which also serves operators. */
     public Reply peer(int controller, String path) {
         return send(peerPorts[controller], "GET", path, HttpRequest.BodyPublishers.noBody());
     }
@@ -259,7 +259,7 @@
         }
     }
 
-    /** Submits a job; agents can run its tasks from then on. */
+    /** Submits a job, and registers its spec with the simulated agents so that they can run its tasks. */
     public Reply submit(int controller, JsonNode spec) {
         jobs.put(spec.path("id").asText(), spec);
         return request(controller, "POST", "/submissions", spec);
@@ -267,8 +267,8 @@
 
     // ---- settings
 
-    /** Writes the settings file of a controller. */
-    public Path settings(int controller, Path folder) throws IOException {
+    /** Writes the settings file of a controller and returns its path. */
+    public Path settings(int controller, Path directory) throws IOException {
         StringBuilder toml = new StringBuilder();
         toml.append("member = \"rig-")
                 .append(controller)
@@ -300,7 +300,7 @@
                 .append("[facts.workers]\nreport_s = 0.4\nlease_s = 8.0\ncancel_s = 20.0\n")
                 .append("[facts.state]\nrps = 600.0\nwrite_rps = 300.0\nvalue_kb = 8.0\ntxn_ops = 16\n")
                 .append("[facts.cloud]\nrps = 20.0\nlist_lag_s = 0.5\n[facts.limits]\nsockets = 200\n");
-        Path file = folder.resolve("rig-" + controller + ".toml");
+        Path file = directory.resolve("rig-" + controller + ".toml");
         Files.writeString(file, toml);
         return file;
     }
--- a/src/test/java/io/quartzgw/simulation/PlacementRules.java
+++ b/src/test/java/io/quartzgw/simulation/PlacementRules.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Where the tasks of all jobs run, and whether their placement is one that their specs and the quotas allow. */
+/** Tracks where tasks run, and checks their placement against the job specs and the teams' quotas. */
 final class PlacementRules {
     private static final double CPU_TOLERANCE = 1e-6;
 
@@ -15,12 +15,12 @@
     private final Map<String, JsonNode> specs = new HashMap<>();
     private final Map<String, SimulatedAgent> running = new HashMap<>();
 
-    /** @param cpuLimits by team, how many CPUs its tasks may use at once; teams without an entry have no limit */
+    /** @param cpuLimits CPU quotas by team; teams without an entry have no quota */
     PlacementRules(Map<String, Double> cpuLimits) {
         this.cpuLimits = cpuLimits;
     }
 
-    /** The id of the job that a task belongs to. */
+    /** The ID of a task's job; task IDs have the form {@code job/index}. */
     static String jobOf(String task) {
         return task.substring(0, task.indexOf('/'));
     }
@@ -41,12 +41,12 @@
         return spec(job).path("shape").asText().equals("daemon");
     }
 
-    /** The tasks that run at present. */
+    /** The tasks that are running now. */
     Set<String> runningTasks() {
         return running.keySet();
     }
 
-    /** The agent on which a task runs. */
+    /** The agent that runs a task; empty if the task is not running. */
     Optional<SimulatedAgent> agentOf(String task) {
         return Optional.ofNullable(running.get(task));
     }
@@ -61,7 +61,7 @@
         }
     }
 
-    /** The agents on which tasks of a job run, one entry for each task. */
+    /** The agents that run tasks of a job, one entry per running task. */
     List<SimulatedAgent> agentsOf(String job) {
         return running.entrySet().stream()
                 .filter(entry -> jobOf(entry.getKey()).equals(job))
@@ -69,19 +69,22 @@
                 .toList();
     }
 
-    /** Whether a job may use a machine of this kind in this zone. */
+    /** Whether a job's spec allows an agent's zone and, for a spot machine, spot machines. */
     boolean isMachineAllowed(String job, SimulatedAgent agent) {
         JsonNode spec = spec(job);
         return (!agent.spot || spec.path("loaner").asBoolean())
                 && (!spec.hasNonNull("yard") || spec.path("yard").asText().equals(agent.zone));
     }
 
-    /** Whether one more task of a job in an agent's zone leaves the job spread over zones, where it has to be. */
+    /**
+     * Whether a job that must be spread over zones stays so with one more task in an agent's zone: at most half of its
+     * tasks, rounded up, may run there.
+     */
     boolean keepsZoneSpread(String job, SimulatedAgent agent) {
         return !spec(job).path("scatter").asBoolean() || tasksInZone(job, agent) + 1 <= (taskCount(job) + 1) / 2;
     }
 
-    /** Whether one more task of a job in an agent's zone leaves the job in one zone, where it has to be. */
+    /** Whether a job that must run in a single zone stays so with one more task in an agent's zone. */
     boolean keepsSingleZone(String job, SimulatedAgent agent) {
         return !spec(job).path("together").asBoolean()
                 || tasksInZone(job, agent) == agentsOf(job).size();
@@ -93,7 +96,7 @@
                 .count();
     }
 
-    /** Whether the running tasks of a job's team use more CPUs than its quota. */
+    /** Whether the running tasks of a job's team use more CPUs than the team's quota. */
     boolean isQuotaExceeded(String job) {
         String team = team(job);
         return cpuLimits.containsKey(team) && usedCpus(team) > cpuLimits.get(team) + CPU_TOLERANCE;
@@ -103,7 +106,7 @@
         return spec(job).path("crew").asText();
     }
 
-    /** The CPUs that the running tasks of a team use. */
+    /** The number of CPUs that the running tasks of a team use. */
     double usedCpus(String team) {
         return running.keySet().stream()
                 .map(task -> spec(jobOf(task)))
@@ -112,7 +115,7 @@
                 .sum();
     }
 
-    /** Whether one more task of a job could start on a machine now. */
+    /** Whether one more task of a job could start on an agent's machine now. */
     boolean canStartTask(String job, SimulatedAgent agent) {
         double cpus = spec(job).path("cpus").asDouble();
         String team = team(job);
--- a/src/test/java/io/quartzgw/simulation/ProtocolInvariants.java
+++ b/src/test/java/io/quartzgw/simulation/ProtocolInvariants.java
@@ -14,13 +14,17 @@
 import java.util.function.LongSupplier;
 
 /**
- * The invariants of the protocol. They are checked against what the machines run and what users are told, never against
- * the state of controllers; each violation is recorded with its time and the name of the invariant.
+ * Checks the invariants of the protocol. The checks use the tasks that machines run, the messages that controllers send
+ * and the responses that users receive, not the internal state of controllers, with one exception:
+ * {@link LeaderActionChecks} asks the sender of a start whether it has recorded the job's cancellation. Each violation
+ * is recorded with its time and the name of the invariant.
  */
 public final class ProtocolInvariants implements SimulatedAgent.Watcher {
-    /** After all faults, a request about any job succeeds within such a time. */
+    /** After the faults have ended, each accepted job must have a successful request within this time. */
     private static final long RESPONSE_LIMIT_MS = 75_000;
-    /** After all faults, no job waits for so long while a machine that fits has room. */
+    /**
+     * After the faults have ended, no job may wait longer than this while a suitable machine has enough free capacity.
+     */
     private static final long WAITING_LIMIT_MS = 90_000;
 
     private static final String COMPLETED = "done";
@@ -32,7 +36,7 @@
     private final PlacementRules placement;
     private final List<String> violations = new ArrayList<>();
     private final Map<String, Integer> startCounts = new HashMap<>();
-    private final Map<String, Set<Integer>> completed = new HashMap<>();
+    private final Map<String, Set<Integer>> completedTasks = new HashMap<>();
     private final Map<String, JobRecord> acceptedJobs = new HashMap<>();
     private final Set<String> cancellationRequested = new HashSet<>();
     private final Map<String, Long> waitingSince = new HashMap<>();
@@ -41,9 +45,9 @@
     private long faultsEndedAt = Long.MAX_VALUE;
 
     /**
-     * @param cancelLimitMs within what time after a user is told of a cancellation the job's tasks are gone
-     * @param cpuLimits by team, how many CPUs its tasks may use at once; teams without an entry have no limit
-     * @param clock the simulated time
+     * @param cancelLimitMs the time after an acknowledged cancellation within which the job's tasks must have ended
+     * @param cpuLimits CPU quotas by team; teams without an entry have no quota
+     * @param clock returns the simulated time in milliseconds
      */
     ProtocolInvariants(long cancelLimitMs, Map<String, Double> cpuLimits, LongSupplier clock) {
         this.cancelLimitMs = cancelLimitMs;
@@ -51,24 +55,24 @@
         this.clock = clock;
     }
 
-    // ---- what was observed
+    // ---- observations
 
-    /** The violations so far. */
+    /** The violations so far, in the order in which they were detected. */
     public List<String> violations() {
         return violations;
     }
 
-    /** How many times tasks have begun to run. */
+    /** The number of attempts that have begun to run, over all tasks. */
     public int startCount() {
         return startCounts.values().stream().mapToInt(Integer::intValue).sum();
     }
 
-    /** How many tasks began to run after a user was told that their job is cancelled. */
+    /** The number of attempts that began to run after their job's cancellation was acknowledged. */
     public int startsAfterCancellation() {
         return startsAfterCancellation;
     }
 
-    /** The open jobs of which a task runs, in the order of their ids. */
+    /** The jobs that have a running task and are not known to have ended, sorted by ID. */
     public List<String> runningJobs() {
         return placement.runningTasks().stream()
                 .map(PlacementRules::jobOf)
@@ -78,22 +82,22 @@
                 .toList();
     }
 
-    /** The tasks that run at present. */
+    /** The tasks that are running now. */
     public Set<String> runningTasks() {
         return placement.runningTasks();
     }
 
-    /** The machine on which a task runs at present; empty while it runs nowhere. */
+    /** The machine on which a task is running now; empty if it is not running. */
     public Optional<String> machineOf(String task) {
         return placement.agentOf(task).map(agent -> agent.id);
     }
 
-    /** The final phase of a job as users were told it; empty while it is open. */
+    /** The first terminal state of a job that a user received; empty while users have received none. */
     public Optional<String> finalPhase(String job) {
         return Optional.ofNullable(acceptedJobs.get(job)).flatMap(JobRecord::terminalState);
     }
 
-    /** Whether users were told that a job has ended in a phase. */
+    /** Whether the first terminal state that a user received for a job is {@code phase}. */
     public boolean hasEndedIn(String phase, String job) {
         return finalPhase(job).filter(phase::equals).isPresent();
     }
@@ -102,7 +106,7 @@
         return finalPhase(job).isPresent();
     }
 
-    /** The replicas of accepted services that run nowhere, though users were told of no cancellation. */
+    /** The replicas that are not running, of accepted services that users have not seen ended. */
     public List<String> missingReplicas() {
         List<String> missing = new ArrayList<>();
         for (String job : acceptedJobs.keySet()) {
@@ -118,7 +122,7 @@
         return missing;
     }
 
-    /** Sets what is called with each job whose last task has just completed. */
+    /** Sets the action that is called with the ID of a job when its last task has completed. */
     void onLastTaskEnded(Consumer<String> action) {
         this.onLastTaskEnded = action;
     }
@@ -132,28 +136,28 @@
     @Override
     public void startExecuted(SimulatedAgent agent, String task) {
         if (isCancellationOverdue(PlacementRules.jobOf(task), clock.getAsLong())) {
-            recordViolation("ran_cancelled", task + " is started on " + agent.id);
+            recordViolation("ran_cancelled", task + " was started by a late command on " + agent.id);
         }
     }
 
-    /** A controller sends a command to start a task though its term is not confirmed. */
+    /** Records that a controller sent a start while its lease was not confirmed. */
     void recordUnconfirmedStart(String controller, String task) {
-        recordViolation("unconfirmed_start", task + " is started by " + controller);
+        recordViolation("unconfirmed_start", task + " was sent a start by " + controller);
     }
 
-    /** A controller sends a request to delete machines though its term is not confirmed. */
+    /** Records that a controller sent a request to delete machines while its lease was not confirmed. */
     void recordUnconfirmedDeletion(String controller) {
-        recordViolation("unconfirmed_deletion", "machines are deleted by " + controller);
+        recordViolation("unconfirmed_deletion", "machine deletion requested by " + controller);
     }
 
-    /** A controller sends a command to start a task after one with a higher term has done so. */
+    /** Records that a controller sent a start after a controller with a higher term had sent one. */
     void recordSupersededStart(String controller, String task) {
-        recordViolation("superseded_start", task + " is started by " + controller);
+        recordViolation("superseded_start", task + " was sent a start by " + controller);
     }
 
-    /** A controller sends a command to start a task of a job that it knows as cancelled. */
+    /** Records that a controller sent a start for a job whose cancellation it had recorded. */
     void recordCancelledStart(String controller, String task) {
-        recordViolation("cancelled_start", task + " is started by " + controller);
+        recordViolation("cancelled_start", task + " was sent a start by " + controller);
     }
 
     @Override
@@ -165,18 +169,18 @@
                 .ifPresent(other -> recordViolation("ran_twice", task + " on " + agent.id + " and " + other.id));
         checkNotCancelled(task, job);
         if (!placement.isMachineAllowed(job, agent)) {
-            recordViolation("wrong_place", task + " on " + agent.id);
+            recordViolation("wrong_place", task + " may not run on " + agent.id);
         }
         if (!placement.keepsZoneSpread(job, agent)) {
-            recordViolation("wrong_place", task + " is one too many in " + agent.zone);
+            recordViolation("wrong_place", task + " exceeds the job's limit of tasks in zone " + agent.zone);
         }
         if (!placement.keepsSingleZone(job, agent)) {
-            recordViolation("wrong_place", task + " is not with the others in " + agent.zone);
+            recordViolation("wrong_place", task + " is not in the zone of the job's other tasks but in " + agent.zone);
         }
         placement.add(task, agent);
         if (placement.isQuotaExceeded(job)) {
             String team = placement.team(job);
-            recordViolation("quota", team + " uses " + placement.usedCpus(team));
+            recordViolation("quota", team + " exceeds its quota, CPUs in use: " + placement.usedCpus(team));
         }
     }
 
@@ -186,7 +190,7 @@
         }
         startsAfterCancellation++;
         if (isCancellationOverdue(job, clock.getAsLong())) {
-            recordViolation("ran_cancelled", task + " starts");
+            recordViolation("ran_cancelled", task + " begins to run");
         }
     }
 
@@ -207,43 +211,44 @@
     public void completed(String task) {
         String job = PlacementRules.jobOf(task);
         int index = Integer.parseInt(task.substring(task.indexOf('/') + 1));
-        boolean first = completed.computeIfAbsent(job, id -> new HashSet<>()).add(index);
-        if (first && completedCount(job) == placement.taskCount(job)) {
+        boolean isFirst =
+                completedTasks.computeIfAbsent(job, id -> new HashSet<>()).add(index);
+        if (isFirst && completedCount(job) == placement.taskCount(job)) {
             onLastTaskEnded.accept(job);
         }
     }
 
     private int completedCount(String job) {
-        return completed.getOrDefault(job, Set.of()).size();
+        return completedTasks.getOrDefault(job, Set.of()).size();
     }
 
     // ---- requests and responses
 
-    /** A user is about to submit a job, or to repeat its submission. */
+    /** Records that a user is about to submit a job, for the first time or again. */
     void recordSubmission(JsonNode spec) {
         placement.addJob(spec);
     }
 
-    /** A user is about to cancel a job. */
+    /** Records that a user is about to cancel a job. */
     void recordCancellationRequest(String job) {
         cancellationRequested.add(job);
     }
 
-    /** A submission got a response other than an acceptance: it must not reject a job that was accepted before. */
+    /** Checks the status of a response to a submission: it must not reject a job that was accepted before. */
     void recordRejection(String job, int status) {
         if (acceptedJobs.containsKey(job) && (status == 400 || status == 422)) {
-            recordViolation("forgotten", job + " is refused with " + status);
+            recordViolation("forgotten", job + " is rejected with status " + status);
         }
     }
 
-    /** A job that can't run, or is no job, got a response: it must be rejected. */
+    /** Checks the response to an invalid submission: it must reject it, and not with 404. */
     void recordResponseToInvalidJob(String spec, int status) {
         if (status / 100 == 2 || status == 404) {
-            recordViolation("accepted", spec + " is answered " + status);
+            recordViolation("accepted", spec + " receives status " + status);
         }
     }
 
-    /** A request about a job that nobody submitted got a response: it must be no success. */
+    /** Checks the response to a request for a job that nobody submitted: it must not be a success. */
     void recordResponseForUnknownJob(String job, int status) {
         if (status / 100 == 2) {
             recordViolation("invented", job);
@@ -251,14 +256,15 @@
     }
 
     /**
-     * A request about a job got a response.
+     * Checks and records the response to a request for a job.
      *
-     * @param sentAt when the request was sent: a response to an earlier request may tell an earlier state
+     * @param sentAt when the request was sent: responses may arrive out of order, so the response to an earlier request
+     *     may contain an earlier state
      */
     void recordResponse(String job, Reply reply, long sentAt, long now) {
-        JobRecord known = acceptedJobs.get(job);
-        if (reply.status() == 404 && known != null && sentAt > known.acceptedAt()) {
-            recordViolation("forgotten", job + " is answered 404");
+        JobRecord earlier = acceptedJobs.get(job);
+        if (reply.status() == 404 && earlier != null && sentAt > earlier.acceptedAt()) {
+            recordViolation("forgotten", job + " receives status 404");
         }
         if (!reply.ok() && reply.status() != CREATED) {
             return;
@@ -288,34 +294,40 @@
         jobRecord.recordTerminalState(CANCELLED, now);
         jobRecord.recordCancellation(now);
         if (!cancellationRequested.contains(job)) {
-            recordViolation("went_back", job + " is cancelled though nobody asked for it");
+            recordViolation("went_back", job + " is cancelled without a request from a user");
         }
     }
 
     // ---- deadlines
 
-    /** All faults are over: from now on requests about every accepted job have to succeed in time. */
+    /** Marks the end of all faults. From now on, requests for each accepted job must succeed within a time limit. */
     public void faultsOver(long now) {
         faultsEndedAt = now;
     }
 
-    /** Checks that no task runs too long after its job's cancellation, and that no job is without responses. */
+    /**
+     * Checks that tasks of cancelled jobs end in time and, after the faults, that requests for each job succeed in
+     * time.
+     */
     public void checkDeadlines(long now) {
         acceptedJobs.forEach((job, jobRecord) -> {
             if (now > faultsEndedAt
                     && !jobRecord.isCancellationAcknowledged()
                     && now - Math.max(faultsEndedAt, jobRecord.lastResponseAt()) > RESPONSE_LIMIT_MS) {
-                recordViolation("forgotten", job + " gets no answer");
+                recordViolation("forgotten", job + " has no successful request");
             }
         });
         for (String task : placement.runningTasks()) {
             if (isCancellationOverdue(PlacementRules.jobOf(task), now)) {
-                recordViolation("ran_cancelled", task + " is still there");
+                recordViolation("ran_cancelled", task + " is still running");
             }
         }
     }
 
-    /** Checks that no job waits too long while a machine that fits has room; for the time after all faults. */
+    /**
+     * Checks that no job waits too long while a suitable machine has enough free capacity. To be called only after the
+     * faults have ended.
+     */
     public void checkWaitingJobs(Collection<SimulatedAgent> agents, long now) {
         for (String job : acceptedJobs.keySet()) {
             boolean couldStart = !hasEnded(job)
@@ -325,7 +337,7 @@
             if (!couldStart) {
                 waitingSince.remove(job);
             } else if (now - waitingSince.computeIfAbsent(job, id -> now) > WAITING_LIMIT_MS) {
-                recordViolation("waiting", job + " waits though there is room");
+                recordViolation("waiting", job + " waits although a suitable machine has free capacity");
                 waitingSince.put(job, now);
             }
         }
--- a/src/test/java/io/quartzgw/simulation/SentMessagesDigest.java
+++ b/src/test/java/io/quartzgw/simulation/SentMessagesDigest.java
@@ -9,8 +9,8 @@
 import java.util.HexFormat;
 
 /**
- * A digest of everything that the controllers of a simulation send: requests to each other, to agents, to the state
- * service and to the cloud, and responses, each with its time. Equal digests mean equal decisions.
+ * A digest of all messages that the controllers of a simulation send, each with its time: requests to each other, to
+ * agents, to the state service and to the cloud, and responses. Runs with equal digests made the same decisions.
  */
 final class SentMessagesDigest {
     private static final int SUMMARY_HEX_CHARACTERS = 16;
@@ -22,11 +22,11 @@
         try {
             return MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java platform has SHA-256", e);
+            throw new IllegalStateException("the Java platform lacks SHA-256", e);
         }
     }
 
-    /** Adds what a controller sends at a time. */
+    /** Adds a message that a controller sends. */
     void add(long now, String from, Effect effect) {
         if (effect instanceof Effect.Answer answer) {
             Response response = answer.response();
@@ -45,13 +45,13 @@
         }
     }
 
-    /** How many messages there were, and the beginning of their digest. */
+    /** The number of messages and the first characters of their digest in hexadecimal. */
     String summary() {
         try {
-            MessageDigest soFar = (MessageDigest) digest.clone();
-            return messages + " " + HexFormat.of().formatHex(soFar.digest()).substring(0, SUMMARY_HEX_CHARACTERS);
+            MessageDigest copy = (MessageDigest) digest.clone();
+            return messages + " " + HexFormat.of().formatHex(copy.digest()).substring(0, SUMMARY_HEX_CHARACTERS);
         } catch (CloneNotSupportedException e) {
-            throw new IllegalStateException("SHA-256 digests can be cloned", e);
+            throw new IllegalStateException("the SHA-256 digest does not support cloning", e);
         }
     }
 }
--- a/src/test/java/io/quartzgw/simulation/SimulatedController.java
+++ b/src/test/java/io/quartzgw/simulation/SimulatedController.java
@@ -20,8 +20,8 @@
 import java.util.function.Predicate;
 
 /**
- * One controller of the cluster, through any number of its processes: the program's event loop with simulated time,
- * listeners and connections. Events that were scheduled for a process are void once it has crashed.
+ * One controller of the cluster: the program's event loop with simulated time, listeners and connections. It may crash
+ * and be restarted any number of times. Events that were scheduled for a process are discarded once it has crashed.
  */
 final class SimulatedController {
     private static final int RETRY_AFTER_S = 1;
@@ -33,22 +33,22 @@
     private final LeaderActionChecks leaderActionChecks;
     private final Map<Long, Consumer<Response>> unansweredRequests = new HashMap<>();
     private final List<Command> receivedWhilePaused = new ArrayList<>();
-    /** What the batch in which the process was paused has left to be sent. */
+    /** The effects of the batch in which the process was paused; they are executed when it resumes. */
     private final List<Effect> unsentEffects = new ArrayList<>();
-    /** When calls time out, by their number, while they have not ended. */
+    /** The deadlines of calls that have not ended, by call number. */
     private final Map<Long, Long> callDeadlines = new HashMap<>();
 
     private final List<Command> pendingBatch = new ArrayList<>();
     private Optional<Controller> controller = Optional.empty();
     private ConfirmedLease lease = new ConfirmedLease();
     private EventLoop eventLoop;
-    /** Counts starts and crashes, to tell the processes of this controller apart. */
+    /** Incremented at each start and crash, to distinguish the processes of this controller. */
     private long incarnation;
 
     private long wakeUpAt = Long.MAX_VALUE;
     private long requestCount;
     private boolean paused;
-    /** Which batch the process is to be paused in, before anything of it is sent. */
+    /** Selects the batch in which the process pauses, after processing it and before sending its messages. */
     private Predicate<List<Effect>> pauseCondition = SimulatedController::neverPause;
 
     private long maxBatchDelayMs;
@@ -57,13 +57,13 @@
             String name,
             SimulationContext context,
             SimulatedNetwork network,
-            SentMessagesDigest digests,
-            LeaderActionChecks leaderActions) {
+            SentMessagesDigest messagesDigest,
+            LeaderActionChecks leaderActionChecks) {
         this.name = name;
         this.context = context;
         this.network = network;
-        this.messagesDigest = digests;
-        this.leaderActionChecks = leaderActions;
+        this.messagesDigest = messagesDigest;
+        this.leaderActionChecks = leaderActionChecks;
     }
 
     /** Starts a new process. */
@@ -86,13 +86,13 @@
         process(List.of());
     }
 
-    /** Ends the process without notice. */
+    /** Ends the process abruptly, without shutdown. */
     void crash() {
         incarnation++;
         controller = Optional.empty();
     }
 
-    /** Pauses the process while its clocks run on; it processes what it received meanwhile when it resumes. */
+    /** Pauses the process while its clocks continue to run. It processes what it received meanwhile when it resumes. */
     void pause(long durationMs) {
         if (!isUp() || paused) {
             return;
@@ -101,12 +101,12 @@
         scheduleForThisProcess(durationMs, this::resume);
     }
 
-    /** As {@link #pause}, but in the middle of the next batch: what that batch sends leaves after the pause. */
+    /** As {@link #pause}, but in the middle of the next batch: its messages are sent after the pause. */
     void pauseWithinBatch(long durationMs) {
         pauseWithinBatch(durationMs, effects -> true);
     }
 
-    /** As {@link #pauseWithinBatch}, but in the next batch that sends a call to a path. */
+    /** As {@link #pauseWithinBatch}, but in the next batch that sends a call to {@code path}. */
     void pauseBeforeCall(String path, long durationMs) {
         pauseWithinBatch(durationMs, effects -> effects.stream()
                 .anyMatch(effect -> effect instanceof Effect.Send send
@@ -117,18 +117,18 @@
         return false;
     }
 
-    private void pauseWithinBatch(long durationMs, Predicate<List<Effect>> batch) {
+    private void pauseWithinBatch(long durationMs, Predicate<List<Effect>> condition) {
         if (!isUp() || paused) {
             return;
         }
-        pauseCondition = batch;
+        pauseCondition = condition;
         scheduleForThisProcess(durationMs, () -> {
             pauseCondition = SimulatedController::neverPause;
             resume();
         });
     }
 
-    /** A process that resumes looks at its timers and at calls that have ended before it reads new requests. */
+    /** Resumes the process: it processes due timers and ended calls before it reads new requests. */
     private void resume() {
         paused = false;
         List<Effect> unsent = List.copyOf(unsentEffects);
@@ -146,14 +146,14 @@
         process(requests);
     }
 
-    /** A call that has timed out while the process was paused has got no response. */
+    /** Replaces the reply of a call that timed out while the process was paused by a lost one. */
     private Command withTimeoutApplied(Command.CallEnded ended) {
         boolean timedOut = callDeadlines.getOrDefault(ended.call(), Long.MAX_VALUE)
                 <= context.events().now();
         return timedOut ? new Command.CallEnded(ended.call(), Reply.lost()) : ended;
     }
 
-    /** Sets the longest time for which commands are collected into one batch; 0 processes each at once. */
+    /** Sets the bound of the time for which commands are collected into a batch; with 0 each is processed at once. */
     void setMaxBatchDelay(long delayMs) {
         maxBatchDelayMs = delayMs;
     }
@@ -166,12 +166,12 @@
         return controller.filter(Controller::isLeading).isPresent();
     }
 
-    /** The term that the running process has seen. */
+    /** The term that the running process has recorded. */
     long term() {
         return controller.orElseThrow().term();
     }
 
-    /** How many commands have failed inside the running process. */
+    /** The number of event loop commands that failed in the running process. */
     long failedCommands() {
         return eventLoop.failures();
     }
@@ -181,7 +181,7 @@
         return eventLoop.counters();
     }
 
-    /** Delivers a request to a listener of the controller; without effect when it is down. */
+    /** Delivers a request to a listener of the controller; has no effect when the controller is down. */
     void deliver(ListenerKind listener, Call call, Consumer<Reply> onReply) {
         if (!isUp()) {
             return;
@@ -214,7 +214,7 @@
         }
         batch.forEach(this::removeCallDeadline);
         EventQueue events = context.events();
-        // Log lines show the thread's name: here the simulated time and the controller.
+        // Log lines contain the thread name, so it is set to the simulated time and the controller's name.
         Thread.currentThread().setName(events.now() + " " + name);
         List<Effect> effects = eventLoop.processBatch(batch, events.clockReading());
         if (pauseCondition.test(effects)) {
@@ -261,12 +261,12 @@
     }
 
     private void send(Effect.Send send) {
-        long sender = incarnation;
+        long senderIncarnation = incarnation;
         long sentAt = context.events().now();
         lease.recordRequest(send.request());
         callDeadlines.put(send.call(), sentAt + send.request().timeoutMs());
         network.send(name, send.request(), reply -> {
-            if (incarnation == sender && isUp()) {
+            if (incarnation == senderIncarnation && isUp()) {
                 lease.recordReply(send.request(), sentAt, reply);
                 receive(new Command.CallEnded(send.call(), reply));
             }
@@ -275,10 +275,10 @@
 
     private void scheduleWakeUp() {
         long now = context.events().now();
-        long due = Math.max(now + 1, eventLoop.nextTimerAt());
-        if (due < wakeUpAt) {
-            wakeUpAt = due;
-            scheduleForThisProcess(due - now, () -> {
+        long dueAt = Math.max(now + 1, eventLoop.nextTimerAt());
+        if (dueAt < wakeUpAt) {
+            wakeUpAt = dueAt;
+            scheduleForThisProcess(dueAt - now, () -> {
                 wakeUpAt = Long.MAX_VALUE;
                 process(List.of());
             });
@@ -286,9 +286,9 @@
     }
 
     private void scheduleForThisProcess(long delayMs, Runnable action) {
-        long scheduledFor = incarnation;
+        long scheduledIncarnation = incarnation;
         context.events().scheduleAfter(delayMs, () -> {
-            if (incarnation == scheduledFor && isUp()) {
+            if (incarnation == scheduledIncarnation && isUp()) {
                 action.run();
             }
         });
--- a/src/test/java/io/quartzgw/simulation/SimulatedControllers.java
+++ b/src/test/java/io/quartzgw/simulation/SimulatedControllers.java
@@ -22,13 +22,13 @@
             SimulationContext context,
             SimulationSettings settings,
             SimulatedNetwork network,
-            LeaderActionChecks leaderActions,
+            LeaderActionChecks leaderActionChecks,
             int count) {
         this.context = context;
         this.settings = settings;
         for (int i = 0; i < count; i++) {
             controllers.add(
-                    new SimulatedController(Hosts.controller(i), context, network, messagesDigest, leaderActions));
+                    new SimulatedController(Hosts.controller(i), context, network, messagesDigest, leaderActionChecks));
         }
     }
 
@@ -36,7 +36,7 @@
         return controllers.size();
     }
 
-    /** A controller drawn at random. */
+    /** The index of a controller, drawn at random. */
     int anyIndex() {
         return context.random().nextInt(controllers.size());
     }
@@ -67,7 +67,7 @@
         controllers.get(index).pauseWithinBatch(durationMs);
     }
 
-    /** As {@link #pauseWithinBatch}, but in the next batch that sends a call to a path. */
+    /** As {@link #pauseWithinBatch}, but in the next batch that sends a call to {@code path}. */
     void pauseBeforeCall(int index, String path, long durationMs) {
         controllers.get(index).pauseBeforeCall(path, durationMs);
     }
@@ -80,7 +80,7 @@
         return controllers.get(index).isUp();
     }
 
-    /** The index of the controller that leads with the highest term, or {@link ClusterSimulation#NO_LEADER}. */
+    /** The index of the leading controller with the highest term, or {@link ClusterSimulation#NO_LEADER}. */
     int leader() {
         int leader = ClusterSimulation.NO_LEADER;
         for (int i = 0; i < controllers.size(); i++) {
--- a/src/test/java/io/quartzgw/simulation/SimulationContext.java
+++ b/src/test/java/io/quartzgw/simulation/SimulationContext.java
@@ -4,10 +4,10 @@
 import java.util.SplittableRandom;
 
 /**
- * What all parts of a simulation share.
+ * The objects that all components of a simulation share.
  *
  * @param events simulated time
- * @param random the one source of randomness; the order of draws from it is a part of what a seed stands for
- * @param timing the heartbeat period, lease and cancellation limit of the agents
+ * @param random the only source of random values; the run of a seed also depends on the order of draws from it
+ * @param timing the agents' heartbeat interval, lease duration and cancellation limit
  */
 record SimulationContext(EventQueue events, SplittableRandom random, AgentTiming timing) {}
--- a/src/test/java/io/quartzgw/simulation/SimulationSettings.java
+++ b/src/test/java/io/quartzgw/simulation/SimulationSettings.java
@@ -12,7 +12,7 @@
 
 /** The settings of the controllers of a simulated cluster. */
 record SimulationSettings(AgentTiming timing, StoreLimits storeLimits) {
-    /** By team, the CPUs that its tasks may use; teams that are not named have no limit. */
+    /** CPU quotas by team; teams without an entry have no quota. */
     static final Map<String, Double> CPU_LIMITS = Map.of("red", 40.0, "green", 24.0);
 
     private static final int CLIENT_PORT = 8080;
@@ -22,7 +22,7 @@
         return new TeamQuota(name, guaranteedCpus, CPU_LIMITS.getOrDefault(name, 0.0), 0, 0);
     }
 
-    /** The settings of one controller of a cluster of a size. */
+    /** The settings of one controller in a cluster of {@code size} controllers. */
     Settings forController(int index, int size) {
         Map<String, Endpoint> peers = new LinkedHashMap<>();
         for (int i = 0; i < size; i++) {
