--- a/src/test/java/io/quartzgw/simulation/ConfirmedLease.java
+++ b/src/test/java/io/quartzgw/simulation/ConfirmedLease.java
@@ -5,34 +5,34 @@
 import io.quartzgw.http.Reply;
 
 /**
- * Until when a process can be sure to hold a lease of the state service, as its requests and their responses show it: a
- * plain model, with which the controllers' own account is compared.
+ * The time up to which a process is known to hold a lease of the state service, derived from its requests and their
+ * replies alone. This simple model is independent of the controllers' own computation, and checks it.
  */
 final class ConfirmedLease {
     private static final String LEASES_PATH = "/holds";
     private static final String RENEWAL_SUFFIX = "/extend";
 
     private long durationMs;
-    private long heldUntil = Long.MIN_VALUE;
+    private long confirmedUntil = Long.MIN_VALUE;
 
-    /** Whether the last lease that was granted or renewed has surely not expired. */
+    /** Whether the lease that was last granted or renewed is known to be valid at a time. */
     boolean isHeldAt(long now) {
-        return now < heldUntil;
+        return now < confirmedUntil;
     }
 
-    /** The process sends a request. */
-    void sent(Call call) {
+    /** Records a request that the process sends. */
+    void recordRequest(Call call) {
         if (isGrant(call)) {
             durationMs = Json.readOrNull(call.body()).path("life_ms").asLong();
         } else if (isRevocation(call)) {
-            heldUntil = Long.MIN_VALUE;
+            confirmedUntil = Long.MIN_VALUE;
         }
     }
 
-    /** The process has received the reply to a request that was sent at a time. */
-    void received(Call call, long sentAt, Reply reply) {
+    /** Records the reply to a request. A lease is valid at least for its duration after the request was sent. */
+    void recordReply(Call call, long sentAt, Reply reply) {
         if (reply.ok() && (isGrant(call) || isRenewal(call))) {
-            heldUntil = Math.max(heldUntil, sentAt + durationMs);
+            confirmedUntil = Math.max(confirmedUntil, sentAt + durationMs);
         }
     }
 
--- a/src/test/java/io/quartzgw/simulation/JobRecord.java
+++ b/src/test/java/io/quartzgw/simulation/JobRecord.java
@@ -2,66 +2,68 @@
 
 import java.util.Optional;
 
-/** What users were told of a job that was accepted. */
+/** What users have learned about an accepted job from the responses they received. */
 final class JobRecord {
     private static final long NEVER = Long.MAX_VALUE;
 
     private final long acceptedAt;
     private long lastResponseAt;
-    private Optional<String> finalPhase = Optional.empty();
-    private long finalSince = NEVER;
-    private long cancelledAt = NEVER;
+    private Optional<String> terminalState = Optional.empty();
+    private long terminalSince = NEVER;
+    private long cancellationAcknowledgedAt = NEVER;
 
-    /** Makes the record of a job of which users are told for the first time. */
+    /** Creates the record on the first successful response for a job. */
     JobRecord(long acceptedAt) {
         this.acceptedAt = acceptedAt;
         this.lastResponseAt = acceptedAt;
     }
 
-    /** When users were first told that the job is accepted. */
+    /** When a user first received a successful response for the job. */
     long acceptedAt() {
         return acceptedAt;
     }
 
-    /** When a user was last told anything of the job. */
+    /** When a user last received a successful response for the job. */
     long lastResponseAt() {
         return lastResponseAt;
     }
 
-    void responded(long now) {
+    void recordResponse(long now) {
         lastResponseAt = now;
     }
 
-    /** The final phase of which users were told first; empty while the job is open. */
-    Optional<String> finalPhase() {
-        return finalPhase;
+    /** The first terminal state that a user received; empty while users have received none. */
+    Optional<String> terminalState() {
+        return terminalState;
     }
 
-    /** A user is told of a final phase; only the first one counts. */
-    void end(String phase, long now) {
-        if (finalPhase.isEmpty()) {
-            finalPhase = Optional.of(phase);
-            finalSince = now;
+    /** Records a terminal state that a user received; only the first one is kept. */
+    void recordTerminalState(String phase, long now) {
+        if (terminalState.isEmpty()) {
+            terminalState = Optional.of(phase);
+            terminalSince = now;
         }
     }
 
-    /** Whether a request of a time was sent after users were told of a final phase other than this one. */
+    /**
+     * Whether a response's phase contradicts the terminal state that a user had received before its request was sent.
+     */
     boolean contradicts(String phase, long sentAt) {
-        return finalPhase.isPresent() && !finalPhase.get().equals(phase) && sentAt > finalSince;
+        return terminalState.isPresent() && !terminalState.get().equals(phase) && sentAt > terminalSince;
     }
 
-    /** A user is told that the job is cancelled. */
-    void cancelled(long now) {
-        cancelledAt = Math.min(cancelledAt, now);
+    /** Records that a user received the cancelled state; the earliest time is kept. */
+    void recordCancellation(long now) {
+        cancellationAcknowledgedAt = Math.min(cancellationAcknowledgedAt, now);
     }
 
-    /** Whether a user was told that the job is cancelled. */
-    boolean isCancelled() {
-        return cancelledAt != NEVER;
+    /** Whether the cancellation is acknowledged: a user has received the cancelled state. */
+    boolean isCancellationAcknowledged() {
+        return cancellationAcknowledgedAt != NEVER;
     }
 
-    /** Whether a user was told longer ago than a limit that the job is cancelled. */
-    boolean isCancelledLongerThan(long limitMs, long now) {
-        return isCancelled() && now - cancelledAt > limitMs;
+    /** Whether the cancellation was acknowledged more than {@code limitMs} ago. */
+    boolean isCancellationOlderThan(long limitMs, long now) {
+        return isCancellationAcknowledged() && now - cancellationAcknowledgedAt > limitMs;
     }
 }
--- a/src/test/java/io/quartzgw/simulation/LoopbackCluster.java
+++ b/src/test/java/io/quartzgw/simulation/LoopbackCluster.java
@@ -32,26 +32,26 @@
 import java.util.function.Consumer;
 
 /**
- * The simulated state service, cloud and agents over HTTP on the loopback interface and in real time, for whole
- * processes of the program.
+ * Serves the simulated state service, cloud and agents over HTTP on the loopback interface in real time, for tests that
+ * run whole processes of the program.
  */
 public final class LoopbackCluster implements AutoCloseable {
     private static final int FIRST_PORT = 10_000;
-    /** The usual range of ports for outbound connections begins here. */
-    private static final int END_OF_PORTS = 32_768;
+    /** The first port that the system usually assigns to outbound connections. */
+    private static final int FIRST_EPHEMERAL_PORT = 32_768;
 
-    private static final long HEARTBEAT_MS = 1_000;
+    private static final long HEARTBEAT_INTERVAL_MS = 1_000;
     private static final long LEASE_MS = 8_000;
 
     private final SimulatedStore store = new SimulatedStore();
     private final SimulatedCloud cloud = new SimulatedCloud(200, 300, 4, this::addressOf);
-    private final ExecutorService threads = Executors.newCachedThreadPool();
-    private final ScheduledExecutorService clock = Executors.newSingleThreadScheduledExecutor();
-    private final ScheduledFuture<?> ticks;
+    private final ExecutorService executor = Executors.newCachedThreadPool();
+    private final ScheduledExecutorService scheduler = Executors.newSingleThreadScheduledExecutor();
+    private final ScheduledFuture<?> periodicTick;
     private final HttpClient http = HttpClient.newBuilder()
             .version(HttpClient.Version.HTTP_1_1)
             .connectTimeout(Duration.ofSeconds(2))
-            .executor(threads)
+            .executor(executor)
             .build();
     private final Map<String, JsonNode> jobs = new ConcurrentHashMap<>();
     private final Map<String, HttpServer> agentServers = new HashMap<>();
@@ -65,24 +65,24 @@
         void handle(Call call, long now, Consumer<Reply> onReply);
     }
 
-    /** Starts the simulated services, and reserves the ports of a number of controllers. */
+    /** Starts the simulated services, and chooses the ports for a number of controllers. */
     public LoopbackCluster(int controllers) throws IOException {
         storeServer = serve((call, now, onReply) -> store.handle(call, now, onReply));
         cloudServer = serve((call, now, onReply) -> cloud.handle(call, now, onReply));
-        int[] ports = freePorts(2 * controllers);
+        int[] ports = chooseFreePorts(2 * controllers);
         clientPorts = Arrays.copyOf(ports, controllers);
         peerPorts = Arrays.copyOfRange(ports, controllers, 2 * controllers);
         cloud.onMachineChange(this::boot, agents::remove);
-        ticks = clock.scheduleAtFixedRate(this::tick, 20, 20, TimeUnit.MILLISECONDS);
+        periodicTick = scheduler.scheduleAtFixedRate(this::tick, 20, 20, TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Finds different ports that nobody listens on, below those that the system gives to outbound connections: one of
-     * these could take a port between its choice and the start of the controller that is to listen there.
+     * Chooses distinct ports that are not in use, below the ephemeral range. An outbound connection could take a port
+     * of that range before the controller listens on it.
      */
-    private static int[] freePorts(int count) {
+    private static int[] chooseFreePorts(int count) {
         return ThreadLocalRandom.current()
-                .ints(FIRST_PORT, END_OF_PORTS)
+                .ints(FIRST_PORT, FIRST_EPHEMERAL_PORT)
                 .distinct()
                 .filter(LoopbackCluster::isFree)
                 .limit(count)
@@ -103,13 +103,13 @@
 
     private HttpServer serve(Handler handler) throws IOException {
         HttpServer server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
-        server.setExecutor(threads);
-        server.createContext("/", exchange -> answer(exchange, handler));
+        server.setExecutor(executor);
+        server.createContext("/", exchange -> handleExchange(exchange, handler));
         server.start();
         return server;
     }
 
-    private void answer(HttpExchange exchange, Handler handler) throws IOException {
+    private void handleExchange(HttpExchange exchange, Handler handler) throws IOException {
         byte[] body = exchange.getRequestBody().readAllBytes();
         Call call = new Call(
                 new Endpoint("127.0.0.1", 1),
@@ -122,9 +122,9 @@
         synchronized (this) {
             handler.handle(call, now(), reply::complete);
         }
-        Reply done = reply.join();
-        exchange.sendResponseHeaders(done.status(), done.body().length == 0 ? -1 : done.body().length);
-        exchange.getResponseBody().write(done.body());
+        Reply response = reply.join();
+        exchange.sendResponseHeaders(response.status(), response.body().length == 0 ? -1 : response.body().length);
+        exchange.getResponseBody().write(response.body());
         exchange.close();
     }
 
@@ -160,7 +160,7 @@
         SimulatedAgent agent = new SimulatedAgent(
                 id, addressOf(id), type, zone, spot, LEASE_MS, now(), this::describe, new SimulatedAgent.Watcher() {});
         agents.put(id, agent);
-        threads.execute(() -> sendHeartbeats(agent));
+        executor.execute(() -> sendHeartbeats(agent));
     }
 
     private SimulatedAgent.Description describe(String job) {
@@ -177,7 +177,7 @@
     }
 
     private void sendHeartbeats(SimulatedAgent agent) {
-        int home = 0;
+        int targetController = 0;
         while (agents.get(agent.id) == agent) {
             long sentAt = now();
             JsonNode heartbeat;
@@ -186,21 +186,21 @@
                 heartbeat = agent.heartbeat(now());
                 epoch = agent.epoch();
             }
-            Reply reply = request(home, "POST", "/hello", heartbeat);
+            Reply reply = request(targetController, "POST", "/hello", heartbeat);
             if (reply.status() == 421 && reply.json().has("home_controller")) {
-                home = Integer.parseInt(
+                targetController = Integer.parseInt(
                         reply.json().path("home_controller").asText().substring(4));
             } else if (!reply.ok()) {
-                home = (home + 1) % clientPorts.length;
+                targetController = (targetController + 1) % clientPorts.length;
             }
             synchronized (this) {
                 agent.receiveHeartbeatResponse(reply, epoch, sentAt, now());
             }
-            pause(HEARTBEAT_MS);
+            pause(HEARTBEAT_INTERVAL_MS);
         }
     }
 
-    /** Waits for a duration of real time. */
+    /** Sleeps for a duration of real time. */
     public static void pause(long ms) {
         try {
             Thread.sleep(ms);
@@ -212,7 +212,7 @@
     // ---- users
 
     /**
-     * Sends a request without a body to a controller's client listener; its reply is lost when there is none in time.
+     * Sends a request without a body to a controller's client listener; returns a lost reply if none arrives in time.
      */
     public Reply request(int controller, String method, String path) {
         return raw(controller, method, path, HttpRequest.BodyPublishers.noBody());
@@ -223,9 +223,9 @@
         return raw(controller, method, path, HttpRequest.BodyPublishers.ofByteArray(Json.write(body)));
     }
 
-    /** Sends a request with any body to a controller's client listener. */
+    /** Sends a request with an arbitrary body to a controller's client listener. */
     public Reply raw(int controller, String method, String path, HttpRequest.BodyPublisher body) {
-        return exchange(clientPorts[controller], method, path, body);
+        return send(clientPorts[controller], method, path, body);
     }
 
     /** The port of a controller's client listener. */
@@ -238,12 +238,12 @@
         store.setOutage(on);
     }
 
-    /** Reads from a controller's peer listener, which serves operators too. */
+    /** Sends a GET request to a controller's peer listener, which also serves operators. */
     public Reply peer(int controller, String path) {
-        return exchange(peerPorts[controller], "GET", path, HttpRequest.BodyPublishers.noBody());
+        return send(peerPorts[controller], "GET", path, HttpRequest.BodyPublishers.noBody());
     }
 
-    private Reply exchange(int port, String method, String path, HttpRequest.BodyPublisher body) {
+    private Reply send(int port, String method, String path, HttpRequest.BodyPublisher body) {
         HttpRequest request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + path))
                 .timeout(Duration.ofSeconds(4))
                 .method(method, body)
@@ -259,7 +259,7 @@
         }
     }
 
-    /** Submits a job; agents can run its tasks from then on. */
+    /** Submits a job, and registers its spec with the simulated agents so that they can run its tasks. */
     public Reply submit(int controller, JsonNode spec) {
         jobs.put(spec.path("id").asText(), spec);
         return request(controller, "POST", "/submissions", spec);
@@ -267,8 +267,8 @@
 
     // ---- settings
 
-    /** Writes the settings file of a controller. */
-    public Path settings(int controller, Path folder) throws IOException {
+    /** Writes the settings file of a controller and returns its path. */
+    public Path settings(int controller, Path directory) throws IOException {
         StringBuilder toml = new StringBuilder();
         toml.append("member = \"rig-")
                 .append(controller)
@@ -300,7 +300,7 @@
                 .append("[facts.workers]\nreport_s = 0.4\nlease_s = 8.0\ncancel_s = 20.0\n")
                 .append("[facts.state]\nrps = 600.0\nwrite_rps = 300.0\nvalue_kb = 8.0\ntxn_ops = 16\n")
                 .append("[facts.cloud]\nrps = 20.0\nlist_lag_s = 0.5\n[facts.limits]\nsockets = 200\n");
-        Path file = folder.resolve("rig-" + controller + ".toml");
+        Path file = directory.resolve("rig-" + controller + ".toml");
         Files.writeString(file, toml);
         return file;
     }
@@ -308,13 +308,13 @@
     @Override
     public void close() {
         agents.clear();
-        ticks.cancel(false);
-        clock.shutdownNow();
+        periodicTick.cancel(false);
+        scheduler.shutdownNow();
         storeServer.stop(0);
         cloudServer.stop(0);
         synchronized (this) {
             agentServers.values().forEach(server -> server.stop(0));
         }
-        threads.shutdownNow();
+        executor.shutdownNow();
     }
 }
--- a/src/test/java/io/quartzgw/simulation/SimulatedController.java
+++ b/src/test/java/io/quartzgw/simulation/SimulatedController.java
@@ -20,8 +20,8 @@
 import java.util.function.Predicate;
 
 /**
- * One controller of the cluster, through any number of its processes: the program's event loop with simulated time,
- * listeners and connections. Events that were scheduled for a process are void once it has crashed.
+ * One controller of the cluster: the program's event loop with simulated time, listeners and connections. It may crash
+ * and be restarted any number of times. Events that were scheduled for a process are discarded once it has crashed.
  */
 final class SimulatedController {
     private static final int RETRY_AFTER_S = 1;
@@ -29,27 +29,27 @@
     private final String name;
     private final SimulationContext context;
     private final SimulatedNetwork network;
-    private final MessageDigests digests;
-    private final LeaderActions leaderActions;
-    private final Map<Long, Consumer<Response>> openRequests = new HashMap<>();
+    private final SentMessagesDigest messagesDigest;
+    private final LeaderActionChecks leaderActionChecks;
+    private final Map<Long, Consumer<Response>> unansweredRequests = new HashMap<>();
     private final List<Command> receivedWhilePaused = new ArrayList<>();
-    /** What the batch in which the process was paused has left to be sent. */
-    private final List<Effect> unsentWhilePaused = new ArrayList<>();
-    /** When calls time out, by their number, while they have not ended. */
-    private final Map<Long, Long> callTimeouts = new HashMap<>();
+    /** The effects of the batch in which the process was paused; they are executed when it resumes. */
+    private final List<Effect> unsentEffects = new ArrayList<>();
+    /** The deadlines of calls that have not ended, by call number. */
+    private final Map<Long, Long> callDeadlines = new HashMap<>();
 
-    private final List<Command> nextBatch = new ArrayList<>();
+    private final List<Command> pendingBatch = new ArrayList<>();
     private Optional<Controller> controller = Optional.empty();
     private ConfirmedLease lease = new ConfirmedLease();
     private EventLoop eventLoop;
-    /** Counts starts and crashes, to tell the processes of this controller apart. */
+    /** Incremented at each start and crash, to distinguish the processes of this controller. */
     private long incarnation;
 
     private long wakeUpAt = Long.MAX_VALUE;
     private long requestCount;
     private boolean paused;
-    /** Which batch the process is to be paused in, before anything of it is sent. */
-    private Predicate<List<Effect>> pausingWithinBatch = SimulatedController::noBatch;
+    /** Selects the batch in which the process pauses, after processing it and before sending its messages. */
+    private Predicate<List<Effect>> pauseCondition = SimulatedController::neverPause;
 
     private long maxBatchDelayMs;
 
@@ -57,26 +57,26 @@
             String name,
             SimulationContext context,
             SimulatedNetwork network,
-            MessageDigests digests,
-            LeaderActions leaderActions) {
+            SentMessagesDigest messagesDigest,
+            LeaderActionChecks leaderActionChecks) {
         this.name = name;
         this.context = context;
         this.network = network;
-        this.digests = digests;
-        this.leaderActions = leaderActions;
+        this.messagesDigest = messagesDigest;
+        this.leaderActionChecks = leaderActionChecks;
     }
 
     /** Starts a new process. */
     void start(Settings settings, long processId) {
         incarnation++;
         wakeUpAt = Long.MAX_VALUE;
-        openRequests.clear();
+        unansweredRequests.clear();
         paused = false;
-        pausingWithinBatch = SimulatedController::noBatch;
+        pauseCondition = SimulatedController::neverPause;
         receivedWhilePaused.clear();
-        unsentWhilePaused.clear();
-        callTimeouts.clear();
-        nextBatch.clear();
+        unsentEffects.clear();
+        callDeadlines.clear();
+        pendingBatch.clear();
         lease = new ConfirmedLease();
         eventLoop = new EventLoop(context.random().nextLong());
         eventLoop.processBatch(List.of(), context.events().clockReading());
@@ -86,13 +86,13 @@
         process(List.of());
     }
 
-    /** Ends the process without notice. */
+    /** Ends the process abruptly, without shutdown. */
     void crash() {
         incarnation++;
         controller = Optional.empty();
     }
 
-    /** Pauses the process while its clocks run on; it processes what it received meanwhile when it resumes. */
+    /** Pauses the process while its clocks continue to run. It processes what it received meanwhile when it resumes. */
     void pause(long durationMs) {
         if (!isUp() || paused) {
             return;
@@ -101,42 +101,42 @@
         scheduleForThisProcess(durationMs, this::resume);
     }
 
-    /** As {@link #pause}, but in the middle of the next batch: what that batch sends leaves after the pause. */
+    /** As {@link #pause}, but in the middle of the next batch: its messages are sent after the pause. */
     void pauseWithinBatch(long durationMs) {
         pauseWithinBatch(durationMs, effects -> true);
     }
 
-    /** As {@link #pauseWithinBatch}, but in the next batch that sends a call to a path. */
+    /** As {@link #pauseWithinBatch}, but in the next batch that sends a call to {@code path}. */
     void pauseBeforeCall(String path, long durationMs) {
         pauseWithinBatch(durationMs, effects -> effects.stream()
                 .anyMatch(effect -> effect instanceof Effect.Send send
                         && send.request().path().equals(path)));
     }
 
-    private static boolean noBatch(List<Effect> effects) {
+    private static boolean neverPause(List<Effect> effects) {
         return false;
     }
 
-    private void pauseWithinBatch(long durationMs, Predicate<List<Effect>> batch) {
+    private void pauseWithinBatch(long durationMs, Predicate<List<Effect>> condition) {
         if (!isUp() || paused) {
             return;
         }
-        pausingWithinBatch = batch;
+        pauseCondition = condition;
         scheduleForThisProcess(durationMs, () -> {
-            pausingWithinBatch = SimulatedController::noBatch;
+            pauseCondition = SimulatedController::neverPause;
             resume();
         });
     }
 
-    /** A process that resumes looks at its timers and at calls that have ended before it reads new requests. */
+    /** Resumes the process: it processes due timers and ended calls before it reads new requests. */
     private void resume() {
         paused = false;
-        List<Effect> unsent = List.copyOf(unsentWhilePaused);
-        unsentWhilePaused.clear();
-        unsent.forEach(this::carryOut);
+        List<Effect> unsent = List.copyOf(unsentEffects);
+        unsentEffects.clear();
+        unsent.forEach(this::execute);
         List<Command> endedCalls = receivedWhilePaused.stream()
                 .filter(Command.CallEnded.class::isInstance)
-                .map(ended -> unlessTimedOut((Command.CallEnded) ended))
+                .map(ended -> withTimeoutApplied((Command.CallEnded) ended))
                 .toList();
         List<Command> requests = receivedWhilePaused.stream()
                 .filter(Command.Arrived.class::isInstance)
@@ -146,14 +146,14 @@
         process(requests);
     }
 
-    /** A call that has timed out while the process was paused has got no response. */
-    private Command unlessTimedOut(Command.CallEnded ended) {
-        boolean timedOut = callTimeouts.getOrDefault(ended.call(), Long.MAX_VALUE)
+    /** Replaces the reply of a call that timed out while the process was paused by a lost one. */
+    private Command withTimeoutApplied(Command.CallEnded ended) {
+        boolean timedOut = callDeadlines.getOrDefault(ended.call(), Long.MAX_VALUE)
                 <= context.events().now();
         return timedOut ? new Command.CallEnded(ended.call(), Reply.lost()) : ended;
     }
 
-    /** Sets the longest time for which commands are collected into one batch; 0 processes each at once. */
+    /** Sets the bound of the time for which commands are collected into a batch; with 0 each is processed at once. */
     void setMaxBatchDelay(long delayMs) {
         maxBatchDelayMs = delayMs;
     }
@@ -166,12 +166,12 @@
         return controller.filter(Controller::isLeading).isPresent();
     }
 
-    /** The term that the running process has seen. */
+    /** The term that the running process has recorded. */
     long term() {
         return controller.orElseThrow().term();
     }
 
-    /** How many commands have failed inside the running process. */
+    /** The number of event loop commands that failed in the running process. */
     long failedCommands() {
         return eventLoop.failures();
     }
@@ -181,13 +181,13 @@
         return eventLoop.counters();
     }
 
-    /** Delivers a request to a listener of the controller; without effect when it is down. */
+    /** Delivers a request to a listener of the controller; has no effect when the controller is down. */
     void deliver(ListenerKind listener, Call call, Consumer<Reply> onReply) {
         if (!isUp()) {
             return;
         }
         long id = ++requestCount;
-        openRequests.put(id, response -> onReply.accept(new Reply(response.status(), response.body())));
+        unansweredRequests.put(id, response -> onReply.accept(new Reply(response.status(), response.body())));
         byte[] body = call.body() == null ? new byte[0] : call.body();
         receive(new Command.Arrived(new Request(id, listener, call.method(), call.path(), "", body)));
     }
@@ -197,11 +197,11 @@
             process(List.of(command));
             return;
         }
-        nextBatch.add(command);
-        if (nextBatch.size() == 1) {
+        pendingBatch.add(command);
+        if (pendingBatch.size() == 1) {
             scheduleForThisProcess(context.random().nextLong(maxBatchDelayMs), () -> {
-                List<Command> batch = List.copyOf(nextBatch);
-                nextBatch.clear();
+                List<Command> batch = List.copyOf(pendingBatch);
+                pendingBatch.clear();
                 process(batch);
             });
         }
@@ -212,36 +212,37 @@
             receivedWhilePaused.addAll(batch);
             return;
         }
-        batch.forEach(this::forgetTimeout);
+        batch.forEach(this::removeCallDeadline);
         EventQueue events = context.events();
-        // Log lines show the thread's name: here the simulated time and the controller.
+        // Log lines contain the thread name, so it is set to the simulated time and the controller's name.
         Thread.currentThread().setName(events.now() + " " + name);
         List<Effect> effects = eventLoop.processBatch(batch, events.clockReading());
-        if (pausingWithinBatch.test(effects)) {
+        if (pauseCondition.test(effects)) {
             paused = true;
-            unsentWhilePaused.addAll(effects);
+            unsentEffects.addAll(effects);
         } else {
-            effects.forEach(this::carryOut);
+            effects.forEach(this::execute);
         }
         scheduleWakeUp();
     }
 
-    private void forgetTimeout(Command command) {
+    private void removeCallDeadline(Command command) {
         if (command instanceof Command.CallEnded ended) {
-            callTimeouts.remove(ended.call());
+            callDeadlines.remove(ended.call());
         }
     }
 
-    private void carryOut(Effect effect) {
+    private void execute(Effect effect) {
         EventQueue events = context.events();
         if (events.now() >= effect.validUntilMs()) {
-            drop(effect);
+            rejectExpired(effect);
             return;
         }
-        digests.add(events.now(), name, effect);
-        leaderActions.check(name, effect, lease.isHeldAt(events.now()), controller.orElseThrow()::isKnownCancelled);
+        messagesDigest.add(events.now(), name, effect);
+        leaderActionChecks.check(
+                name, effect, lease.isHeldAt(events.now()), controller.orElseThrow()::isKnownCancelled);
         if (effect instanceof Effect.Answer answer) {
-            Consumer<Response> receiver = openRequests.remove(answer.exchange());
+            Consumer<Response> receiver = unansweredRequests.remove(answer.exchange());
             if (receiver != null) {
                 receiver.accept(answer.response());
             }
@@ -250,9 +251,9 @@
         }
     }
 
-    private void drop(Effect effect) {
+    private void rejectExpired(Effect effect) {
         if (effect instanceof Effect.Answer answer) {
-            carryOut(new Effect.Answer(
+            execute(new Effect.Answer(
                     answer.exchange(), Response.unavailable("late", RETRY_AFTER_S), Effect.ALWAYS_VALID));
         } else if (effect instanceof Effect.Send send) {
             receive(new Command.CallEnded(send.call(), Reply.unsent()));
@@ -260,13 +261,13 @@
     }
 
     private void send(Effect.Send send) {
-        long sender = incarnation;
+        long senderIncarnation = incarnation;
         long sentAt = context.events().now();
-        lease.sent(send.request());
-        callTimeouts.put(send.call(), sentAt + send.request().timeoutMs());
+        lease.recordRequest(send.request());
+        callDeadlines.put(send.call(), sentAt + send.request().timeoutMs());
         network.send(name, send.request(), reply -> {
-            if (incarnation == sender && isUp()) {
-                lease.received(send.request(), sentAt, reply);
+            if (incarnation == senderIncarnation && isUp()) {
+                lease.recordReply(send.request(), sentAt, reply);
                 receive(new Command.CallEnded(send.call(), reply));
             }
         });
@@ -274,10 +275,10 @@
 
     private void scheduleWakeUp() {
         long now = context.events().now();
-        long due = Math.max(now + 1, eventLoop.nextTimerAt());
-        if (due < wakeUpAt) {
-            wakeUpAt = due;
-            scheduleForThisProcess(due - now, () -> {
+        long dueAt = Math.max(now + 1, eventLoop.nextTimerAt());
+        if (dueAt < wakeUpAt) {
+            wakeUpAt = dueAt;
+            scheduleForThisProcess(dueAt - now, () -> {
                 wakeUpAt = Long.MAX_VALUE;
                 process(List.of());
             });
@@ -285,9 +286,9 @@
     }
 
     private void scheduleForThisProcess(long delayMs, Runnable action) {
-        long scheduledFor = incarnation;
+        long scheduledIncarnation = incarnation;
         context.events().scheduleAfter(delayMs, () -> {
-            if (incarnation == scheduledFor && isUp()) {
+            if (incarnation == scheduledIncarnation && isUp()) {
                 action.run();
             }
         });
--- a/src/test/java/io/quartzgw/simulation/SimulatedControllers.java
+++ b/src/test/java/io/quartzgw/simulation/SimulatedControllers.java
@@ -14,7 +14,7 @@
 final class SimulatedControllers {
     private final SimulationContext context;
     private final SimulationSettings settings;
-    private final MessageDigests digests = new MessageDigests();
+    private final SentMessagesDigest messagesDigest = new SentMessagesDigest();
     private final List<SimulatedController> controllers = new ArrayList<>();
     private long processCount;
 
@@ -22,12 +22,13 @@
             SimulationContext context,
             SimulationSettings settings,
             SimulatedNetwork network,
-            LeaderActions leaderActions,
+            LeaderActionChecks leaderActionChecks,
             int count) {
         this.context = context;
         this.settings = settings;
         for (int i = 0; i < count; i++) {
-            controllers.add(new SimulatedController(Hosts.controller(i), context, network, digests, leaderActions));
+            controllers.add(
+                    new SimulatedController(Hosts.controller(i), context, network, messagesDigest, leaderActionChecks));
         }
     }
 
@@ -35,13 +36,13 @@
         return controllers.size();
     }
 
-    /** A controller drawn at random. */
+    /** The index of a controller, drawn at random. */
     int anyIndex() {
         return context.random().nextInt(controllers.size());
     }
 
     Settings settings(int index) {
-        return settings.of(index, controllers.size());
+        return settings.forController(index, controllers.size());
     }
 
     void start(int index) {
@@ -66,7 +67,7 @@
         controllers.get(index).pauseWithinBatch(durationMs);
     }
 
-    /** As {@link #pauseWithinBatch}, but in the next batch that sends a call to a path. */
+    /** As {@link #pauseWithinBatch}, but in the next batch that sends a call to {@code path}. */
     void pauseBeforeCall(int index, String path, long durationMs) {
         controllers.get(index).pauseBeforeCall(path, durationMs);
     }
@@ -79,7 +80,7 @@
         return controllers.get(index).isUp();
     }
 
-    /** The index of the controller that leads with the highest term, or {@link ClusterSimulation#NO_LEADER}. */
+    /** The index of the leading controller with the highest term, or {@link ClusterSimulation#NO_LEADER}. */
     int leader() {
         int leader = ClusterSimulation.NO_LEADER;
         for (int i = 0; i < controllers.size(); i++) {
@@ -112,6 +113,6 @@
     }
 
     String messageDigest() {
-        return digests.summary();
+        return messagesDigest.summary();
     }
 }
