--- a/src/test/java/io/quartzgw/simulation/CommandDelays.java
+++ b/src/test/java/io/quartzgw/simulation/CommandDelays.java
@@ -10,8 +10,8 @@
     private final SplittableRandom random;
     private double delayedShare;
     private long maxDelayMs;
-    private double heldUpShare;
-    private long maxHoldUpMs;
+    private double longDelayShare;
+    private long maxLongDelayMs;
 
     /** How much later a command arrives, and how much later its response does. */
     record Delay(long commandMs, long responseMs) {
@@ -33,15 +33,15 @@
     }
 
     /** Delays a share of the commands by up to a time, however long, before any other delay is drawn. */
-    void setHeldUp(double share, long maxMs) {
-        heldUpShare = share;
-        maxHoldUpMs = maxMs;
+    void setLongDelays(double share, long maxMs) {
+        longDelayShare = share;
+        maxLongDelayMs = maxMs;
     }
 
     /** Draws the delay of the next command. */
     Delay next() {
-        if (heldUpShare > 0 && random.nextDouble() < heldUpShare) {
-            return new Delay(MIN_DELAY_MS + random.nextLong(maxHoldUpMs), 0);
+        if (longDelayShare > 0 && random.nextDouble() < longDelayShare) {
+            return new Delay(MIN_DELAY_MS + random.nextLong(maxLongDelayMs), 0);
         }
         if (maxDelayMs > 0) {
             double part = random.nextDouble();
--- a/src/test/java/io/quartzgw/simulation/Hosts.java
+++ b/src/test/java/io/quartzgw/simulation/Hosts.java
@@ -53,7 +53,7 @@
     }
 
     /** The name of the host that has an address. */
-    static String at(Endpoint endpoint) {
+    static String nameOf(Endpoint endpoint) {
         if (endpoint.equals(STORE_ENDPOINT)) {
             return STORE;
         }
--- a/src/test/java/io/quartzgw/simulation/LossyLink.java
+++ b/src/test/java/io/quartzgw/simulation/LossyLink.java
@@ -16,15 +16,15 @@
  */
 public final class LossyLink {
     private final EventLoop eventLoop;
-    private final SimulatedStore service;
+    private final SimulatedStore store;
     private final SplittableRandom random;
-    private final List<Call> late = new ArrayList<>();
+    private final List<Call> lostTransactions = new ArrayList<>();
     private long now;
 
     /** @param random decides which messages get lost */
     public LossyLink(EventLoop eventLoop, SimulatedStore service, SplittableRandom random) {
         this.eventLoop = eventLoop;
-        this.service = service;
+        this.store = service;
         this.random = random;
         eventLoop.processBatch(List.of(), new ClockReading(now, now));
     }
@@ -37,22 +37,22 @@
             List<Command> ends = new ArrayList<>();
             for (Effect effect : effects) {
                 if (effect instanceof Effect.Send send) {
-                    carry(send, lossy, ends);
+                    transmit(send, lossy, ends);
                 }
             }
             effects = ends.isEmpty() ? List.of() : eventLoop.processBatch(ends, new ClockReading(++now, now));
         }
     }
 
-    private void carry(Effect.Send send, boolean lossy, List<Command> ends) {
+    private void transmit(Effect.Send send, boolean lossy, List<Command> ends) {
         int fate = lossy && send.request().path().equals("/multi") ? random.nextInt(4) : 0;
         if (fate == 1) {
-            late.add(send.request());
+            lostTransactions.add(send.request());
             ends.add(new Command.CallEnded(send.call(), Reply.lost()));
             return;
         }
         // A watch gets a response when something has changed; nobody waits for it here.
-        service.handle(
+        store.handle(
                 send.request(),
                 now,
                 reply -> ends.add(new Command.CallEnded(send.call(), fate == 2 ? Reply.lost() : reply)));
@@ -60,8 +60,8 @@
 
     /** Applies one of the lost transactions now, if there is one. */
     public void applyOneLate() {
-        if (!late.isEmpty()) {
-            service.handle(late.remove(random.nextInt(late.size())), now, reply -> {});
+        if (!lostTransactions.isEmpty()) {
+            store.handle(lostTransactions.remove(random.nextInt(lostTransactions.size())), now, reply -> {});
         }
     }
 }
--- a/src/test/java/io/quartzgw/simulation/NetworkPartitions.java
+++ b/src/test/java/io/quartzgw/simulation/NetworkPartitions.java
@@ -10,10 +10,10 @@
 /** The partitions between hosts, and the packets that are held back by them. */
 final class NetworkPartitions {
     /** Stands, as a receiver, for whichever controller an agent sends its heartbeats to. */
-    static final String CONTROLLERS = "controllers";
+    static final String ANY_CONTROLLER = "controllers";
 
     private final Set<Link> partitioned = new HashSet<>();
-    private final Map<Link, List<Runnable>> heldPackets = new LinkedHashMap<>();
+    private final Map<Link, List<Runnable>> delayedPackets = new LinkedHashMap<>();
 
     private record Link(String from, String to) {}
 
@@ -26,16 +26,16 @@
     List<Runnable> heal(String one, String other) {
         partitioned.remove(new Link(one, other));
         List<Runnable> packets =
-                heldPackets.values().stream().flatMap(List::stream).toList();
-        heldPackets.clear();
+                delayedPackets.values().stream().flatMap(List::stream).toList();
+        delayedPackets.clear();
         return packets;
     }
 
     /** Heals a partition whose packets are lost for good. */
     void healDroppingPackets(String one, String other) {
         partitioned.remove(new Link(one, other));
-        heldPackets.remove(new Link(one, other));
-        heldPackets.remove(new Link(other, one));
+        delayedPackets.remove(new Link(one, other));
+        delayedPackets.remove(new Link(other, one));
     }
 
     boolean isPartitioned(String one, String other) {
@@ -46,8 +46,8 @@
     }
 
     /** Holds a packet back until a partition heals. */
-    void hold(String from, String to, Runnable packet) {
-        heldPackets
+    void delayUntilHealed(String from, String to, Runnable packet) {
+        delayedPackets
                 .computeIfAbsent(new Link(from, to), link -> new ArrayList<>())
                 .add(packet);
     }
--- a/src/test/java/io/quartzgw/simulation/SimulatedAgent.java
+++ b/src/test/java/io/quartzgw/simulation/SimulatedAgent.java
@@ -25,13 +25,13 @@
      *
      * @param cpus what each task takes
      * @param runS how long the first task runs
-     * @param longerS how much longer each task runs than the one before it
-     * @param imageS how long the image takes to load
+     * @param runIncrementS how much longer each task runs than the one before it
+     * @param imagePullS how long the image takes to load
      * @param service whether tasks run until they are stopped
      * @param faulty whether tasks end with an error
      */
     public record Description(
-            double cpus, double runS, double longerS, double imageS, boolean service, boolean faulty) {}
+            double cpus, double runS, double runIncrementS, double imagePullS, boolean service, boolean faulty) {}
 
     /** Hears of the starts and ends of tasks on a machine. */
     public interface Watcher {
@@ -60,7 +60,7 @@
     private long epoch = 1;
     private long heartbeatCount;
     private long token;
-    private long renewedAt;
+    private long leaseRenewedAt;
     private boolean changed;
     private long reclaimAt = Long.MAX_VALUE;
 
@@ -85,7 +85,7 @@
         this.zone = zone;
         this.spot = spot;
         this.leaseMs = leaseMs;
-        this.renewedAt = now;
+        this.leaseRenewedAt = now;
         this.jobs = jobs;
         this.watcher = watcher;
     }
@@ -155,28 +155,28 @@
         expireLease(now);
         for (AgentTask task : List.copyOf(tasks.values())) {
             if (task.exitCause.isEmpty() && !task.running && now >= task.startsAt) {
-                begin(task);
+                startTask(task);
             }
             if (task.exitCause.isEmpty() && task.running && !task.job.service() && now >= task.endsAt) {
                 if (!task.job.faulty()) {
                     watcher.completed(task.name);
                 }
-                end(task, task.job.faulty() ? "error" : "done");
+                endTask(task, task.job.faulty() ? "error" : "done");
             }
         }
     }
 
     /** Ends the epoch when its lease has expired; also a machine that hangs then runs nothing any more. */
     public void expireLease(long now) {
-        if (now - renewedAt > leaseMs) {
+        if (now - leaseRenewedAt > leaseMs) {
             dropTasks();
             epoch++;
-            renewedAt = now;
+            leaseRenewedAt = now;
             changed = true;
         }
     }
 
-    private void begin(AgentTask task) {
+    private void startTask(AgentTask task) {
         task.running = true;
         changed = true;
         watcher.started(this, task.name);
@@ -187,7 +187,7 @@
         tasks.clear();
     }
 
-    private void end(AgentTask task, String cause) {
+    private void endTask(AgentTask task, String cause) {
         if (task.running) {
             task.running = false;
             watcher.ended(this, task.name);
@@ -230,7 +230,7 @@
             return;
         }
         token = body.path("baton").asLong();
-        renewedAt = Math.max(renewedAt, sentAt);
+        leaseRenewedAt = Math.max(leaseRenewedAt, sentAt);
         execute(body.path("orders"), now);
     }
 
@@ -260,12 +260,12 @@
             switch (command.path("verb").asText()) {
                 case "run" -> {
                     if (known == null) {
-                        run(name, attempt, now);
+                        executeStart(name, attempt, now);
                     }
                 }
                 case "kill" -> {
                     if (known != null && known.exitCause.isEmpty()) {
-                        end(known, "stopped");
+                        endTask(known, "stopped");
                     }
                 }
                 default -> {
@@ -277,7 +277,7 @@
         }
     }
 
-    private void run(String name, long attempt, long now) {
+    private void executeStart(String name, long attempt, long now) {
         watcher.startExecuted(this, name);
         Description job = jobs.apply(name.substring(0, name.indexOf('/')));
         AgentTask task = new AgentTask(name, attempt, job);
@@ -289,15 +289,15 @@
         } else if (job.cpus() > freeCpus()) {
             task.exitCause = Optional.of("no_room");
         } else {
-            task.startsAt = now + (long) (job.imageS() * 1000);
+            task.startsAt = now + (long) (job.imagePullS() * 1000);
             int index = Integer.parseInt(name.substring(name.indexOf('/') + 1));
-            task.endsAt = task.startsAt + (long) ((job.runS() + index * job.longerS()) * 1000);
+            task.endsAt = task.startsAt + (long) ((job.runS() + index * job.runIncrementS()) * 1000);
         }
         tasks.put(name + "#" + attempt, task);
         changed = true;
         // With its image there, a task runs before the next command is executed.
         if (task.exitCause.isEmpty() && task.startsAt <= now) {
-            begin(task);
+            startTask(task);
         }
     }
 }
--- a/src/test/java/io/quartzgw/simulation/SimulatedAgents.java
+++ b/src/test/java/io/quartzgw/simulation/SimulatedAgents.java
@@ -89,13 +89,13 @@
                 events.now(),
                 job -> setup.jobs.description(job).orElse(null),
                 setup.watcher);
-        start(agent);
+        addHost(agent);
     }
 
-    private void start(SimulatedAgent agent) {
+    private void addHost(SimulatedAgent agent) {
         Host host = new Host(agent, controllers.anyIndex());
         hosts.put(agent.id, host);
-        step(host);
+        advanceHost(host);
     }
 
     /** A machine is gone, with all that ran on it. */
@@ -117,7 +117,7 @@
 
     /** Makes a machine hang, or resume: it then receives what was sent to it meanwhile. */
     public void setHanging(String id, boolean on) {
-        find(id).ifPresent(host -> {
+        findHost(id).ifPresent(host -> {
             host.hanging = on;
             if (!on) {
                 host.agent.advanceTo(events.now());
@@ -129,7 +129,7 @@
 
     /** The cloud announces that it reclaims a machine, and reclaims it after the notice period. */
     public void reclaim(String id, long noticeMs) {
-        find(id).ifPresent(host -> {
+        findHost(id).ifPresent(host -> {
             host.agent.reclaimAt(events.now() + noticeMs);
             events.scheduleAfter(noticeMs, () -> cloud.reclaim(id, events.now()));
         });
@@ -141,9 +141,9 @@
      * @param epochKept whether the new agent counts its epochs on from its predecessor's
      */
     public void reboot(String id, boolean epochKept) {
-        find(id).ifPresent(host -> {
+        findHost(id).ifPresent(host -> {
             host.agent.stop();
-            start(host.agent.replacement(events.now(), epochKept));
+            addHost(host.agent.replacement(events.now(), epochKept));
         });
     }
 
@@ -155,13 +155,13 @@
                 .toList();
     }
 
-    private Optional<Host> find(String id) {
+    private Optional<Host> findHost(String id) {
         return Optional.ofNullable(hosts.get(id));
     }
 
     /** Serves a request to a machine's agent; a machine that is gone answers nothing. */
     void handle(String id, Call call, Consumer<Reply> onReply) {
-        find(id).ifPresent(host -> {
+        findHost(id).ifPresent(host -> {
             Runnable request = () -> onReply.accept(serve(host.agent, call));
             if (host.hanging) {
                 host.receivedWhileHanging.add(request);
@@ -185,7 +185,7 @@
         return hosts.get(host.agent.id) == host;
     }
 
-    private void step(Host host) {
+    private void advanceHost(Host host) {
         if (!isCurrent(host)) {
             return;
         }
@@ -197,7 +197,7 @@
                 sendHeartbeat(host);
             }
         }
-        events.scheduleAfter(setup.stepMs, () -> step(host));
+        events.scheduleAfter(setup.stepMs, () -> advanceHost(host));
     }
 
     private boolean isHeartbeatDue(Host host) {
@@ -236,7 +236,7 @@
         if (blocked || (!partitioned && !controllers.isUp(target))) {
             events.scheduleAfter(1, () -> firstReply.accept(Reply.lost()));
         } else if (partitioned) {
-            network.hold(id, NetworkPartitions.CONTROLLERS, arrival);
+            network.delayUntilHealed(id, NetworkPartitions.ANY_CONTROLLER, arrival);
         } else {
             events.scheduleAfter(network.baseDelay() + network.linkDelay(), arrival);
         }
--- a/src/test/java/io/quartzgw/simulation/SimulatedNetwork.java
+++ b/src/test/java/io/quartzgw/simulation/SimulatedNetwork.java
@@ -40,7 +40,7 @@
     private final Set<String> inboundBlocked = new HashSet<>();
     private final Set<String> heartbeatsBlocked = new HashSet<>();
     /** By machine whose direct calls are held back, those calls in the order in which they were sent. */
-    private final Map<String, List<HeldCommand>> heldCommands = new HashMap<>();
+    private final Map<String, List<DelayedCall>> delayedCalls = new HashMap<>();
 
     private double delayedTransactionShare;
     private double lostTransactionResponseShare;
@@ -54,7 +54,7 @@
     }
 
     /** A direct call that is held back, and what delivers it. */
-    private record HeldCommand(Call call, Runnable arrival) {}
+    private record DelayedCall(Call call, Runnable arrival) {}
 
     /** What was drawn for one request: its delays, and whether its response gets lost. */
     private record Transit(boolean transactionDelayed, boolean responseLost, long requestMs, long responseMs) {}
@@ -116,7 +116,7 @@
 
     /** Holds a share of the direct commands up, each by up to a time that may be minutes. */
     public void holdUpCommandShare(double share, long maxMs) {
-        commandDelays.setHeldUp(share, maxMs);
+        commandDelays.setLongDelays(share, maxMs);
     }
 
     /** Sets the share of heartbeats, messages between controllers and user requests that arrive again, late. */
@@ -145,23 +145,23 @@
 
     /** Holds direct calls to a machine back; heartbeats and their responses pass. */
     public void holdCommands(String machine) {
-        heldCommands.putIfAbsent(machine, new ArrayList<>());
+        delayedCalls.putIfAbsent(machine, new ArrayList<>());
     }
 
     /** Whether direct calls to a machine are held back. */
     public boolean holdsCommands(String machine) {
-        return heldCommands.containsKey(machine);
+        return delayedCalls.containsKey(machine);
     }
 
     /** Delivers the direct calls to a machine that were held back, in their order, and holds none from now on. */
     public void deliverHeldCommands(String machine) {
-        heldCommands.remove(machine).forEach(command -> command.arrival.run());
+        delayedCalls.remove(machine).forEach(command -> command.arrival.run());
     }
 
     /** The tasks of a job whose start is in a direct call that is held back, by the machine that it is sent to. */
     public Map<String, Set<String>> heldStarts(String job) {
         Map<String, Set<String>> starts = new TreeMap<>();
-        heldCommands.forEach((machine, commands) -> {
+        delayedCalls.forEach((machine, commands) -> {
             Set<String> tasks = new TreeSet<>();
             commands.forEach(command -> tasks.addAll(startedTasks(command.call, job)));
             if (!tasks.isEmpty()) {
@@ -188,7 +188,7 @@
 
     /** Sends a request from a controller. */
     void send(String from, Call call, Consumer<Reply> onReply) {
-        String to = Hosts.at(call.endpoint());
+        String to = Hosts.nameOf(call.endpoint());
         SingleReply firstReply = new SingleReply(onReply);
         events.scheduleAfter(call.timeoutMs(), () -> firstReply.accept(Reply.lost()));
         Transit transit = drawTransit(to, call);
@@ -202,10 +202,10 @@
         });
         if (transit.transactionDelayed) {
             events.scheduleAfter(MIN_TRANSACTION_DELAY_MS + random.nextInt(TRANSACTION_DELAY_SPREAD_MS), arrival);
-        } else if (heldCommands.containsKey(to)) {
-            heldCommands.get(to).add(new HeldCommand(call, arrival));
+        } else if (delayedCalls.containsKey(to)) {
+            delayedCalls.get(to).add(new DelayedCall(call, arrival));
         } else if (isPartitioned(from, to) || isInboundBlocked(to)) {
-            hold(from, to, arrival);
+            delayUntilHealed(from, to, arrival);
         } else {
             events.scheduleAfter(baseDelay() + transit.requestMs, arrival);
         }
@@ -265,7 +265,7 @@
     }
 
     /** Holds a packet back until a partition heals. */
-    void hold(String from, String to, Runnable arrival) {
-        partitions.hold(from, to, arrival);
+    void delayUntilHealed(String from, String to, Runnable arrival) {
+        partitions.delayUntilHealed(from, to, arrival);
     }
 }
--- a/src/test/java/io/quartzgw/simulation/SimulatedStore.java
+++ b/src/test/java/io/quartzgw/simulation/SimulatedStore.java
@@ -20,7 +20,7 @@
  * is handed in by callers.
  */
 public final class SimulatedStore {
-    private static final StoreLimits UNLIMITED = new StoreLimits(300, 120, 8192, 16);
+    private static final StoreLimits DEFAULT_LIMITS = new StoreLimits(300, 120, 8192, 16);
     private static final int MAX_TRANSACTION_BYTES = 64 * 1024;
     /** A transaction may have so many guards for each of its changes that the limits allow. */
     private static final int MAX_GUARDS_PER_WRITE = 4;
@@ -53,7 +53,7 @@
 
     /** A service that takes as many changes as come. */
     public SimulatedStore() {
-        this.limits = UNLIMITED;
+        this.limits = DEFAULT_LIMITS;
         this.writeBudget = Optional.empty();
     }
 
@@ -167,7 +167,7 @@
         if (path.equals("/holds")) {
             return grantLease(Json.readOrNull(call.body()).path("life_ms").asLong());
         }
-        return changeLease(call.method(), Long.parseLong(path.split("/", -1)[2]));
+        return renewOrEndLease(call.method(), Long.parseLong(path.split("/", -1)[2]));
     }
 
     // ---- leases
@@ -177,7 +177,7 @@
         return reply(200, Json.object().put("permit", lastLeaseId));
     }
 
-    private Reply changeLease(String method, long id) {
+    private Reply renewOrEndLease(String method, long id) {
         Lease lease = leases.get(id);
         if (lease == null) {
             return reply(404, Json.object());
@@ -192,7 +192,7 @@
 
     private void endLease(long id) {
         leases.remove(id);
-        entries.deleteOfLease(id);
+        entries.deleteKeysOfLease(id);
     }
 
     // ---- transactions
@@ -202,7 +202,7 @@
             return reply(400, Json.object().put("error", "too much"));
         }
         JsonNode writes = body.path("apply");
-        if (!takeFromBudget(writes.size())) {
+        if (!takeFromWriteBudget(writes.size())) {
             rejectedTransactions++;
             return reply(429, Json.object().put("error", "too many changes"));
         }
@@ -238,7 +238,7 @@
         return false;
     }
 
-    private boolean takeFromBudget(int changes) {
+    private boolean takeFromWriteBudget(int changes) {
         if (writeBudget.isEmpty() || changes == 0) {
             return true;
         }
--- a/src/test/java/io/quartzgw/simulation/SimulatedUsers.java
+++ b/src/test/java/io/quartzgw/simulation/SimulatedUsers.java
@@ -23,7 +23,7 @@
 
     private static final int CANCEL_SPREAD_MS = 200;
     /** One in so many submissions is repeated beside invalid requests. */
-    private static final int REPEATED_ONE_IN = 4;
+    private static final int REPEAT_ONE_IN_N = 4;
 
     private static final String JOBS_PATH = "/submissions";
     private static final Endpoint UNUSED_ENDPOINT = new Endpoint("10.0.0.1", 1);
@@ -204,7 +204,7 @@
      */
     public void sendInvalidRequests() {
         for (JsonNode spec : jobs.all()) {
-            if (random.nextInt(REPEATED_ONE_IN) == 0) {
+            if (random.nextInt(REPEAT_ONE_IN_N) == 0) {
                 repeatSubmission(spec.path("id").asText(), spec);
             }
         }
--- a/src/test/java/io/quartzgw/simulation/StoreEntries.java
+++ b/src/test/java/io/quartzgw/simulation/StoreEntries.java
@@ -110,7 +110,7 @@
     }
 
     /** Deletes the keys of a lease, in a revision of their own. */
-    void deleteOfLease(long lease) {
+    void deleteKeysOfLease(long lease) {
         List<String> keys = entries.entrySet().stream()
                 .filter(entry -> entry.getValue().hasLease(lease))
                 .map(Map.Entry::getKey)
--- a/src/test/java/io/quartzgw/simulation/StoreRejections.java
+++ b/src/test/java/io/quartzgw/simulation/StoreRejections.java
@@ -17,7 +17,7 @@
 final class StoreRejections {
     private final SimulatedStore store;
     private final Set<String> rejected = new HashSet<>();
-    private final Map<String, List<Runnable>> heldResponses = new HashMap<>();
+    private final Map<String, List<Runnable>> delayedResponses = new HashMap<>();
 
     StoreRejections(SimulatedStore store) {
         this.store = store;
@@ -28,7 +28,7 @@
             rejected.add(controller);
         } else {
             rejected.remove(controller);
-            List<Runnable> responses = heldResponses.remove(controller);
+            List<Runnable> responses = delayedResponses.remove(controller);
             if (responses != null) {
                 responses.forEach(Runnable::run);
             }
@@ -44,7 +44,7 @@
         store.handle(call, now, reply -> {
             if (rejected.contains(from)) {
                 // Sent before the fault began: an open watch.
-                heldResponses.computeIfAbsent(from, key -> new ArrayList<>()).add(() -> onReply.accept(reply));
+                delayedResponses.computeIfAbsent(from, key -> new ArrayList<>()).add(() -> onReply.accept(reply));
             } else {
                 onReply.accept(reply);
             }
