--- a/src/test/java/io/quartzgw/simulation/AgentTask.java
+++ b/src/test/java/io/quartzgw/simulation/AgentTask.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** One attempt to run a task on a simulated machine. */
+/** An attempt of a task on a simulated machine. */
 final class AgentTask {
     final String name;
     final long attempt;
--- a/src/test/java/io/quartzgw/simulation/EventQueue.java
+++ b/src/test/java/io/quartzgw/simulation/EventQueue.java
@@ -4,8 +4,8 @@
 import java.util.PriorityQueue;
 
 /**
- * Simulated time: a clock, and the events that are scheduled on it. Events run in the order of their times; events of
- * the same time run in the order in which they were scheduled.
+ * The simulated clock and the events scheduled on it. Events run in the order of their times; events with the same time
+ * run in the order in which they were scheduled.
  */
 final class EventQueue {
     private static final long WALL_CLOCK_START_MS = 1_800_000_000_000L;
@@ -27,12 +27,12 @@
         return now;
     }
 
-    /** The simulated time as the controllers' event loops read it. */
+    /** The simulated time as input of the controllers' event loops. */
     ClockReading clockReading() {
         return new ClockReading(now, WALL_CLOCK_START_MS + now);
     }
 
-    /** Schedules an action at a time; one in the past runs now. */
+    /** Schedules an action at the given time, or at the present time if that is later. */
     void schedule(long time, Runnable action) {
         events.add(new Event(Math.max(now, time), ++sequence, action));
     }
@@ -42,7 +42,7 @@
         schedule(now + delayMs, action);
     }
 
-    /** Schedules an action again and again, first after one period. */
+    /** Schedules an action periodically, first after one period. */
     void scheduleEvery(long periodMs, Runnable action) {
         scheduleAfter(periodMs, () -> {
             action.run();
@@ -50,7 +50,7 @@
         });
     }
 
-    /** Runs all events up to a time, and sets the clock to it. */
+    /** Runs all events up to the given time, and sets the clock to it. */
     void runUntil(long end) {
         while (!events.isEmpty() && events.peek().time <= end) {
             Event event = events.poll();
--- a/src/test/java/io/quartzgw/simulation/Hosts.java
+++ b/src/test/java/io/quartzgw/simulation/Hosts.java
@@ -2,13 +2,13 @@
 
 import io.quartzgw.http.Endpoint;
 
-/** The names of the simulated hosts, and how they follow from the addresses that messages carry. */
+/** The names of the simulated hosts, and the mapping between names and network addresses. */
 public final class Hosts {
     /** The state service. */
     public static final String STORE = "store";
     /** The cloud API. */
     public static final String CLOUD = "cloud";
-    /** Every host but the other one that is named, in a partition. */
+    /** In a partition: all hosts other than the one that is named. */
     public static final String ALL = "*";
 
     static final Endpoint STORE_ENDPOINT = new Endpoint("10.2.0.1", 2379);
@@ -47,7 +47,7 @@
         return String.format(MACHINE_PREFIX + "%06d", number);
     }
 
-    /** The address at which a machine's agent takes direct commands; all machines share one host. */
+    /** The address at which a machine's agent receives direct calls; all machines share one IP address. */
     static String machineAddress(String machine) {
         return MACHINE_HOST + ":" + (FIRST_MACHINE_PORT + Integer.parseInt(machine.substring(MACHINE_PREFIX.length())));
     }
--- a/src/test/java/io/quartzgw/simulation/LossyLink.java
+++ b/src/test/java/io/quartzgw/simulation/LossyLink.java
@@ -11,8 +11,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Carries an event loop's requests to a state service. Where it is lossy, a transaction may be lost on the way, to be
- * applied late, or its response may be.
+ * Transmits an event loop's requests to the simulated state service. In lossy mode a transaction may be lost, to be
+ * applied later by {@link #applyOneLate}, or its response may be lost.
  */
 public final class LossyLink {
     private final EventLoop eventLoop;
@@ -21,44 +21,45 @@
     private final List<Call> lostTransactions = new ArrayList<>();
     private long now;
 
-    /** @param random decides which messages get lost */
-    public LossyLink(EventLoop eventLoop, SimulatedStore service, SplittableRandom random) {
+    /** @param random decides which messages are lost */
+    public LossyLink(EventLoop eventLoop, SimulatedStore store, SplittableRandom random) {
         this.eventLoop = eventLoop;
-        this.store = service;
+        this.store = store;
         this.random = random;
         eventLoop.processBatch(List.of(), new ClockReading(now, now));
     }
 
-    /** Lets time pass and carries requests until the event loop sends nothing more. */
+    /** Advances the clock, and transmits requests until the event loop sends no more. */
     public void pass(long ms, boolean lossy) {
         now += ms;
         List<Effect> effects = eventLoop.processBatch(List.of(), new ClockReading(now, now));
         while (!effects.isEmpty()) {
-            List<Command> ends = new ArrayList<>();
+            List<Command> endedCalls = new ArrayList<>();
             for (Effect effect : effects) {
                 if (effect instanceof Effect.Send send) {
-                    transmit(send, lossy, ends);
+                    transmit(send, lossy, endedCalls);
                 }
             }
-            effects = ends.isEmpty() ? List.of() : eventLoop.processBatch(ends, new ClockReading(++now, now));
+            effects =
+                    endedCalls.isEmpty() ? List.of() : eventLoop.processBatch(endedCalls, new ClockReading(++now, now));
         }
     }
 
-    private void transmit(Effect.Send send, boolean lossy, List<Command> ends) {
-        int fate = lossy && send.request().path().equals("/multi") ? random.nextInt(4) : 0;
-        if (fate == 1) {
+    private void transmit(Effect.Send send, boolean lossy, List<Command> endedCalls) {
+        int fault = lossy && send.request().path().equals("/multi") ? random.nextInt(4) : 0;
+        if (fault == 1) {
             lostTransactions.add(send.request());
-            ends.add(new Command.CallEnded(send.call(), Reply.lost()));
+            endedCalls.add(new Command.CallEnded(send.call(), Reply.lost()));
             return;
         }
-        // A watch gets a response when something has changed; nobody waits for it here.
+        // A watch gets its response after a change; one that comes after this batch is ignored.
         store.handle(
                 send.request(),
                 now,
-                reply -> ends.add(new Command.CallEnded(send.call(), fate == 2 ? Reply.lost() : reply)));
+                reply -> endedCalls.add(new Command.CallEnded(send.call(), fault == 2 ? Reply.lost() : reply)));
     }
 
-    /** Applies one of the lost transactions now, if there is one. */
+    /** Applies one of the lost transactions, if there is any. */
     public void applyOneLate() {
         if (!lostTransactions.isEmpty()) {
             store.handle(lostTransactions.remove(random.nextInt(lostTransactions.size())), now, reply -> {});
--- a/src/test/java/io/quartzgw/simulation/NetworkPartitions.java
+++ b/src/test/java/io/quartzgw/simulation/NetworkPartitions.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The partitions between hosts, and the packets that are held back by them. */
+/** The partitions between hosts, and the packets delayed by them. */
 final class NetworkPartitions {
-    /** Stands, as a receiver, for whichever controller an agent sends its heartbeats to. */
+    /** The receiver of delayed heartbeats, whichever controller the agent sends them to. */
     static final String ANY_CONTROLLER = "controllers";
 
     private final Set<Link> partitioned = new HashSet<>();
@@ -17,12 +17,12 @@
 
     private record Link(String from, String to) {}
 
-    /** Partitions two hosts, or one from all with {@link Hosts#ALL}. */
+    /** Partitions two hosts, or one from all others with {@link Hosts#ALL}. */
     void partition(String one, String other) {
         partitioned.add(new Link(one, other));
     }
 
-    /** Heals a partition, and returns the packets that were held back by any partition, in order. */
+    /** Heals a partition, and returns the packets delayed by any partition: by link, in the order sent. */
     List<Runnable> heal(String one, String other) {
         partitioned.remove(new Link(one, other));
         List<Runnable> packets =
@@ -31,7 +31,7 @@
         return packets;
     }
 
-    /** Heals a partition whose packets are lost for good. */
+    /** Heals a partition and drops the packets delayed by it. */
     void healDroppingPackets(String one, String other) {
         partitioned.remove(new Link(one, other));
         delayedPackets.remove(new Link(one, other));
@@ -45,7 +45,7 @@
                 || partitioned.contains(new Link(other, Hosts.ALL));
     }
 
-    /** Holds a packet back until a partition heals. */
+    /** Delays a packet until a partition is healed. */
     void delayUntilHealed(String from, String to, Runnable packet) {
         delayedPackets
                 .computeIfAbsent(new Link(from, to), link -> new ArrayList<>())
--- a/src/test/java/io/quartzgw/simulation/SimulatedAgent.java
+++ b/src/test/java/io/quartzgw/simulation/SimulatedAgent.java
@@ -12,9 +12,9 @@
 import java.util.function.Function;
 
 /**
- * The agent of a machine as the protocol describes it: it runs tasks by command, sends heartbeats, and drops all tasks
- * and begins a new epoch when its lease expires. Commands are fenced by the token and the epoch that they carry. Time
- * is handed in by callers.
+ * The agent of a machine, as specified by the protocol: it executes commands, sends heartbeats, and when its lease
+ * expires it drops all tasks and begins a new epoch. Commands are fenced by the token and the epoch that they carry.
+ * Callers supply the time.
  */
 public final class SimulatedAgent {
     private static final double CPUS_SMALL = 8;
@@ -23,28 +23,28 @@
     /**
      * How the tasks of a job run.
      *
-     * @param cpus what each task takes
-     * @param runS how long the first task runs
-     * @param runIncrementS how much longer each task runs than the one before it
-     * @param imagePullS how long the image takes to load
+     * @param cpus the CPUs that each task takes
+     * @param runS the run time of the first task, in seconds
+     * @param runIncrementS how much longer each task runs than the one before it, in seconds
+     * @param imagePullS the time to pull the image, in seconds
      * @param service whether tasks run until they are stopped
      * @param faulty whether tasks end with an error
      */
     public record Description(
             double cpus, double runS, double runIncrementS, double imagePullS, boolean service, boolean faulty) {}
 
-    /** Hears of the starts and ends of tasks on a machine. */
+    /** Receives the starts and ends of tasks on a machine. */
     public interface Watcher {
-        /** A command to start a task is executed, whether or not the task then runs, and for however short a time. */
+        /** A start command is executed, whether or not the task then runs, and however briefly. */
         default void startExecuted(SimulatedAgent on, String task) {}
 
         /** A task has begun to run. */
         default void started(SimulatedAgent on, String task) {}
 
-        /** A task runs no more, for whatever reason. */
+        /** A task has stopped running, for whatever reason. */
         default void ended(SimulatedAgent on, String task) {}
 
-        /** A task has come to its regular end. */
+        /** A task has run to its end without an error. */
         default void completed(String task) {}
     }
 
@@ -65,9 +65,9 @@
     private long reclaimAt = Long.MAX_VALUE;
 
     /**
-     * Makes the agent of a machine, in its first epoch.
+     * Creates the agent of a machine, in its first epoch.
      *
-     * @param jobs how the tasks of a job run, by the job's id; returns null for a job that nobody submitted
+     * @param jobs maps a job ID to the description of how its tasks run; returns null for a job that was not submitted
      */
     public SimulatedAgent(
             String id,
@@ -91,40 +91,40 @@
     }
 
     /**
-     * The agent of this machine after it was started again: it knows no task and no token.
+     * Creates the agent of this machine after a reboot, without tasks or a token.
      *
-     * @param epochKept whether it counts its epochs on, or begins with the first again
+     * @param epochKept whether its epoch is the next after the present one, instead of the first
      */
     SimulatedAgent replacement(long now, boolean epochKept) {
-        SimulatedAgent next = new SimulatedAgent(id, address, type, zone, spot, leaseMs, now, jobs, watcher);
-        next.epoch = epochKept ? epoch + 1 : 1;
-        return next;
+        SimulatedAgent rebooted = new SimulatedAgent(id, address, type, zone, spot, leaseMs, now, jobs, watcher);
+        rebooted.epoch = epochKept ? epoch + 1 : 1;
+        return rebooted;
     }
 
-    /** The epoch: it grows whenever the lease has expired. */
+    /** The epoch, which is incremented whenever the lease expires. */
     public long epoch() {
         return epoch;
     }
 
-    /** The highest fencing token that the agent has seen. */
+    /** The highest fencing token received so far. */
     public long token() {
         return token;
     }
 
-    /** The cloud has announced when it reclaims the machine. */
+    /** Sets when the cloud reclaims the machine; heartbeats then report it. */
     void reclaimAt(long time) {
         reclaimAt = time;
         changed = true;
     }
 
-    /** Returns whether something has changed since the last call; a heartbeat is then due. */
+    /** Returns whether a task, the epoch or another reported value has changed since the last call. */
     public boolean takeChanged() {
-        boolean was = changed;
+        boolean result = changed;
         changed = false;
-        return was;
+        return result;
     }
 
-    /** The CPUs that no task has taken which was started here and has not ended. */
+    /** The CPUs of the machine, less those of all tasks that were started and have not ended. */
     double freeCpus() {
         return cpus()
                 - tasks.values().stream()
@@ -137,7 +137,7 @@
         return type.equals("large") ? CPUS_LARGE : CPUS_SMALL;
     }
 
-    /** The tasks that run at present. */
+    /** The names of the tasks that are running. */
     public List<String> runningTasks() {
         return tasks.values().stream()
                 .filter(task -> task.running)
@@ -145,12 +145,12 @@
                 .toList();
     }
 
-    /** Stops the machine, with all tasks on it. */
+    /** Stops the machine and all tasks on it. */
     public void stop() {
         dropTasks();
     }
 
-    /** Starts and ends the tasks that are due, and lets the lease expire. */
+    /** Checks the lease for expiry, then starts and ends the tasks that are due. */
     public void advanceTo(long now) {
         expireLease(now);
         for (AgentTask task : List.copyOf(tasks.values())) {
@@ -166,7 +166,7 @@
         }
     }
 
-    /** Ends the epoch when its lease has expired; also a machine that hangs then runs nothing any more. */
+    /** Drops all tasks and begins the next epoch if the lease has expired, which a hanging machine does as well. */
     public void expireLease(long now) {
         if (now - leaseRenewedAt > leaseMs) {
             dropTasks();
@@ -196,7 +196,7 @@
         changed = true;
     }
 
-    /** Makes the body of the next heartbeat. */
+    /** Builds the body of the next heartbeat. */
     public ObjectNode heartbeat(long now) {
         ObjectNode heartbeat = Json.object()
                 .put("host", id)
@@ -223,7 +223,7 @@
         return heartbeat;
     }
 
-    /** Handles the response to a heartbeat that was sent in an epoch at a time: it renews the lease. */
+    /** Handles the response to a heartbeat: renews the lease from the time when the heartbeat was sent. */
     public void receiveHeartbeatResponse(Reply reply, long sentInEpoch, long sentAt, long now) {
         JsonNode body = reply.json();
         if (!reply.ok() || sentInEpoch != epoch || body.path("baton").asLong() < token || !body.has("baton")) {
@@ -234,7 +234,7 @@
         execute(body.path("orders"), now);
     }
 
-    /** Handles a request with direct commands. */
+    /** Handles a direct call. */
     public Reply receiveCommands(JsonNode body, long now) {
         long received = body.path("baton").asLong();
         if (!body.has("baton") || !body.has("tenure")) {
@@ -256,20 +256,20 @@
         for (JsonNode command : commands) {
             String name = command.path("shard").asText();
             long attempt = command.path("try_no").asLong();
-            AgentTask known = tasks.get(name + "#" + attempt);
+            AgentTask existing = tasks.get(name + "#" + attempt);
             switch (command.path("verb").asText()) {
                 case "run" -> {
-                    if (known == null) {
+                    if (existing == null) {
                         executeStart(name, attempt, now);
                     }
                 }
                 case "kill" -> {
-                    if (known != null && known.exitCause.isEmpty()) {
-                        endTask(known, "stopped");
+                    if (existing != null && existing.exitCause.isEmpty()) {
+                        endTask(existing, "stopped");
                     }
                 }
                 default -> {
-                    if (known != null && known.exitCause.isPresent()) {
+                    if (existing != null && existing.exitCause.isPresent()) {
                         tasks.remove(name + "#" + attempt);
                     }
                 }
@@ -281,10 +281,10 @@
         watcher.startExecuted(this, name);
         Description job = jobs.apply(name.substring(0, name.indexOf('/')));
         AgentTask task = new AgentTask(name, attempt, job);
-        boolean busy = tasks.values().stream().anyMatch(other -> other.name.equals(name));
+        boolean hasOtherAttempt = tasks.values().stream().anyMatch(other -> other.name.equals(name));
         if (job == null) {
             task.exitCause = Optional.of("unknown");
-        } else if (busy) {
+        } else if (hasOtherAttempt) {
             task.exitCause = Optional.of("busy");
         } else if (job.cpus() > freeCpus()) {
             task.exitCause = Optional.of("no_room");
@@ -295,7 +295,7 @@
         }
         tasks.put(name + "#" + attempt, task);
         changed = true;
-        // With its image there, a task runs before the next command is executed.
+        // Without an image pull, the task starts before the next command is executed.
         if (task.exitCause.isEmpty() && task.startsAt <= now) {
             startTask(task);
         }
--- a/src/test/java/io/quartzgw/simulation/SimulatedAgents.java
+++ b/src/test/java/io/quartzgw/simulation/SimulatedAgents.java
@@ -13,15 +13,15 @@
 import java.util.function.Consumer;
 
 /**
- * The agents of all machines that are up. Each advances in fixed steps, sends heartbeats to the controller that it
- * takes for the leader, and follows redirections to another one.
+ * The agents of all machines that are up. Each advances in fixed steps and sends heartbeats to one controller; after a
+ * redirect it switches to the controller named there, and after another error to the next one.
  */
 public final class SimulatedAgents {
-    /** How often agents send a heartbeat without cause, on average. */
+    /** The average interval of heartbeats while nothing changes. */
     private static final long HEARTBEAT_MS = 2_500;
 
     private static final long HEARTBEAT_TIMEOUT_MS = 4_000;
-    /** The least time between two heartbeats, also where something has changed. */
+    /** The minimum interval between two heartbeats, also after a change. */
     private static final long MIN_HEARTBEAT_MS = 500;
 
     private static final long REDIRECT_DELAY_MS = 100;
@@ -38,11 +38,11 @@
     private final Map<String, Host> hosts = new TreeMap<>();
 
     /**
-     * How agents are made.
+     * The settings of all agents.
      *
-     * @param stepMs how often an agent looks at its tasks
-     * @param jobs what agents know of jobs
-     * @param watcher hears of the starts and ends of tasks
+     * @param stepMs the interval at which an agent advances its tasks
+     * @param jobs the submitted jobs, which describe how tasks run
+     * @param watcher receives the starts and ends of tasks
      */
     record AgentSetup(long stepMs, SubmittedJobs jobs, SimulatedAgent.Watcher watcher) {}
 
@@ -77,7 +77,7 @@
 
     // ---- machines
 
-    /** A machine is up: its agent starts. */
+    /** Starts the agent of a machine that has booted. */
     void boot(String id, String type, String zone, boolean spot) {
         SimulatedAgent agent = new SimulatedAgent(
                 id,
@@ -98,7 +98,7 @@
         advanceHost(host);
     }
 
-    /** A machine is gone, with all that ran on it. */
+    /** Removes a machine, and ends all tasks on it. */
     void remove(String id) {
         Host removed = hosts.remove(id);
         if (removed != null) {
@@ -106,7 +106,7 @@
         }
     }
 
-    /** The names of the machines that are up, in order. */
+    /** The IDs of the machines that are up, in order. */
     public List<String> machineIds() {
         return List.copyOf(hosts.keySet());
     }
@@ -115,7 +115,7 @@
         return hosts.values().stream().map(host -> host.agent).toList();
     }
 
-    /** Makes a machine hang, or resume: it then receives what was sent to it meanwhile. */
+    /** Makes a machine hang, or resume; when it resumes it receives the direct calls sent to it meanwhile. */
     public void setHanging(String id, boolean on) {
         findHost(id).ifPresent(host -> {
             host.hanging = on;
@@ -127,7 +127,7 @@
         });
     }
 
-    /** The cloud announces that it reclaims a machine, and reclaims it after the notice period. */
+    /** Announces that the cloud reclaims a machine, and reclaims it after the notice period. */
     public void reclaim(String id, long noticeMs) {
         findHost(id).ifPresent(host -> {
             host.agent.reclaimAt(events.now() + noticeMs);
@@ -136,9 +136,9 @@
     }
 
     /**
-     * Stops a machine and starts it again at once, with a new agent and no task on it.
+     * Reboots a machine without delay, with a new agent and no tasks.
      *
-     * @param epochKept whether the new agent counts its epochs on from its predecessor's
+     * @param epochKept whether the new agent's epoch is the next after its predecessor's, instead of the first
      */
     public void reboot(String id, boolean epochKept) {
         findHost(id).ifPresent(host -> {
@@ -147,7 +147,7 @@
         });
     }
 
-    /** The machines with so much free capacity. */
+    /** The IDs of the machines with at least the given number of free CPUs. */
     public List<String> machinesWithRoom(double cpus) {
         return all().stream()
                 .filter(agent -> agent.freeCpus() >= cpus)
@@ -159,7 +159,7 @@
         return Optional.ofNullable(hosts.get(id));
     }
 
-    /** Serves a request to a machine's agent; a machine that is gone answers nothing. */
+    /** Handles a request to a machine's agent; a removed machine sends no response. */
     void handle(String id, Call call, Consumer<Reply> onReply) {
         findHost(id).ifPresent(host -> {
             Runnable request = () -> onReply.accept(serve(host.agent, call));
@@ -261,7 +261,7 @@
             delayMs = RETRY_DELAY_MS;
         }
         events.scheduleAfter(delayMs, () -> host.awaitingResponse = false);
-        // Due as soon as the delay is over.
+        // Makes the next heartbeat due as soon as the delay has passed.
         host.lastHeartbeatAt = events.now() - HEARTBEAT_MS * 2;
     }
 }
--- a/src/test/java/io/quartzgw/simulation/SimulatedCloud.java
+++ b/src/test/java/io/quartzgw/simulation/SimulatedCloud.java
@@ -18,14 +18,14 @@
 import java.util.function.Function;
 
 /**
- * The cloud API as its protocol describes it: machines are rented by idempotent requests, boot, may fail or be
- * reclaimed, and appear late in the list of machines. Time is handed in by callers.
+ * The cloud API, as specified by its protocol: machines are rented by idempotent requests, boot, may fail or be
+ * reclaimed, and appear in the list of machines with a lag. Callers supply the time.
  */
 public final class SimulatedCloud {
     private static final String DEFAULT_PAGE_SIZE = "500";
 
     private final long lagMs;
-    private long setBootMs;
+    private long bootMs;
     private final int capacity;
     private final TreeMap<String, Machine> machines = new TreeMap<>();
     private final Map<String, List<String>> machinesByRequest = new HashMap<>();
@@ -37,36 +37,36 @@
     private BootListener onBoot = (id, type, zone, spot) -> {};
     private Consumer<String> onRemoval = id -> {};
 
-    /** Is called when a machine is up. */
+    /** Receives machines that have booted. */
     public interface BootListener {
         void booted(String id, String type, String zone, boolean spot);
     }
 
     private record Machine(String type, String zone, boolean spot, long rentedAt, boolean failed) {}
 
-    /** All machines as they were at a time. */
+    /** The state of all machines at a time. */
     private record Snapshot(long time, Map<String, Machine> machines) {}
 
     /**
-     * @param lagMs how old the state is that the list of machines shows
-     * @param bootMs how long a machine boots
-     * @param capacity how many machines can be rented at a time
-     * @param addresses the address of a machine's agent, by the machine's name
+     * @param lagMs the age of the state shown by the list of machines
+     * @param bootMs the boot time of a machine
+     * @param capacity the maximum number of rented machines
+     * @param addresses maps a machine's ID to the address of its agent
      */
     public SimulatedCloud(long lagMs, long bootMs, int capacity, Function<String, String> addresses) {
         this.addresses = addresses;
         this.lagMs = lagMs;
-        this.setBootMs = bootMs;
+        this.bootMs = bootMs;
         this.capacity = capacity;
     }
 
-    /** Sets what is called when a machine is up, and what is called with the name of one that is gone. */
+    /** Sets the listener for booted machines, and that for the IDs of removed or failed machines. */
     public void onMachineChange(BootListener boot, Consumer<String> removal) {
         this.onBoot = boot;
         this.onRemoval = removal;
     }
 
-    /** A machine fails; it is listed as failed from then on. */
+    /** Makes a machine fail; from then on it is listed as failed. */
     public void fail(String id, long now) {
         Machine machine = machines.get(id);
         if (machine != null) {
@@ -76,7 +76,7 @@
         }
     }
 
-    /** The cloud reclaims a machine: it is gone, and in no later list any more. */
+    /** Reclaims a machine, which removes it from the list of machines. */
     public void reclaim(String id, long now) {
         if (machines.remove(id) != null) {
             onRemoval.accept(id);
@@ -84,27 +84,27 @@
         }
     }
 
-    /** Begins or ends an outage, in which the cloud rejects every request. */
+    /** Begins or ends an outage, during which the cloud API rejects every request. */
     public void setOutage(boolean on) {
         outage = on;
     }
 
-    /** Sets how long machines boot from now on. */
+    /** Sets the boot time of machines, also of those that are booting. */
     public void setBootMs(long ms) {
-        setBootMs = ms;
+        bootMs = ms;
     }
 
-    /** The machines that have booted and have not failed. */
+    /** The IDs of the machines that have booted and have not failed. */
     public List<String> running() {
         return machines.keySet().stream()
                 .filter(id -> booted.contains(id) && !machines.get(id).failed)
                 .toList();
     }
 
-    /** Lets machines boot up to a time. */
+    /** Completes the boot of the machines whose boot time has passed. */
     public void advanceTo(long now) {
         machines.forEach((id, machine) -> {
-            if (!machine.failed && now - machine.rentedAt >= setBootMs && booted.add(id)) {
+            if (!machine.failed && now - machine.rentedAt >= bootMs && booted.add(id)) {
                 onBoot.booted(id, machine.type, machine.zone, machine.spot);
             }
         });
@@ -157,9 +157,9 @@
             machinesByRequest.put(request, ids);
             addSnapshot(now);
         }
-        ObjectNode answer = Json.object();
-        ids.forEach(answer.putArray("hosts")::add);
-        return SimulatedStore.reply(200, answer);
+        ObjectNode response = Json.object();
+        ids.forEach(response.putArray("hosts")::add);
+        return SimulatedStore.reply(200, response);
     }
 
     private void addSnapshot(long now) {
@@ -183,7 +183,7 @@
                 listed.keySet().stream().filter(id -> id.compareTo(since) > 0).count() > pageSize);
         listed.forEach((id, machine) -> {
             if (id.compareTo(since) > 0 && list.size() < pageSize) {
-                String phase = machine.failed ? "failed" : asOf - machine.rentedAt >= setBootMs ? "running" : "booting";
+                String phase = machine.failed ? "failed" : asOf - machine.rentedAt >= bootMs ? "running" : "booting";
                 list.addObject()
                         .put("id", id)
                         .put("address", addresses.apply(id))
--- a/src/test/java/io/quartzgw/simulation/SimulatedNetwork.java
+++ b/src/test/java/io/quartzgw/simulation/SimulatedNetwork.java
@@ -17,13 +17,14 @@
 
 /**
  * The network between controllers, agents, state service and cloud, with its faults. Without a fault a message takes 1
- * to 3 ms. A sender hears of a request that gets no response in time as lost, whether or not it is carried out.
+ * to 3 ms. A request that gets no response within its timeout is reported to its sender as lost, whether or not the
+ * receiver handles it.
  */
 public final class SimulatedNetwork {
     private static final int BASE_SPREAD_MS = 3;
     private static final int HEAL_SPREAD_MS = 20;
     private static final int MIN_DUPLICATE_DELAY_MS = 1_000;
-    /** A duplicate comes by up to so many leases late. */
+    /** The longest additional delay of a duplicate, in agent leases. */
     private static final int MAX_DUPLICATE_DELAY_LEASES = 3;
 
     private static final int MIN_TRANSACTION_DELAY_MS = 2_000;
@@ -39,7 +40,7 @@
     private final NetworkPartitions partitions = new NetworkPartitions();
     private final Set<String> inboundBlocked = new HashSet<>();
     private final Set<String> heartbeatsBlocked = new HashSet<>();
-    /** By machine whose direct calls are held back, those calls in the order in which they were sent. */
+    /** Delayed direct calls in the order sent, by the machine whose direct calls are delayed. */
     private final Map<String, List<DelayedCall>> delayedCalls = new HashMap<>();
 
     private double delayedTransactionShare;
@@ -48,15 +49,15 @@
     private long maxStoreDelayMs;
     private long maxLinkDelayMs;
 
-    /** What receives requests on behalf of all hosts. */
+    /** Handles the requests that arrive at any host. */
     interface RequestHandler {
         void handle(String from, String to, Call call, Consumer<Reply> onReply);
     }
 
-    /** A direct call that is held back, and what delivers it. */
+    /** A delayed direct call, and the action that delivers it. */
     private record DelayedCall(Call call, Runnable arrival) {}
 
-    /** What was drawn for one request: its delays, and whether its response gets lost. */
+    /** The randomly drawn faults of one request: its delays, and whether its response is lost. */
     private record Transit(boolean transactionDelayed, boolean responseLost, long requestMs, long responseMs) {}
 
     SimulatedNetwork(SimulationContext context, RequestHandler handler) {
@@ -69,62 +70,62 @@
 
     // ---- faults
 
-    /** Partitions two hosts, or one from all with {@link Hosts#ALL}; packets between them are held back. */
+    /** Partitions two hosts, or one from all others with {@link Hosts#ALL}; packets between them are delayed. */
     public void partition(String one, String other) {
         partitions.partition(one, other);
     }
 
-    /** Heals a partition, and delivers the packets that were held back by any partition. */
+    /** Heals a partition, and delivers the packets delayed by any partition. */
     public void heal(String one, String other) {
         partitions.heal(one, other).forEach(packet -> events.scheduleAfter(1 + random.nextInt(HEAL_SPREAD_MS), packet));
     }
 
-    /** Heals a partition whose packets are lost for good: both sides had given up and closed the connections. */
+    /** Heals a partition and drops its packets, as if both sides had timed out and closed the connections. */
     public void healDroppingPackets(String one, String other) {
         partitions.healDroppingPackets(one, other);
     }
 
-    /** Sets the share of transactions that the state service carries out by seconds late. */
+    /** Sets the share of transactions that reach the state service seconds late. */
     public void delayTransactionShare(double share) {
         delayedTransactionShare = share;
     }
 
-    /** Sets the share of transactions that are carried out at once and whose response is lost. */
+    /** Sets the share of transactions that are applied without delay and whose response is lost. */
     public void loseTransactionResponses(double share) {
         lostTransactionResponseShare = share;
     }
 
-    /** Sets the longest additional time that the state service takes for a response. */
+    /** Sets the maximum additional delay of responses from the state service. */
     public void delayStoreUpTo(long maxMs) {
         maxStoreDelayMs = maxMs;
     }
 
-    /** Sets the longest additional time that messages between controllers and machines take, each way. */
+    /** Sets the maximum additional delay of messages between controllers and machines, in each direction. */
     public void delayLinksUpTo(long maxMs) {
         maxLinkDelayMs = maxMs;
     }
 
-    /** Sets the share of direct commands that are delayed by seconds, or whose responses are. */
+    /** Sets the share of direct calls that are delayed by seconds, either the request or the response. */
     public void delayCommandShare(double share) {
         commandDelays.setDelayedShare(share);
     }
 
-    /** Delays every direct command by up to a time, whether or not its sender still waits. */
+    /** Delays every direct call by up to the given time, which may exceed the sender's timeout. */
     public void delayCommandsUpTo(long maxMs) {
         commandDelays.setMaxDelay(maxMs);
     }
 
-    /** Holds a share of the direct commands up, each by up to a time that may be minutes. */
+    /** Delays a share of the direct calls by up to the given time, which may be minutes. */
     public void holdUpCommandShare(double share, long maxMs) {
         commandDelays.setLongDelays(share, maxMs);
     }
 
-    /** Sets the share of heartbeats, messages between controllers and user requests that arrive again, late. */
+    /** Sets the share of heartbeats, messages between controllers and user requests that are duplicated. */
     public void duplicateMessageShare(double share) {
         duplicateShare = share;
     }
 
-    /** Blocks the heartbeats of a machine: it can open no connection. Commands reach it, and are answered. */
+    /** Blocks the heartbeats of a machine, which can open no connections. Direct calls still work both ways. */
     public void setHeartbeatsBlocked(String machine, boolean on) {
         if (on) {
             heartbeatsBlocked.add(machine);
@@ -133,7 +134,7 @@
         }
     }
 
-    /** Blocks what is sent to a machine while its heartbeats arrive; commands are held back and arrive late. */
+    /** Blocks a machine's inbound traffic while its heartbeats arrive; direct calls are delayed until it ends. */
     public void setInboundBlocked(String machine, boolean on) {
         if (on) {
             inboundBlocked.add(machine);
@@ -143,27 +144,27 @@
         }
     }
 
-    /** Holds direct calls to a machine back; heartbeats and their responses pass. */
+    /** Delays direct calls to a machine until {@link #deliverHeldCommands}; heartbeats and their responses pass. */
     public void holdCommands(String machine) {
         delayedCalls.putIfAbsent(machine, new ArrayList<>());
     }
 
-    /** Whether direct calls to a machine are held back. */
+    /** Whether direct calls to a machine are delayed. */
     public boolean holdsCommands(String machine) {
         return delayedCalls.containsKey(machine);
     }
 
-    /** Delivers the direct calls to a machine that were held back, in their order, and holds none from now on. */
+    /** Delivers the delayed direct calls to a machine in the order sent, and delays none from now on. */
     public void deliverHeldCommands(String machine) {
-        delayedCalls.remove(machine).forEach(command -> command.arrival.run());
+        delayedCalls.remove(machine).forEach(delayed -> delayed.arrival.run());
     }
 
-    /** The tasks of a job whose start is in a direct call that is held back, by the machine that it is sent to. */
+    /** The tasks of a job whose start command is in a delayed direct call, by the machine that the call is sent to. */
     public Map<String, Set<String>> heldStarts(String job) {
         Map<String, Set<String>> starts = new TreeMap<>();
-        delayedCalls.forEach((machine, commands) -> {
+        delayedCalls.forEach((machine, calls) -> {
             Set<String> tasks = new TreeSet<>();
-            commands.forEach(command -> tasks.addAll(startedTasks(command.call, job)));
+            calls.forEach(delayed -> tasks.addAll(startedTasks(delayed.call, job)));
             if (!tasks.isEmpty()) {
                 starts.put(machine, tasks);
             }
@@ -174,9 +175,9 @@
     private static List<String> startedTasks(Call call, String job) {
         List<String> tasks = new ArrayList<>();
         if (call.path().equals(COMMANDS_PATH)) {
-            for (JsonNode order : Json.readOrNull(call.body()).path("orders")) {
-                String task = order.path("shard").asText();
-                if (order.path("verb").asText().equals("run") && task.startsWith(job + "/")) {
+            for (JsonNode command : Json.readOrNull(call.body()).path("orders")) {
+                String task = command.path("shard").asText();
+                if (command.path("verb").asText().equals("run") && task.startsWith(job + "/")) {
                     tasks.add(task);
                 }
             }
@@ -230,12 +231,12 @@
         return new Transit(transactionDelayed, responseLost, requestMs, responseMs);
     }
 
-    /** The time that a message takes without any fault. */
+    /** Draws the delay of a message without faults. */
     long baseDelay() {
         return 1L + random.nextInt(BASE_SPREAD_MS);
     }
 
-    /** Draws the additional time of a message between a controller and a machine. */
+    /** Draws the additional delay of a message between a controller and a machine. */
     long linkDelay() {
         return upTo(maxLinkDelayMs);
     }
@@ -244,7 +245,7 @@
         return maxMs > 0 ? random.nextLong(maxMs) : 0;
     }
 
-    /** Lets a message perhaps arrive again, by a second to some leases late; nobody waits for its response. */
+    /** Delivers duplicates of a share of messages, from 1 s to several leases late; responses to them are ignored. */
     void maybeDuplicate(Runnable arrival) {
         if (duplicateShare > 0 && random.nextDouble() < duplicateShare) {
             events.scheduleAfter(
@@ -264,7 +265,7 @@
         return heartbeatsBlocked.contains(machine);
     }
 
-    /** Holds a packet back until a partition heals. */
+    /** Delays a packet until a partition is healed. */
     void delayUntilHealed(String from, String to, Runnable arrival) {
         partitions.delayUntilHealed(from, to, arrival);
     }
--- a/src/test/java/io/quartzgw/simulation/SimulatedStore.java
+++ b/src/test/java/io/quartzgw/simulation/SimulatedStore.java
@@ -16,20 +16,20 @@
 import java.util.function.Consumer;
 
 /**
- * The state service as its protocol describes it: keys with revisions, guarded transactions, leases and watches. Time
- * is handed in by callers.
+ * The state service, as specified by its protocol: keys with revisions, guarded transactions, leases and watches.
+ * Callers supply the time.
  */
 public final class SimulatedStore {
     private static final StoreLimits DEFAULT_LIMITS = new StoreLimits(300, 120, 8192, 16);
     private static final int MAX_TRANSACTION_BYTES = 64 * 1024;
-    /** A transaction may have so many guards for each of its changes that the limits allow. */
+    /** The maximum number of guards of a transaction, per write that the limits allow. */
     private static final int MAX_GUARDS_PER_WRITE = 4;
 
     private final Map<Long, Lease> leases = new HashMap<>();
     private final StoreWatches watches = new StoreWatches();
     private final StoreEntries entries = new StoreEntries(watches);
     private final StoreLimits limits;
-    /** The changes that the service still takes; empty when it takes all. */
+    /** Limits the writes per second; empty when their rate is unlimited. */
     private final Optional<TokenBucket> writeBudget;
 
     private int rejectedTransactions;
@@ -51,13 +51,13 @@
         }
     }
 
-    /** A service that takes as many changes as come. */
+    /** Creates a state service with an unlimited rate of writes. */
     public SimulatedStore() {
         this.limits = DEFAULT_LIMITS;
         this.writeBudget = Optional.empty();
     }
 
-    /** A service that rejects transactions beyond its limits. */
+    /** Creates a state service that rejects transactions beyond its limits, also beyond the rate of writes. */
     SimulatedStore(StoreLimits limits) {
         this.limits = limits;
         this.writeBudget = Optional.of(new TokenBucket(limits.writesPerS(), 0));
@@ -67,14 +67,17 @@
         return limits;
     }
 
-    /** How many transactions were rejected because they exceeded the rate of changes. */
+    /** The number of transactions that were rejected because they exceeded the rate of writes. */
     public int rejectedTransactions() {
         return rejectedTransactions;
     }
 
     // ---- faults
 
-    /** Begins or ends an outage, which rejects all but open watches; after it every lease has its full time again. */
+    /**
+     * Begins or ends an outage. During it all requests are rejected and open watches stay open; at its end every lease
+     * is renewed.
+     */
     public void setOutage(boolean on) {
         if (outage && !on) {
             leases.values().forEach(lease -> lease.renew(now));
@@ -82,7 +85,7 @@
         outage = on;
     }
 
-    /** Pauses watches, or resumes them: none is answered meanwhile, while all other requests are. */
+    /** Pauses or resumes watches. While paused they get no response; all other requests do. */
     public void setWatchesPaused(boolean on) {
         watches.setPaused(on);
     }
@@ -92,14 +95,14 @@
         watches.abort(unavailable());
     }
 
-    /** Forgets all changes so far: a watch from before them is rejected as outdated. */
+    /** Discards the history of changes: a watch from an earlier revision is rejected as outdated. */
     public void compactHistory() {
         watches.compact();
     }
 
     // ---- state
 
-    /** The value of a key; null when there is none. */
+    /** The value of a key; null when the key doesn't exist. */
     public JsonNode value(String key) {
         return entries.value(key).orElse(null);
     }
@@ -112,12 +115,12 @@
         entries.apply(write);
     }
 
-    /** How many keys have a prefix. */
+    /** The number of keys with a prefix. */
     public int count(String prefix) {
         return entries.count(prefix);
     }
 
-    /** Lets leases expire and answers watches up to a time. */
+    /** Advances the clock: expires leases and responds to watches that are due. */
     public void advanceTo(long time) {
         now = time;
         if (outage) {
@@ -238,26 +241,26 @@
         return false;
     }
 
-    private boolean takeFromWriteBudget(int changes) {
-        if (writeBudget.isEmpty() || changes == 0) {
+    private boolean takeFromWriteBudget(int writes) {
+        if (writeBudget.isEmpty() || writes == 0) {
             return true;
         }
         TokenBucket budget = writeBudget.get();
-        if (budget.waitMsFor(changes, now) > 0) {
+        if (budget.waitMsFor(writes, now) > 0) {
             return false;
         }
-        budget.take(changes, now);
+        budget.take(writes, now);
         return true;
     }
 
     // ---- HTTP
 
-    /** The reply of a service that is out. */
+    /** The response during an outage. */
     static Reply unavailable() {
         return reply(503, Json.object().put("error", "trouble"));
     }
 
-    /** The parameters of a request's query. */
+    /** Parses the query parameters of a request. */
     static Map<String, String> query(URI uri) {
         Map<String, String> query = new HashMap<>();
         for (String pair : uri.getQuery().split("&", -1)) {
--- a/src/test/java/io/quartzgw/simulation/SimulatedUsers.java
+++ b/src/test/java/io/quartzgw/simulation/SimulatedUsers.java
@@ -12,17 +12,17 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 
-/** Users, who submit, query and cancel jobs at any controller; the invariants are checked with each response. */
+/** Users who submit, query and cancel jobs at any controller; the invariants are checked on each response. */
 public final class SimulatedUsers {
     private static final long TIMEOUT_MS = 5_000;
     private static final long RETRY_DELAY_MS = 1_000;
     private static final int MIN_QUERY_DELAY_MS = 2_000;
     private static final int QUERY_DELAY_SPREAD_MS = 1_000;
-    /** Within such a time after its last task a job is cancelled, while its end is being written. */
+    /** Jobs are cancelled within this time after their last task ended, while the terminal state is being written. */
     private static final int CANCEL_AT_END_SPREAD_MS = 60;
 
     private static final int CANCEL_SPREAD_MS = 200;
-    /** One in so many submissions is repeated beside invalid requests. */
+    /** One in N submissions is repeated when invalid requests are sent. */
     private static final int REPEAT_ONE_IN_N = 4;
 
     private static final String JOBS_PATH = "/submissions";
@@ -53,12 +53,12 @@
 
     // ---- single requests
 
-    /** Sends a request without a body to a controller; its reply is lost when there is none within 5 s. */
+    /** Sends a request without a body to a controller; without a reply within 5 s it is reported as lost. */
     public void sendRequest(int controller, String method, String path, Consumer<Reply> onReply) {
         send(controller, method, Call.get(UNUSED_ENDPOINT, path, TIMEOUT_MS), onReply);
     }
 
-    /** Sends a request with a JSON body to a controller; its reply is lost when there is none within 5 s. */
+    /** Sends a request with a JSON body to a controller; without a reply within 5 s it is reported as lost. */
     public void sendRequest(int controller, String method, String path, JsonNode body, Consumer<Reply> onReply) {
         send(controller, method, Call.post(UNUSED_ENDPOINT, path, body, TIMEOUT_MS), onReply);
     }
@@ -76,19 +76,19 @@
                         reply -> events.scheduleAfter(1, () -> firstReply.accept(reply))));
     }
 
-    /** Queries a job at one controller, once. */
+    /** Queries a job at one controller, without retries. */
     public void queryJob(int controller, String job, Consumer<Reply> onReply) {
         long sentAt = events.now();
         sendRequest(controller, "GET", jobPath(job), reply -> receive(job, reply, sentAt, onReply));
     }
 
-    /** Cancels a job at one controller, once. */
+    /** Cancels a job at one controller, without retries. */
     public void cancelJob(int controller, String job, Consumer<Reply> onReply) {
         invariants.recordCancellationRequest(job);
         postForJob(controller, job, cancelPath(job), Json.object(), onReply);
     }
 
-    /** Submits a job at one controller, once; also to repeat an earlier submission. */
+    /** Submits a job at one controller, without retries; also used to repeat an earlier submission. */
     public void submitOnce(int controller, JsonNode spec, Consumer<Reply> onReply) {
         recordSubmission(spec);
         postForJob(controller, spec.path("id").asText(), JOBS_PATH, spec, onReply);
@@ -123,19 +123,19 @@
         invariants.recordSubmission(spec);
     }
 
-    /** The spec of a job that was submitted. */
+    /** The spec of a submitted job; empty when the job was not submitted. */
     public Optional<JsonNode> submittedSpec(String job) {
         return jobs.find(job);
     }
 
-    // ---- jobs that users follow to their end
+    // ---- requests with retries
 
-    /** Submits a job until it is accepted, and queries it from then on. */
+    /** Submits a job, retries until it is accepted, and then queries it repeatedly. */
     public void submitUntilAccepted(JsonNode spec) {
         submitUntilAccepted(spec, OptionalLong.empty());
     }
 
-    /** Submits a job until it is accepted, queries it from then on, and perhaps cancels it at a time. */
+    /** Does the same, and also cancels the job at the given time, if any. */
     public void submitUntilAccepted(JsonNode spec, OptionalLong cancelAt) {
         recordSubmission(spec);
         String job = spec.path("id").asText();
@@ -177,9 +177,9 @@
         });
     }
 
-    // ---- disturbances
+    // ---- faults
 
-    /** Sets the share of jobs that are cancelled at the moment when their last task ends. */
+    /** Sets the share of jobs that are cancelled shortly after their last task has ended. */
     public void cancelJobsAtLastTaskEnd(double share) {
         cancelAtEndShare = share;
     }
@@ -190,7 +190,7 @@
         }
     }
 
-    /** Cancels a number of the running jobs, all within a moment. */
+    /** Cancels up to the given number of running jobs, all within a fraction of a second. */
     public void cancelRunningJobs(int count) {
         List<String> running = invariants.runningJobs();
         for (String job : running.subList(0, Math.min(count, running.size()))) {
@@ -199,8 +199,8 @@
     }
 
     /**
-     * Sends what is no job or can never run, repeats submissions that were accepted, and queries and cancels a job that
-     * nobody submitted.
+     * Submits invalid jobs and jobs that can never run, repeats some earlier submissions, and queries and cancels a job
+     * that was not submitted.
      */
     public void sendInvalidRequests() {
         for (JsonNode spec : jobs.all()) {
--- a/src/test/java/io/quartzgw/simulation/SingleReply.java
+++ b/src/test/java/io/quartzgw/simulation/SingleReply.java
@@ -3,7 +3,7 @@
 import io.quartzgw.http.Reply;
 import java.util.function.Consumer;
 
-/** Passes on the first reply to a request, be it the response or a timeout, and ignores those that come later. */
+/** Passes on the first reply to a request, either the response or a timeout, and ignores later ones. */
 final class SingleReply implements Consumer<Reply> {
     private final Consumer<Reply> receiver;
     private boolean received;
--- a/src/test/java/io/quartzgw/simulation/StoreEntries.java
+++ b/src/test/java/io/quartzgw/simulation/StoreEntries.java
@@ -18,14 +18,14 @@
     private final TreeMap<String, Entry> entries = new TreeMap<>();
     private final StoreWatches watches;
 
-    /** A key's value; it is deleted with its lease, where it has one. */
+    /** The value of a key. An entry with a lease is deleted when the lease ends. */
     private record Entry(JsonNode value, long revision, OptionalLong lease) {
         boolean hasLease(long id) {
             return lease.isPresent() && lease.getAsLong() == id;
         }
     }
 
-    /** @param watches is told of all changes, and counts the revisions */
+    /** @param watches records all changes, and holds the current revision */
     StoreEntries(StoreWatches watches) {
         this.watches = watches;
     }
@@ -46,7 +46,7 @@
                 : SimulatedStore.reply(200, entryNode(key, entry));
     }
 
-    /** Lists the keys with a prefix, in order, a page at a time. */
+    /** Lists a page of the keys with a prefix, in order. */
     Reply list(Map<String, String> query) {
         String prefix = query.get("starts");
         String since = query.getOrDefault("since", "");
@@ -75,7 +75,7 @@
         return node;
     }
 
-    /** The keys whose revision is not the one that a guard expects. */
+    /** The keys whose revision differs from the one expected by a guard. */
     ArrayNode failedGuards(JsonNode guards) {
         ArrayNode failed = Json.object().putArray("failed");
         for (JsonNode guard : guards) {
@@ -89,7 +89,7 @@
         return failed;
     }
 
-    /** Applies one write of a transaction in the present revision. */
+    /** Applies one write of a transaction at the current revision. */
     void apply(JsonNode write) {
         if (write.has("drop")) {
             delete(write.path("drop").asText());
@@ -109,7 +109,7 @@
         }
     }
 
-    /** Deletes the keys of a lease, in a revision of their own. */
+    /** Deletes all keys of a lease, in a new revision. */
     void deleteKeysOfLease(long lease) {
         List<String> keys = entries.entrySet().stream()
                 .filter(entry -> entry.getValue().hasLease(lease))
--- a/src/test/java/io/quartzgw/simulation/StoreRejections.java
+++ b/src/test/java/io/quartzgw/simulation/StoreRejections.java
@@ -11,8 +11,8 @@
 import java.util.function.Consumer;
 
 /**
- * A fault of the state service towards single controllers: it rejects their requests while it serves the others. The
- * responses to watches that such a controller had open wait until the fault is over.
+ * A fault in which the state service rejects the requests of some controllers and serves the others. Responses to
+ * watches that a rejected controller opened earlier are delayed until the fault ends.
  */
 final class StoreRejections {
     private final SimulatedStore store;
@@ -35,7 +35,7 @@
         }
     }
 
-    /** Serves a request to the state service, unless its sender is rejected. */
+    /** Passes a request on to the state service, or rejects it if its sender is rejected. */
     void handle(String from, Call call, long now, Consumer<Reply> onReply) {
         if (rejected.contains(from)) {
             onReply.accept(SimulatedStore.unavailable());
@@ -43,7 +43,7 @@
         }
         store.handle(call, now, reply -> {
             if (rejected.contains(from)) {
-                // Sent before the fault began: an open watch.
+                // The request was sent before the fault began: it is an open watch.
                 delayedResponses.computeIfAbsent(from, key -> new ArrayList<>()).add(() -> onReply.accept(reply));
             } else {
                 onReply.accept(reply);
--- a/src/test/java/io/quartzgw/simulation/StoreWatches.java
+++ b/src/test/java/io/quartzgw/simulation/StoreWatches.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** The history of changes in the simulated state service, and the open watches (long polls) that wait for more. */
+/** The history of changes in the simulated state service, and the open watches (long polls) for further changes. */
 final class StoreWatches {
     private static final int GONE = 410;
 
@@ -27,10 +27,10 @@
      */
     record Change(String key, Optional<JsonNode> value, long revision) {}
 
-    /** A request for all changes of keys with a prefix after a revision; answered without any at its deadline. */
+    /** A request for all changes of keys with a prefix after a revision; at its deadline it gets an empty response. */
     record Watch(String prefix, long sinceRevision, long deadline, Consumer<Reply> onReply) {}
 
-    /** The revision of the state service: it grows by one with each transaction that changes keys. */
+    /** The revision of the state service, which is incremented by each change: a transaction or the end of a lease. */
     long revision() {
         return revision;
     }
@@ -40,18 +40,18 @@
         return ++revision;
     }
 
-    /** Adds a change of the present revision. */
+    /** Records a change at the current revision. */
     void add(String key, Optional<JsonNode> value) {
         history.add(new Change(key, value, revision));
     }
 
-    /** Forgets all changes so far; watches from before them are rejected. */
+    /** Discards the history; watches from an earlier revision are rejected. */
     void compact() {
         history.clear();
         compactedTo = revision;
     }
 
-    /** Leaves all watches open while paused. */
+    /** Pauses or resumes watches; while paused, none gets a response. */
     void setPaused(boolean on) {
         paused = on;
     }
@@ -63,7 +63,7 @@
         open.forEach(watch -> watch.onReply.accept(error));
     }
 
-    /** Answers a watch at once when there are changes for it, and leaves it open otherwise. */
+    /** Responds to a watch immediately if it has changes, and leaves it open otherwise. */
     void open(Watch watch) {
         if (watch.sinceRevision < compactedTo) {
             watch.onReply.accept(SimulatedStore.reply(GONE, Json.object()));
@@ -74,7 +74,7 @@
         }
     }
 
-    /** Answers the open watches that have changes or have reached their deadline. */
+    /** Responds to the open watches that have changes or have reached their deadline. */
     void advanceTo(long now) {
         if (paused) {
             return;
--- a/src/test/java/io/quartzgw/simulation/SubmittedJobs.java
+++ b/src/test/java/io/quartzgw/simulation/SubmittedJobs.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The specs of all jobs that users have submitted, from which agents learn how tasks run. */
+/** The specs of all jobs submitted by users; agents derive from them how tasks run. */
 final class SubmittedJobs {
     private static final double SECONDS_PER_IMAGE_GB = 0.5;
 
@@ -24,7 +24,7 @@
         return List.copyOf(specs.values());
     }
 
-    /** How the tasks of a job run; empty when nobody submitted it. */
+    /** How the tasks of a job run; empty when the job was not submitted. */
     Optional<SimulatedAgent.Description> description(String job) {
         return find(job)
                 .map(spec -> new SimulatedAgent.Description(
