--- a/src/test/java/io/quartzgw/app/DecisionDigestTest.java
+++ b/src/test/java/io/quartzgw/app/DecisionDigestTest.java
@@ -20,7 +20,7 @@
         "429, 13486 3e509dd6a0e01e15",
         "310494, 14195 eadf38719dd0b316"
     })
-    void controllersDecideAsBeforeThroughSingleFailures(long seed, String expected) {
+    void messageDigestUnchangedUnderSingleFailures(long seed, String expected) {
         ClusterSimulation world = new ClusterSimulation(seed, 3);
         FailureTest.runSingleFailures(world, seed);
         assertEquals(expected, world.messageDigest());
@@ -33,7 +33,7 @@
         "13, 14754 5e2f93a7773a3efe",
         "40, 25733 cae2fe0cc2010179"
     })
-    void controllersDecideAsBeforeUnderConcurrentFaults(long seed, String expected) {
+    void messageDigestUnchangedUnderConcurrentFaults(long seed, String expected) {
         ClusterSimulation world = new ClusterSimulation(seed, 3);
         FailureTest.runConcurrentFaults(world, seed);
         assertEquals(expected, world.messageDigest());
--- a/src/test/java/io/quartzgw/app/ScaleTest.java
+++ b/src/test/java/io/quartzgw/app/ScaleTest.java
@@ -15,23 +15,23 @@
     private static final int MACHINES = 1_700;
     private static final int SERVICES = 30;
     private static final int REPLICAS = 50;
-    private static final int BURST = 60;
+    private static final int BURST_JOBS = 60;
     private static final int ARRAYS = 20;
-    private static final int TASKS = 10;
+    private static final int TASKS_PER_ARRAY = 10;
     /** A task of this size fills a machine of the cheaper type. */
-    private static final double CPUS = 16;
+    private static final double CPUS_PER_TASK = 16;
 
     // Work must not grow with the square of the fleet: a scheduling pass, a heartbeat or a takeover may look at
     // every machine or job once, but not for each other one.
     @Test
-    void startsAndTakeoverOfALargeFleetTakeBoundedWork() {
+    void largeFleetRequiresBoundedWorkForStartsAndTakeover() {
         ClusterSimulation simulation =
                 ClusterSimulation.builder(3).machines(MACHINES).agentStepMs(500).build();
         for (int i = 0; i < SERVICES; i++) {
             String id = JobRequests.id(i);
-            simulation.schedule(
-                    1_000 + 50 * i,
-                    () -> simulation.users().submitUntilAccepted(JobRequests.service(id, "blue", REPLICAS, CPUS)));
+            simulation.schedule(1_000 + 50 * i, () -> simulation
+                    .users()
+                    .submitUntilAccepted(JobRequests.service(id, "blue", REPLICAS, CPUS_PER_TASK)));
         }
         simulation.runUntil(60_000);
         assertEquals(
@@ -44,42 +44,43 @@
                 simulation.counter("placement.looks") < 40 * started, simulation.counter("placement.looks") + " looks");
         assertTrue(simulation.counter("orders.calls") < 5 * started, simulation.counter("orders.calls") + " orders");
 
-        assertSteadyLoadTakesLittleWork(simulation);
-        assertTakeoverWithSilentMachinesKeepsTasks(simulation);
-        assertPlanningABurstTakesBoundedWork(simulation);
+        assertSteadyLoadRequiresLittleWork(simulation);
+        assertTakeoverWithUnresponsiveMachinesKeepsTasks(simulation);
+        assertPlanningOfBurstRequiresBoundedWork(simulation);
     }
 
     // The leader would lose its lease: a plan that looks at each machine for each waiting task takes seconds.
-    private void assertPlanningABurstTakesBoundedWork(ClusterSimulation simulation) {
+    private void assertPlanningOfBurstRequiresBoundedWork(ClusterSimulation simulation) {
         long looks = simulation.counter("fleet.looks");
         long plans = simulation.counter("fleet.plans");
-        for (int i = 0; i < BURST; i++) {
+        for (int i = 0; i < BURST_JOBS; i++) {
             simulation
                     .users()
-                    .submitUntilAccepted(JobRequests.array(JobRequests.id(3000 + i), "blue", REPLICAS, CPUS, 20));
+                    .submitUntilAccepted(
+                            JobRequests.array(JobRequests.id(3000 + i), "blue", REPLICAS, CPUS_PER_TASK, 20));
         }
         simulation.runUntil(simulation.now() + 10_000);
         long perPlan =
                 (simulation.counter("fleet.looks") - looks) / Math.max(1, simulation.counter("fleet.plans") - plans);
         // For every job each machine that is rented or planned is looked at once at the most.
-        assertTrue(perPlan > 0 && perPlan < (long) BURST * BURST * REPLICAS, perPlan + " looks a plan");
+        assertTrue(perPlan > 0 && perPlan < (long) BURST_JOBS * BURST_JOBS * REPLICAS, perPlan + " looks a plan");
         assertEquals(List.of(), simulation.invariants().violations());
     }
 
-    private void assertSteadyLoadTakesLittleWork(ClusterSimulation simulation) {
+    private void assertSteadyLoadRequiresLittleWork(ClusterSimulation simulation) {
         long writes = simulation.counter("store.writes");
         long read = simulation.counter("reports.read");
         for (int i = 0; i < ARRAYS; i++) {
             String id = JobRequests.id(1000 + i);
-            simulation.schedule(
-                    simulation.now() + 1_000L * i,
-                    () -> simulation.users().submitUntilAccepted(JobRequests.array(id, "blue", TASKS, CPUS, 10)));
+            simulation.schedule(simulation.now() + 1_000L * i, () -> simulation
+                    .users()
+                    .submitUntilAccepted(JobRequests.array(id, "blue", TASKS_PER_ARRAY, CPUS_PER_TASK, 10)));
         }
         simulation.runUntil(simulation.now() + 60_000);
         for (int i = 0; i < ARRAYS; i++) {
             assertEquals(Optional.of("done"), simulation.invariants().finalPhase(JobRequests.id(1000 + i)));
         }
-        long tasks = ARRAYS * TASKS;
+        long tasks = ARRAYS * TASKS_PER_ARRAY;
         assertTrue(
                 simulation.counter("store.writes") - writes < 2 * tasks,
                 simulation.counter("store.writes") - writes + " changes");
@@ -89,7 +90,7 @@
                 simulation.counter("reports.read") - read + " reports read");
     }
 
-    private void assertTakeoverWithSilentMachinesKeepsTasks(ClusterSimulation simulation) {
+    private void assertTakeoverWithUnresponsiveMachinesKeepsTasks(ClusterSimulation simulation) {
         List<String> machines = simulation.agents().machineIds();
         List<String> silent = new ArrayList<>();
         for (int i = 0; i < machines.size(); i += 10) {
@@ -109,7 +110,9 @@
                 simulation.invariants().startCount(),
                 "what a silent machine may run is not started again before its hold ends");
         // New jobs do not wait for silent machines.
-        simulation.users().submitUntilAccepted(JobRequests.array("j-002000", "blue", TASKS, CPUS, 1));
+        simulation
+                .users()
+                .submitUntilAccepted(JobRequests.array("j-002000", "blue", TASKS_PER_ARRAY, CPUS_PER_TASK, 1));
         simulation.runUntil(simulation.now() + 8_000);
         assertEquals(Optional.of("done"), simulation.invariants().finalPhase("j-002000"));
         assertTrue(
@@ -119,7 +122,7 @@
         assertEquals(List.of(), simulation.invariants().violations());
         assertEquals(0, simulation.failedCommands());
         assertEquals(List.of(), simulation.invariants().missingReplicas(), "placed again after the hold");
-        long restarts = simulation.invariants().startCount() - before - TASKS;
+        long restarts = simulation.invariants().startCount() - before - TASKS_PER_ARRAY;
         assertTrue(
                 restarts <= silent.size(),
                 restarts + " replicas were started again for " + silent.size() + " silent machines");
--- a/src/test/java/io/quartzgw/app/StoredFormatTest.java
+++ b/src/test/java/io/quartzgw/app/StoredFormatTest.java
@@ -31,15 +31,12 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Pins what outlives a controller or crosses between two of them, as literals: the records in the state service, the
- * messages between controllers, and the names under {@code /metrics}.
+ * Pins, as literals, what versions of the controller share: records in the state service, messages between controllers,
+ * and the names under {@code /metrics}.
  *
- * <p>A new version is started on the records of the old one, and runs beside it while controllers are replaced one by
- * one. So the literals here are not the program's to choose again: a change of names in the program must leave them as
- * they are, and a test that fails here after a refactoring shows a cluster that could not be upgraded. Only a new
- * version of the format, which reads the old one as well, adds literals; it removes none that may still be stored.
- *
- * <p>One whole controller runs in simulated time; the test plays everything around it and uses no codec of it.
+ * <p>A new version starts on the old one's records and runs beside it during a rolling upgrade. A failure here after a
+ * refactoring means that a cluster could not be upgraded. Only a new format version, which also reads the old one, adds
+ * literals; it removes none that may still be stored. The tests use none of the controller's codecs.
  */
 class StoredFormatTest {
     private static final String TYPES =
@@ -75,11 +72,11 @@
              "cpus":8.0,"gpus":0.0,"ram_gb":1.0,"bundle":"img","pull_gb":1.0,
              "together":false,"scatter":false,"loaner":true,"runtime_guess_s":100.0,"snapshot_every_s":0.0,
              "snapshot_cost_s":0.0,"accepted_ms":1799999999000}""";
-    private static final String DONE = """
+    private static final String COMPLETED = """
             {"phase":"done","done":6}""";
-    private static final String WITHDRAWN = """
+    private static final String CANCELLED = """
             {"phase":"withdrawn","done":2}""";
-    /** Task 1 is done; tasks from 3 on were never started. */
+    /** Task 1 is completed; task 3 and all later ones were never started. */
     private static final String PROGRESS = """
             {"j-000001/0":"Ag==","j-000001/started":3}""";
 
@@ -87,16 +84,16 @@
             """
             {"i-000001":["small","a",false,1799999990],"i-000002":["small","a",false,1799999991],
              "i-000003":["small","b",true,1799999992],"i-000004":["small","b",false,1799999993]}""";
-    private static final String MARKS = """
+    private static final String USED_MACHINES = """
             {"i-000001":"10.1.0.1:10001"}""";
 
-    /** What a peer that has just started says. */
+    /** The message of a peer that has just started. */
     private static final String PEER_MESSAGE =
             """
             {"cancelled":{},"cancelled_whole":true,"writes_wanted":0.0,"member":"rig-1","sequence":1,"workers":0,
              "process":23,"up_ms":5000,"leading":0,"term":0,"store":true}""";
     /** The same as CBOR, byte for byte, with a cancelled job and as process 24. */
-    private static final String PEER_MESSAGE_CBOR = "bf" // an object of open length
+    private static final String PEER_MESSAGE_CBOR = "bf" // an object of indefinite length
             + "6963616e63656c6c6564" + "bf" + "686a2d303030303034" + "1905dc" + "ff" // cancelled: j-000004, 1500 ms ago
             + "6f63616e63656c6c65645f77686f6c65" + "f5" // cancelled_whole: true
             + "6d7772697465735f77616e746564" + "fb0000000000000000" // writes_wanted: 0.0
@@ -110,8 +107,8 @@
             + "6573746f7265" + "f5" // store: true
             + "ff";
 
-    private static final Set<String> COUNTS_AT_START = Set.of("failures", "store.requests", "store.writes");
-    private static final Set<String> COUNTS_OF_A_LEADER = Set.of(
+    private static final Set<String> COUNTERS_AT_START = Set.of("failures", "store.requests", "store.writes");
+    private static final Set<String> LEADER_COUNTERS = Set.of(
             "cloud.calls",
             "failures",
             "fleet.looks",
@@ -131,179 +128,182 @@
             "takeover.ms",
             "takeover.silent");
 
-    private final LoneController world = new LoneController(TYPES);
+    private final ControllerHarness harness = new ControllerHarness(TYPES);
 
     // ---- stored records: read
 
     @Test
-    void aLeaderRecordOfAnotherMemberNamesWhereWorkersAreSentAndIsWaitedFor() {
-        world.store(Map.of("types", TYPES, "lead/term", TERM));
-        world.storeHeld("lead/leader", LEADER.formatted("rig-1", 23));
-        world.start();
-        world.run(1_000);
-        Response told = world.hello(world.worker(1, "a", false));
-        assertEquals(421, told.status());
-        assertSame("{\"home_controller\":\"rig-1\"}", json(told.body()));
-        world.until(() -> world.leads(4137), "the hold of the record ends, and the next term begins");
+    void redirectsAgentsToStoredLeaderAndWaitsForItsLease() {
+        harness.storeRecords(Map.of("types", TYPES, "lead/term", TERM));
+        harness.storeWithLease("lead/leader", LEADER.formatted("rig-1", 23));
+        harness.start();
+        harness.runFor(1_000);
+        Response response = harness.heartbeat(harness.newAgent(1, "a", false));
+        assertEquals(421, response.status());
+        assertJson("{\"home_controller\":\"rig-1\"}", json(response.body()));
+        harness.runUntil(() -> harness.reportsLeading(4137), "leads the next term after the record's lease");
     }
 
     @Test
-    void aLeaderRecordOfAProcessThatIsGoneIsTakenOverAtOnce() {
-        world.store(Map.of("types", TYPES, "lead/term", TERM));
-        world.storeHeld("lead/leader", LEADER.formatted("rig-1", 23));
-        world.peer = asked -> peerMessage("\"process\":24");
-        world.start();
-        world.run(1_500);
-        assertTrue(world.leads(4137), "the peer answers as another process than the record names");
+    void takesOverAtOnceIfStoredLeaderProcessIsGone() {
+        harness.storeRecords(Map.of("types", TYPES, "lead/term", TERM));
+        harness.storeWithLease("lead/leader", LEADER.formatted("rig-1", 23));
+        harness.peer = sent -> peerMessage("\"process\":24");
+        harness.start();
+        harness.runFor(1_500);
+        assertTrue(harness.reportsLeading(4137), "the peer responds as another process");
     }
 
     @Test
-    void aLeaderRecordOfThisProcessIsLedWithAndItsHoldExtended() {
-        world.store(Map.of("types", TYPES, "lead/term", TERM));
-        world.storeHeld("lead/leader", LEADER.formatted("rig-0", 17));
-        world.start();
-        world.run(3_000);
-        assertTrue(world.leads(41), "a campaign whose answer was lost has won");
-        assertTrue(world.called("/holds/1/extend"));
+    void leadsByOwnStoredLeaderRecordAndExtendsItsLease() {
+        harness.storeRecords(Map.of("types", TYPES, "lead/term", TERM));
+        harness.storeWithLease("lead/leader", LEADER.formatted("rig-0", 17));
+        harness.start();
+        harness.runFor(3_000);
+        assertTrue(harness.reportsLeading(41), "won an election whose response was lost");
+        assertTrue(harness.hasCalled("/holds/1/extend"));
     }
 
     @Test
-    void endsInTheStoreAreToldToUsers() {
-        world.store(Map.of("types", TYPES, "over/j-000001", DONE, "over/j-000002", WITHDRAWN));
-        world.start();
-        world.run(1_000);
-        assertSame("{\"id\":\"j-000001\",\"phase\":\"done\",\"done\":6,\"running\":0}", world.poll("j-000001"));
-        assertSame("{\"id\":\"j-000002\",\"phase\":\"withdrawn\",\"done\":2,\"running\":0}", world.poll("j-000002"));
+    void reportsStoredTerminalStates() {
+        harness.storeRecords(Map.of("types", TYPES, "over/j-000001", COMPLETED, "over/j-000002", CANCELLED));
+        harness.start();
+        harness.runFor(1_000);
+        assertJson("{\"id\":\"j-000001\",\"phase\":\"done\",\"done\":6,\"running\":0}", harness.job("j-000001"));
+        assertJson("{\"id\":\"j-000002\",\"phase\":\"withdrawn\",\"done\":2,\"running\":0}", harness.job("j-000002"));
     }
 
     @Test
-    void typesInTheStoreAreUsedWhileTheCloudIsAway() {
-        world.store(Map.of("types", TYPES));
-        world.cloudAway = true;
-        world.start();
-        world.run(1_000);
-        assertEquals(201, world.submit(ARRAY).status());
-        assertEquals(422, world.submit(with(GANG, "\"cpus\":8.5")).status(), "larger than the type");
-        assertEquals(422, world.submit(with(GANG, "\"yard\":\"c\"")).status(), "where the type is not rented out");
+    void usesStoredMachineTypesDuringCloudOutage() {
+        harness.storeRecords(Map.of("types", TYPES));
+        harness.cloudOutage = true;
+        harness.start();
+        harness.runFor(1_000);
+        assertEquals(201, harness.submit(ARRAY).status());
+        assertEquals(422, harness.submit(with(GANG, "\"cpus\":8.5")).status(), "more CPUs than the machine type has");
+        assertEquals(422, harness.submit(with(GANG, "\"yard\":\"c\"")).status(), "no such machine type in the zone");
     }
 
     @Test
-    void aMarkedMachineIsAskedAtItsAddressAndStartedTasksWaitForItWhileOthersStartElsewhere() {
-        storeState(world);
-        world.start();
-        world.add(world.worker(2, "a", false));
-        world.run(5_000);
-        assertTrue(world.leads(4137));
-        assertFalse(world.ordersTo("10.1.0.1:10001").isEmpty(), "the address in the mark is asked");
-        assertEquals(Set.of("j-000001/3", "j-000001/4", "j-000001/5"), world.starts.keySet());
-        world.add(world.worker(1, "a", false));
-        world.run(5_000);
+    void contactsUsedMachineAtStoredAddressBeforeRestartingItsTasks() {
+        storeJobAndMachines(harness);
+        harness.start();
+        harness.addAgent(harness.newAgent(2, "a", false));
+        harness.runFor(5_000);
+        assertTrue(harness.reportsLeading(4137));
+        assertFalse(harness.directCallsTo("10.1.0.1:10001").isEmpty(), "calls the stored address");
+        assertEquals(Set.of("j-000001/3", "j-000001/4", "j-000001/5"), harness.startedOn.keySet());
+        harness.addAgent(harness.newAgent(1, "a", false));
+        harness.runFor(5_000);
         assertEquals(
                 Set.of("j-000001/0", "j-000001/2", "j-000001/3", "j-000001/4", "j-000001/5"),
-                world.starts.keySet(),
-                "the silent machine has nothing; task 1 is done");
-        world.assertNoFailures();
+                harness.startedOn.keySet(),
+                "machine 1 runs no task; task 1 is completed");
+        harness.assertNoFailures();
     }
 
     @Test
-    void openJobsOfEveryShapeAndUrgencyAreStartedWhereTheirRecordsAllow() {
-        world.store(Map.of("types", TYPES, "lead/term", TERM, "mach/0", MACHINES));
-        world.store(Map.of("open/j-000002", GANG, "open/j-000003", SERVICE, "open/j-000004", SPOT));
-        world.listed = List.of(1, 2, 3, 4);
-        world.start();
-        world.add(world.worker(1, "a", false));
-        world.add(world.worker(2, "a", false));
-        world.add(world.worker(3, "b", true));
-        world.add(world.worker(4, "b", false));
-        world.run(8_000);
+    void startsStoredJobsOfEveryShapeAndPriorityOnAllowedMachines() {
+        harness.storeRecords(Map.of("types", TYPES, "lead/term", TERM, "mach/0", MACHINES));
+        harness.storeRecords(Map.of("open/j-000002", GANG, "open/j-000003", SERVICE, "open/j-000004", SPOT));
+        harness.listedMachines = List.of(1, 2, 3, 4);
+        harness.start();
+        harness.addAgent(harness.newAgent(1, "a", false));
+        harness.addAgent(harness.newAgent(2, "a", false));
+        harness.addAgent(harness.newAgent(3, "b", true));
+        harness.addAgent(harness.newAgent(4, "b", false));
+        harness.runFor(8_000);
         assertEquals(
-                Set.of("j-000002/0", "j-000002/1", "j-000003/0", "j-000003/1", "j-000004/0"), world.starts.keySet());
-        assertEquals("i-000003", world.starts.get("j-000004/0"), "of ordinary jobs none runs on the spot machine");
-        assertNotEquals(world.starts.get("j-000003/0"), world.starts.get("j-000003/1"), "scattered over both yards");
-        world.assertNoFailures();
+                Set.of("j-000002/0", "j-000002/1", "j-000003/0", "j-000003/1", "j-000004/0"),
+                harness.startedOn.keySet());
+        assertEquals("i-000003", harness.startedOn.get("j-000004/0"), "only the spot job uses the spot machine");
+        assertNotEquals(harness.startedOn.get("j-000003/0"), harness.startedOn.get("j-000003/1"), "uses both zones");
+        harness.assertNoFailures();
     }
 
     // ---- stored records: written
 
     @Test
-    void anElectedControllerWritesTermAndLeaderAndTypes() {
-        world.start();
-        world.run(2_000);
-        assertSame("{\"term\":4096}", world.value("lead/term"));
-        JsonNode leader = world.value("lead/leader");
+    void storesTermLeaderAndMachineTypesOnElection() {
+        harness.start();
+        harness.runFor(2_000);
+        assertJson("{\"term\":4096}", harness.stored("lead/term"));
+        JsonNode leader = harness.stored("lead/leader");
         long hold = leader.path("hold").asLong();
         assertTrue(leader.path("hold").isIntegralNumber() && hold > 0);
-        assertSame("{\"member\":\"rig-0\",\"process\":17,\"term\":4096,\"hold\":" + hold + "}", leader);
-        assertSame(TYPES, world.value("types"));
+        assertJson("{\"member\":\"rig-0\",\"process\":17,\"term\":4096,\"hold\":" + hold + "}", leader);
+        assertJson(TYPES, harness.stored("types"));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {ARRAY, GANG, SERVICE, SPOT})
-    void anAcceptedJobIsWrittenWithTheTimeOfItsAcceptance(String job) {
-        world.store(Map.of("types", TYPES));
-        world.start();
-        world.run(1_000);
-        long acceptedAt = world.wallClock();
-        assertEquals(201, world.submit(without(job, "accepted_ms")).status());
-        assertSame(
+    void storesAcceptedJobWithAcceptanceTime(String job) {
+        harness.storeRecords(Map.of("types", TYPES));
+        harness.start();
+        harness.runFor(1_000);
+        long acceptedAt = harness.wallClockMs();
+        assertEquals(201, harness.submit(without(job, "accepted_ms")).status());
+        assertJson(
                 with(job, "\"accepted_ms\":" + acceptedAt),
-                world.value("open/" + json(job).path("id").asText()));
+                harness.stored("open/" + json(job).path("id").asText()));
     }
 
     @Test
-    void anAbortedJobMovesToTheWithdrawnOnes() {
-        world.store(Map.of("types", TYPES, "open/j-000001", ARRAY));
-        world.start();
-        world.run(1_000);
-        assertEquals(200, world.abort("j-000001").status());
-        assertSame("{\"phase\":\"withdrawn\",\"done\":0}", world.value("over/j-000001"));
-        assertNull(world.value("open/j-000001"));
+    void movesCancelledJobToTerminalRecords() {
+        harness.storeRecords(Map.of("types", TYPES, "open/j-000001", ARRAY));
+        harness.start();
+        harness.runFor(1_000);
+        assertEquals(200, harness.cancel("j-000001").status());
+        assertJson("{\"phase\":\"withdrawn\",\"done\":0}", harness.stored("over/j-000001"));
+        assertNull(harness.stored("open/j-000001"));
     }
 
     @Test
-    void finishesAndStartsRewriteThePageOfProgressUntilTheJobMovesToTheDoneOnes() {
-        storeState(world);
-        world.start();
-        SimulatedAgent worker = world.worker(2, "a", false);
-        world.add(worker);
-        world.until(() -> same("{\"j-000001/0\":\"Ag==\",\"j-000001/started\":6}", world.value("prog/0")), "started");
-        world.until(() -> same("{\"j-000001/0\":\"Og==\",\"j-000001/started\":6}", world.value("prog/0")), "3, 4, 5");
-        world.add(world.worker(1, "a", false));
-        world.until(() -> world.value("over/j-000001") != null, "the last tasks are done");
-        assertSame(DONE, world.value("over/j-000001"));
-        assertNull(world.value("open/j-000001"));
-        world.assertNoFailures();
+    void updatesProgressPageUntilJobCompletes() {
+        storeJobAndMachines(harness);
+        harness.start();
+        SimulatedAgent agent = harness.newAgent(2, "a", false);
+        harness.addAgent(agent);
+        harness.runUntil(
+                () -> isJson("{\"j-000001/0\":\"Ag==\",\"j-000001/started\":6}", harness.stored("prog/0")), "started");
+        harness.runUntil(
+                () -> isJson("{\"j-000001/0\":\"Og==\",\"j-000001/started\":6}", harness.stored("prog/0")), "ended");
+        harness.addAgent(harness.newAgent(1, "a", false));
+        harness.runUntil(() -> harness.stored("over/j-000001") != null, "all tasks are completed");
+        assertJson(COMPLETED, harness.stored("over/j-000001"));
+        assertNull(harness.stored("open/j-000001"));
+        harness.assertNoFailures();
     }
 
     @Test
-    void aMachineThatIsRentedAndUsedRewritesThePagesOfMachinesAndMarks() {
-        storeState(world);
-        world.rent = 9;
-        world.start();
-        long from = world.wallClock() / 1_000;
-        world.until(() -> world.value("mach/0").has("i-000009"), "rented");
-        long rentedAt = world.value("mach/0").path("i-000009").path(3).asLong();
-        assertTrue(rentedAt > from && rentedAt <= world.wallClock() / 1_000 + 1, "in whole seconds, rounded up");
+    void updatesMachinePagesOnRentalAndFirstUse() {
+        storeJobAndMachines(harness);
+        harness.nextRental = 9;
+        harness.start();
+        long from = harness.wallClockMs() / 1_000;
+        harness.runUntil(() -> harness.stored("mach/0").has("i-000009"), "the rental is stored");
+        long rentedAt = harness.stored("mach/0").path("i-000009").path(3).asLong();
+        assertTrue(rentedAt > from && rentedAt <= harness.wallClockMs() / 1_000 + 1, "in whole seconds, rounded up");
         String rented = "{\"i-000009\":[\"small\",\"a\",false," + rentedAt + "]}";
-        assertSame(merged(MACHINES, rented), world.value("mach/0"));
-        assertSame(MARKS, world.value("used/0"));
-        world.add(world.worker(9, "a", false));
-        world.until(() -> world.value("used/0").has("i-000009"), "used");
-        assertSame(merged(MARKS, "{\"i-000009\":\"10.1.0.1:10009\"}"), world.value("used/0"));
-        world.until(() -> world.startedOn("i-000009"), "starts wait for the mark");
+        assertJson(merged(MACHINES, rented), harness.stored("mach/0"));
+        assertJson(USED_MACHINES, harness.stored("used/0"));
+        harness.addAgent(harness.newAgent(9, "a", false));
+        harness.runUntil(() -> harness.stored("used/0").has("i-000009"), "the use is stored");
+        assertJson(merged(USED_MACHINES, "{\"i-000009\":\"10.1.0.1:10009\"}"), harness.stored("used/0"));
+        harness.runUntil(() -> harness.hasStartOn("i-000009"), "started after the use is stored");
     }
 
     // ---- messages between controllers: sent
 
     @Test
-    void theFirstMessageOfAControllerSaysWhoRuns() {
-        world.start();
-        Call sent = world.messages.get(0);
+    void firstPeerMessageIdentifiesController() {
+        harness.start();
+        Call sent = harness.peerMessages.get(0);
         assertEquals("10.0.0.2:8081", sent.endpoint().toString());
         assertEquals("POST", sent.method());
         assertEquals("/peer", sent.path());
         assertEquals("application/cbor", sent.type());
-        assertSame(
+        assertJson(
                 """
                 {"cancelled":{},"cancelled_whole":true,"writes_wanted":0.0,"member":"rig-0","sequence":1,"workers":0,
                  "process":17,"up_ms":0,"leading":0,"term":0,"store":false}""",
@@ -311,15 +311,15 @@
     }
 
     @Test
-    void aLeadersMessageSaysItsTermAndCounts() {
-        storeState(world);
-        world.start();
-        world.add(world.worker(2, "a", false));
-        world.until(() -> same("[1,3]", world.lastMessage().at("/counts/jobs/j-000001")), "counted");
-        ObjectNode message = world.lastMessage();
+    void leaderMessageCarriesTermAndTaskCounts() {
+        storeJobAndMachines(harness);
+        harness.start();
+        harness.addAgent(harness.newAgent(2, "a", false));
+        harness.runUntil(() -> isJson("[1,3]", harness.lastPeerMessage().at("/counts/jobs/j-000001")), "counted");
+        ObjectNode message = harness.lastPeerMessage();
         assertTrue(message.path("writes_wanted").isDouble());
         message.put("writes_wanted", 0.0).put("sequence", 1).put("up_ms", 0);
-        assertSame(
+        assertJson(
                 """
                 {"cancelled":{},"cancelled_whole":true,"writes_wanted":0.0,"member":"rig-0","sequence":1,"workers":0,
                  "process":17,"up_ms":0,"leading":4137,"term":4137,"store":true,
@@ -328,16 +328,16 @@
     }
 
     @Test
-    void aFollowerTellsTheLeaderAtOnceOfAnAcceptedJob() {
-        follow(world);
-        long acceptedAt = world.wallClock();
-        assertEquals(201, world.submit(without(GANG, "accepted_ms")).status());
-        ObjectNode message = world.lastMessage();
+    void followerNotifiesLeaderOfAcceptedJobAtOnce() {
+        startAsFollower(harness);
+        long acceptedAt = harness.wallClockMs();
+        assertEquals(201, harness.submit(without(GANG, "accepted_ms")).status());
+        ObjectNode message = harness.lastPeerMessage();
         JsonNode notice = message.path("notice");
         assertTrue(notice.path("revision").isIntegralNumber()
                 && notice.path("revision").asLong() > 0);
         long revision = notice.path("revision").asLong();
-        assertSame(
+        assertJson(
                 "{\"revision\":" + revision + ",\"accepted\":" + with(GANG, "\"accepted_ms\":" + acceptedAt) + "}",
                 notice);
         assertEquals(
@@ -345,145 +345,146 @@
     }
 
     @Test
-    void aFollowerTellsTheLeaderAtOnceOfACancelledJob() {
-        world.store(Map.of("open/j-000001", ARRAY));
-        follow(world);
-        assertEquals(200, world.abort("j-000001").status());
-        ObjectNode message = world.lastMessage();
-        assertSame("{\"j-000001\":0}", message.path("cancelled"));
+    void followerNotifiesLeaderOfCancelledJobAtOnce() {
+        harness.storeRecords(Map.of("open/j-000001", ARRAY));
+        startAsFollower(harness);
+        assertEquals(200, harness.cancel("j-000001").status());
+        ObjectNode message = harness.lastPeerMessage();
+        assertJson("{\"j-000001\":0}", message.path("cancelled"));
         assertEquals(
                 Set.of("cancelled"),
                 difference(message, peerMessage("\"member\":\"rig-0\",\"process\":17,\"term\":41")));
     }
 
     @Test
-    void aFollowerCountsTheWorkersThatItTurnsAwayAndReaches() {
-        follow(world);
-        SimulatedAgent worker = world.worker(1, "a", false);
-        world.reachable(worker);
-        assertEquals(421, world.hello(worker).status());
-        world.until(() -> world.lastMessage().path("workers").asInt() == 1, "counted");
+    void followerReportsCountOfRedirectedReachableAgents() {
+        startAsFollower(harness);
+        SimulatedAgent agent = harness.newAgent(1, "a", false);
+        harness.makeReachable(agent);
+        assertEquals(421, harness.heartbeat(agent).status());
+        harness.runUntil(() -> harness.lastPeerMessage().path("workers").asInt() == 1, "reports the agent");
     }
 
     // ---- messages between controllers: served
 
     @Test
-    void aMessageIsAnsweredWithTheSameFieldsAndTheNamesThatItTold() {
-        follow(world);
-        Response answer = world.message(HexFormat.of().parseHex(PEER_MESSAGE_CBOR));
-        assertEquals(200, answer.status());
-        assertEquals("application/cbor", answer.type());
-        ObjectNode told = (ObjectNode) cbor(answer.body());
-        assertTrue(told.path("writes_wanted").isDouble());
-        told.put("writes_wanted", 0.0).put("sequence", 1).put("up_ms", 0);
-        assertSame(
+    void answersPeerMessageWithSameFieldsAndReceivedCancellations() {
+        startAsFollower(harness);
+        Response response = harness.sendAsPeer(HexFormat.of().parseHex(PEER_MESSAGE_CBOR));
+        assertEquals(200, response.status());
+        assertEquals("application/cbor", response.type());
+        ObjectNode message = (ObjectNode) cbor(response.body());
+        assertTrue(message.path("writes_wanted").isDouble());
+        message.put("writes_wanted", 0.0).put("sequence", 1).put("up_ms", 0);
+        assertJson(
                 """
                 {"cancelled":{"j-000004":1500},"cancelled_whole":true,"writes_wanted":0.0,"member":"rig-0","sequence":1,
                  "workers":0,"process":17,"up_ms":0,"leading":0,"term":41,"store":true}""",
-                told);
+                message);
     }
 
     @Test
-    void whatIsNoMessageOfAPeerIsRefused() {
-        world.start();
-        Response other = world.message(cbor(peerMessage("\"member\":\"rig-7\"")));
-        assertEquals(400, other.status());
-        assertSame("{\"error\":\"not a peer's message\"}", json(other.body()));
-        assertEquals(405, world.ask(ListenerKind.PEER, "GET", "/peer", null).status());
-        assertEquals(404, world.ask(ListenerKind.PEER, "GET", "/hello", null).status());
+    void rejectsInvalidPeerRequests() {
+        harness.start();
+        Response response = harness.sendAsPeer(cbor(peerMessage("\"member\":\"rig-7\"")));
+        assertEquals(400, response.status());
+        assertJson("{\"error\":\"not a peer's message\"}", json(response.body()));
+        assertEquals(405, harness.send(ListenerKind.PEER, "GET", "/peer", null).status());
+        assertEquals(404, harness.send(ListenerKind.PEER, "GET", "/hello", null).status());
     }
 
     @Test
-    void aCancelledJobThatAMessageNamesIsStopped() {
-        storeState(world);
-        world.start();
-        SimulatedAgent worker = world.worker(2, "a", false);
-        world.add(worker);
-        world.until(() -> worker.runningTasks().size() == 3, "tasks run");
-        world.message(cbor(peerMessage("\"cancelled\":{\"j-000001\":200}")));
-        world.run(100);
-        assertEquals(List.of(), worker.runningTasks());
+    void stopsTasksOfJobCancelledInPeerMessage() {
+        storeJobAndMachines(harness);
+        harness.start();
+        SimulatedAgent agent = harness.newAgent(2, "a", false);
+        harness.addAgent(agent);
+        harness.runUntil(() -> agent.runningTasks().size() == 3, "three tasks run");
+        harness.sendAsPeer(cbor(peerMessage("\"cancelled\":{\"j-000001\":200}")));
+        harness.runFor(100);
+        assertEquals(List.of(), agent.runningTasks());
     }
 
     @Test
-    void aNoticeOfAnAcceptedJobStartsItBeforeTheStoreTells() {
-        world.store(Map.of("types", TYPES, "lead/term", TERM, "mach/0", MACHINES));
-        world.listed = List.of(1, 2, 3, 4);
-        world.start();
-        world.add(world.worker(1, "a", false));
-        world.run(5_000);
-        world.store.setWatchesPaused(true);
+    void startsJobFromPeerNoticeBeforeStoreWatchReportsIt() {
+        harness.storeRecords(Map.of("types", TYPES, "lead/term", TERM, "mach/0", MACHINES));
+        harness.listedMachines = List.of(1, 2, 3, 4);
+        harness.start();
+        harness.addAgent(harness.newAgent(1, "a", false));
+        harness.runFor(5_000);
+        harness.store.setWatchesPaused(true);
         String notice = "\"notice\":{\"revision\":99,\"accepted\":" + GANG + "}";
-        world.message(cbor(peerMessage(notice)));
-        world.run(1_000);
-        assertEquals(Set.of("j-000002/0", "j-000002/1"), world.starts.keySet());
+        harness.sendAsPeer(cbor(peerMessage(notice)));
+        harness.runFor(1_000);
+        assertEquals(Set.of("j-000002/0", "j-000002/1"), harness.startedOn.keySet());
     }
 
     @Test
-    void aHigherTermInAMessageEndsTheOwn() {
-        storeState(world);
-        world.start();
-        world.until(() -> world.leads(4137), "elected");
-        Response answer = world.message(cbor(peerMessage("\"term\":4138")));
-        assertEquals(4138, cbor(answer.body()).path("term").asLong());
-        assertEquals(0, cbor(answer.body()).path("leading").asLong());
+    void stepsDownOnHigherTermInPeerMessage() {
+        storeJobAndMachines(harness);
+        harness.start();
+        harness.runUntil(() -> harness.reportsLeading(4137), "is elected");
+        Response response = harness.sendAsPeer(cbor(peerMessage("\"term\":4138")));
+        assertEquals(4138, cbor(response.body()).path("term").asLong());
+        assertEquals(0, cbor(response.body()).path("leading").asLong());
     }
 
     @Test
-    void aLeaderLendsWritesToThePeerThatWantsThem() {
-        storeState(world);
-        world.start();
-        world.run(5_000);
-        // A quarter of 43.2 is lent without demand; 72 is 39.6 more than its own share, and the leader has a part too.
-        JsonNode idle =
-                cbor(world.message(cbor(peerMessage("\"writes_wanted\":0.0"))).body());
-        assertEquals(10.8, idle.path("writes_lent").asDouble(), 0.1);
-        JsonNode answer =
-                cbor(world.message(cbor(peerMessage("\"writes_wanted\":72.0"))).body());
-        assertEquals(32.4, answer.path("writes_lent").asDouble(), 0.1);
+    void leaderGrantsWriteBudgetToRequestingPeer() {
+        storeJobAndMachines(harness);
+        harness.start();
+        harness.runFor(5_000);
+        // A quarter of 43.2 is granted without demand. 72 exceeds the peer's share by 39.6; the leader needs some.
+        JsonNode idleGrant = cbor(
+                harness.sendAsPeer(cbor(peerMessage("\"writes_wanted\":0.0"))).body());
+        assertEquals(10.8, idleGrant.path("writes_lent").asDouble(), 0.1);
+        JsonNode grant = cbor(
+                harness.sendAsPeer(cbor(peerMessage("\"writes_wanted\":72.0"))).body());
+        assertEquals(32.4, grant.path("writes_lent").asDouble(), 0.1);
         assertEquals(
                 Set.of("writes_lent"),
-                difference(answer, peerMessage("\"member\":\"rig-0\",\"process\":17,\"leading\":4137,\"term\":4137")));
+                difference(grant, peerMessage("\"member\":\"rig-0\",\"process\":17,\"leading\":4137,\"term\":4137")));
     }
 
     @Test
-    void writesThatAnAnswerLendsAreUsed() {
-        long lent = acceptedInASecond(peerMessage("\"writes_lent\":60.0"));
-        long own = acceptedInASecond(peerMessage("\"leading\":41"));
-        assertTrue(lent > own + 20, lent + " with a loan, " + own + " without");
+    void usesWriteBudgetGrantedInPeerResponse() {
+        long withGrant = countAcceptedInOneSecond(peerMessage("\"writes_lent\":60.0"));
+        long withoutGrant = countAcceptedInOneSecond(peerMessage("\"leading\":41"));
+        assertTrue(withGrant > withoutGrant + 20, withGrant + " with a grant, " + withoutGrant + " without");
     }
 
-    private static long acceptedInASecond(JsonNode answer) {
-        LoneController world = new LoneController(TYPES);
-        world.peer = asked -> answer;
-        follow(world);
+    private static long countAcceptedInOneSecond(JsonNode response) {
+        ControllerHarness harness = new ControllerHarness(TYPES);
+        harness.peer = sent -> response;
+        startAsFollower(harness);
         List<Long> submitted = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
-            submitted.add(world.send(
+            submitted.add(harness.sendAsync(
                     ListenerKind.CLIENT, "POST", "/submissions", bytes(with(GANG, "\"id\":\"j-" + i + "\""))));
         }
-        world.run(1_000);
+        harness.runFor(1_000);
         return submitted.stream()
-                .filter(id ->
-                        world.answers.containsKey(id) && world.answers.get(id).status() == 201)
+                .filter(id -> harness.responses.containsKey(id)
+                        && harness.responses.get(id).status() == 201)
                 .count();
     }
 
     @Test
-    void countsOfAMessageAreToldToUsersForTheRangeOfThePageUnlessNewerOnesCameBefore() {
-        world.store(Map.of("open/j-000001", ARRAY, "open/j-000002", GANG));
-        world.peer = asked -> peerMessage("\"sequence\":1");
-        follow(world);
-        world.message(counts(10, "\"after\":\"\",\"up_to\":null,\"jobs\":{\"j-000001\":[1,3],\"j-000002\":[0,2]}"));
-        assertSame("{\"id\":\"j-000001\",\"phase\":\"running\",\"done\":1,\"running\":3}", world.poll("j-000001"));
-        assertSame("{\"id\":\"j-000002\",\"phase\":\"running\",\"done\":0,\"running\":2}", world.poll("j-000002"));
-        world.message(counts(11, "\"after\":\"\",\"up_to\":\"j-000001\",\"jobs\":{}"));
-        assertSame("{\"id\":\"j-000001\",\"phase\":\"pending\",\"done\":0,\"running\":0}", world.poll("j-000001"));
-        assertSame("{\"id\":\"j-000002\",\"phase\":\"running\",\"done\":0,\"running\":2}", world.poll("j-000002"));
-        world.message(counts(12, "\"after\":\"j-000002\",\"up_to\":null,\"jobs\":{}"));
-        assertEquals(2, world.poll("j-000002").path("running").asInt(), "outside the range");
-        world.message(counts(9, "\"after\":\"\",\"up_to\":null,\"jobs\":{}"));
-        assertEquals(2, world.poll("j-000002").path("running").asInt(), "a late copy");
+    void appliesTaskCountPageToItsRangeUnlessOutdated() {
+        harness.storeRecords(Map.of("open/j-000001", ARRAY, "open/j-000002", GANG));
+        harness.peer = sent -> peerMessage("\"sequence\":1");
+        startAsFollower(harness);
+        harness.sendAsPeer(
+                counts(10, "\"after\":\"\",\"up_to\":null,\"jobs\":{\"j-000001\":[1,3],\"j-000002\":[0,2]}"));
+        assertJson("{\"id\":\"j-000001\",\"phase\":\"running\",\"done\":1,\"running\":3}", harness.job("j-000001"));
+        assertJson("{\"id\":\"j-000002\",\"phase\":\"running\",\"done\":0,\"running\":2}", harness.job("j-000002"));
+        harness.sendAsPeer(counts(11, "\"after\":\"\",\"up_to\":\"j-000001\",\"jobs\":{}"));
+        assertJson("{\"id\":\"j-000001\",\"phase\":\"pending\",\"done\":0,\"running\":0}", harness.job("j-000001"));
+        assertJson("{\"id\":\"j-000002\",\"phase\":\"running\",\"done\":0,\"running\":2}", harness.job("j-000002"));
+        harness.sendAsPeer(counts(12, "\"after\":\"j-000002\",\"up_to\":null,\"jobs\":{}"));
+        assertEquals(2, harness.job("j-000002").path("running").asInt(), "job is outside the page");
+        harness.sendAsPeer(counts(9, "\"after\":\"\",\"up_to\":null,\"jobs\":{}"));
+        assertEquals(2, harness.job("j-000002").path("running").asInt(), "outdated page");
     }
 
     private static byte[] counts(int sequence, String page) {
@@ -492,82 +493,83 @@
 
     @ParameterizedTest
     @ValueSource(ints = {0, 2})
-    void aLeaderWhoseWorkersTurnUpAtAPeerGivesUpItsTerm(int turnedAway) {
-        storeState(world);
-        world.peer = asked -> peerMessage("\"sequence\":" + asked.path("sequence") + ",\"workers\":" + turnedAway);
-        world.start();
-        SimulatedAgent worker = world.worker(2, "a", false);
-        world.add(worker);
-        world.until(() -> worker.runningTasks().size() == 3, "the worker is known");
-        world.silence(worker);
-        world.run(8_000);
-        assertEquals(turnedAway == 0, world.leads(4137));
+    void leaderStepsDownIfPeerReportsRedirectedAgents(int redirected) {
+        storeJobAndMachines(harness);
+        harness.peer = sent -> peerMessage("\"sequence\":" + sent.path("sequence") + ",\"workers\":" + redirected);
+        harness.start();
+        SimulatedAgent agent = harness.newAgent(2, "a", false);
+        harness.addAgent(agent);
+        harness.runUntil(() -> agent.runningTasks().size() == 3, "the agent runs tasks");
+        harness.isolate(agent);
+        harness.runFor(8_000);
+        assertEquals(redirected == 0, harness.reportsLeading(4137));
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aControllerWithoutTheStoreIsReadyUnlessAPeerReachesIt(boolean peerReachesStore) {
-        world.store(Map.of("types", TYPES));
-        world.peer = asked -> peerMessage("\"sequence\":" + asked.path("sequence") + ",\"store\":" + peerReachesStore);
-        world.start();
-        world.run(2_000);
-        assertEquals(200, world.ask(ListenerKind.CLIENT, "GET", "/ready", null).status());
-        world.store.setOutage(true);
-        world.run(8_000);
-        int expected = peerReachesStore ? 503 : 200;
+    void isReadyDuringStoreOutageUnlessPeerReachesStore(boolean peerHasStore) {
+        harness.storeRecords(Map.of("types", TYPES));
+        harness.peer = sent -> peerMessage("\"sequence\":" + sent.path("sequence") + ",\"store\":" + peerHasStore);
+        harness.start();
+        harness.runFor(2_000);
+        assertEquals(
+                200, harness.send(ListenerKind.CLIENT, "GET", "/ready", null).status());
+        harness.store.setOutage(true);
+        harness.runFor(8_000);
+        int status = peerHasStore ? 503 : 200;
         assertEquals(
-                expected, world.ask(ListenerKind.CLIENT, "GET", "/ready", null).status());
+                status, harness.send(ListenerKind.CLIENT, "GET", "/ready", null).status());
     }
 
     @Test
-    void aLeaderWithoutTheStoreAnswersWorkersAsLongAsThePeerNamesAllCancelledJobs() {
-        assertEquals(200, answeredLongAfterTheStoreWasLost(""));
-        assertEquals(503, answeredLongAfterTheStoreWasLost(",\"cancelled_whole\":false"));
+    void leaderAnswersAgentsDuringStoreOutageIfPeerListsAllCancellations() {
+        assertEquals(200, heartbeatStatusDuringLongStoreOutage(""));
+        assertEquals(503, heartbeatStatusDuringLongStoreOutage(",\"cancelled_whole\":false"));
     }
 
     @Test
-    void aLeaderWithoutTheStoreTrustsANewProcessOfThePeerOnceItHasRunForTheTimeOfACancellation() {
-        assertEquals(200, answeredLongAfterTheStoreWasLost(",\"process\":25,\"up_ms\":40000"));
-        assertEquals(503, answeredLongAfterTheStoreWasLost(",\"process\":25,\"up_ms\":0"));
+    void leaderTrustsRestartedPeerDuringStoreOutageAfterCancellationTime() {
+        assertEquals(200, heartbeatStatusDuringLongStoreOutage(",\"process\":25,\"up_ms\":40000"));
+        assertEquals(503, heartbeatStatusDuringLongStoreOutage(",\"process\":25,\"up_ms\":0"));
     }
 
-    private static int answeredLongAfterTheStoreWasLost(String fieldsThen) {
-        LoneController world = new LoneController(TYPES);
-        storeState(world);
-        world.peer = asked -> peerMessage("\"sequence\":" + asked.path("sequence"));
-        world.start();
-        world.run(5_000);
-        world.store.setOutage(true);
-        world.peer = asked -> peerMessage("\"sequence\":" + asked.path("sequence") + fieldsThen);
-        world.run(25_000);
-        return world.hello(world.worker(2, "a", false)).status();
+    private static int heartbeatStatusDuringLongStoreOutage(String outageFields) {
+        ControllerHarness harness = new ControllerHarness(TYPES);
+        storeJobAndMachines(harness);
+        harness.peer = sent -> peerMessage("\"sequence\":" + sent.path("sequence"));
+        harness.start();
+        harness.runFor(5_000);
+        harness.store.setOutage(true);
+        harness.peer = sent -> peerMessage("\"sequence\":" + sent.path("sequence") + outageFields);
+        harness.runFor(25_000);
+        return harness.heartbeat(harness.newAgent(2, "a", false)).status();
     }
 
-    // ---- figures
+    // ---- metrics
 
     @Test
-    void figuresHaveTheNamesThatOperatorsKnow() {
-        world.start();
-        JsonNode figures = world.figures();
-        assertEquals(Set.of("process", "counts"), names(figures));
-        assertSame("{\"given\":1}", figures.path("process"));
-        assertEquals(COUNTS_AT_START, names(figures.path("counts")));
+    void initialMetricsHaveStableNames() {
+        harness.start();
+        JsonNode metrics = harness.metrics();
+        assertEquals(Set.of("process", "counts"), fieldNames(metrics));
+        assertJson("{\"given\":1}", metrics.path("process"));
+        assertEquals(COUNTERS_AT_START, fieldNames(metrics.path("counts")));
     }
 
     @Test
-    void figuresOfALeaderNameWhatItsDutiesCost() {
-        storeState(world);
-        world.start();
-        world.add(world.worker(1, "a", false));
-        world.add(world.worker(2, "a", false));
-        world.until(() -> world.value("over/j-000001") != null, "the job is done");
-        Set<String> missing = new TreeSet<>(COUNTS_OF_A_LEADER);
-        missing.removeAll(names(world.figures().path("counts")));
+    void leaderMetricsIncludeWorkCounters() {
+        storeJobAndMachines(harness);
+        harness.start();
+        harness.addAgent(harness.newAgent(1, "a", false));
+        harness.addAgent(harness.newAgent(2, "a", false));
+        harness.runUntil(() -> harness.stored("over/j-000001") != null, "the job is completed");
+        Set<String> missing = new TreeSet<>(LEADER_COUNTERS);
+        missing.removeAll(fieldNames(harness.metrics().path("counts")));
         assertEquals(Set.of(), missing);
     }
 
     @Test
-    void figuresOfTheProcessNameWhatIsTimed() {
+    void processMetricsIncludeTimings() {
         ProcessMetrics metrics = new ProcessMetrics();
         metrics.served(200, 1_000_000);
         metrics.batch(1_000_000);
@@ -582,64 +584,62 @@
                         "requests.refused",
                         "responses.200",
                         "batches"),
-                names(process));
-        assertEquals(Set.of("value"), names(process.path("requests.percentile.0.5")));
-        assertEquals(Set.of("count", "total", "max", "p50", "p90", "p99"), names(process.path("requests")));
-        assertEquals(Set.of("count", "total", "max"), names(process.path("batches")));
-        assertEquals(Set.of("count"), names(process.path("responses.200")));
+                fieldNames(process));
+        assertEquals(Set.of("value"), fieldNames(process.path("requests.percentile.0.5")));
+        assertEquals(Set.of("count", "total", "max", "p50", "p90", "p99"), fieldNames(process.path("requests")));
+        assertEquals(Set.of("count", "total", "max"), fieldNames(process.path("batches")));
+        assertEquals(Set.of("count"), fieldNames(process.path("responses.200")));
     }
 
-    // ---- worlds and comparisons
-
     private static JsonNode peerMessage(String fields) {
         return json(with(PEER_MESSAGE, fields));
     }
 
-    private static Set<String> names(JsonNode object) {
+    private static Set<String> fieldNames(JsonNode object) {
         Set<String> names = new TreeSet<>();
         object.fieldNames().forEachRemaining(names::add);
         return names;
     }
 
-    /** The fields in which two messages differ, but for their number and time and what their senders want. */
+    /** Fields in which two messages differ, except sequence number, uptime and requested writes. */
     private static Set<String> difference(JsonNode message, JsonNode other) {
         assertTrue(message.path("sequence").isIntegralNumber());
         assertTrue(message.path("up_ms").isIntegralNumber());
         assertTrue(message.path("writes_wanted").isDouble());
-        Set<String> all = names(message);
-        all.addAll(names(other));
+        Set<String> all = fieldNames(message);
+        all.addAll(fieldNames(other));
         all.removeAll(Set.of("sequence", "up_ms", "writes_wanted"));
         all.removeIf(name -> message.path(name).equals(other.path(name)));
         return all;
     }
 
-    private static boolean same(String expected, JsonNode actual) {
+    private static boolean isJson(String expected, JsonNode actual) {
         return actual != null && json(expected).equals(json(actual.toString()));
     }
 
-    private static void assertSame(String expected, JsonNode actual) {
+    private static void assertJson(String expected, JsonNode actual) {
         assertNotNull(actual);
         assertEquals(json(expected), json(actual.toString()));
     }
 
-    /** One job, a marked machine that may run its first tasks, and machines that were never used. */
-    private static void storeState(LoneController world) {
-        world.store(Map.of("types", TYPES, "open/j-000001", ARRAY, "prog/0", PROGRESS));
-        world.store(Map.of("mach/0", MACHINES, "used/0", MARKS));
-        world.store(Map.of("lead/term", TERM));
+    /** Stores one job, a used machine that may run its first tasks, and machines that were never used. */
+    private static void storeJobAndMachines(ControllerHarness harness) {
+        harness.storeRecords(Map.of("types", TYPES, "open/j-000001", ARRAY, "prog/0", PROGRESS));
+        harness.storeRecords(Map.of("mach/0", MACHINES, "used/0", USED_MACHINES));
+        harness.storeRecords(Map.of("lead/term", TERM));
     }
 
-    /** Starts this controller while rig-1 leads with term 41, as process 23. */
-    private static void follow(LoneController world) {
-        world.store(Map.of("types", TYPES, "lead/term", TERM));
-        world.storeHeld("lead/leader", LEADER.formatted("rig-1", 23));
-        Function<JsonNode, JsonNode> answering = world.peer;
-        world.peer = asked -> {
-            world.storeCall("/holds/1/extend", "{}");
-            JsonNode answer = answering.apply(asked);
-            return answer == null ? peerMessage("\"term\":41,\"leading\":41") : answer;
+    /** Starts the controller while rig-1, process 23, leads term 41. */
+    private static void startAsFollower(ControllerHarness harness) {
+        harness.storeRecords(Map.of("types", TYPES, "lead/term", TERM));
+        harness.storeWithLease("lead/leader", LEADER.formatted("rig-1", 23));
+        Function<JsonNode, JsonNode> peer = harness.peer;
+        harness.peer = sent -> {
+            harness.postToStore("/holds/1/extend", "{}");
+            JsonNode response = peer.apply(sent);
+            return response == null ? peerMessage("\"term\":41,\"leading\":41") : response;
         };
-        world.start();
-        world.run(2_000);
+        harness.start();
+        harness.runFor(2_000);
     }
 }
--- a/src/test/java/io/quartzgw/docs/DocumentationTest.java
+++ b/src/test/java/io/quartzgw/docs/DocumentationTest.java
@@ -21,21 +21,21 @@
 
 /** Every class, and every test method, that a page names in code font exists in the sources. */
 class DocumentationTest {
-    private static final Path SOURCES = Path.of("src");
+    private static final Path SOURCE_ROOT = Path.of("src");
     /** Code spans on one line, such as {@code `agent.Heartbeat`}. */
     private static final Pattern CODE_SPAN = Pattern.compile("`([^`\n]+)`");
     /** A class, perhaps behind its package, perhaps with a member; an ellipsis shortens a member's name. */
-    private static final Pattern CLASS_NAME =
+    private static final Pattern CLASS_REFERENCE =
             Pattern.compile("(?:([a-z]+)\\.)?([A-Z][A-Za-z0-9]*[a-z][A-Za-z0-9]*)(?:[.#]([a-z]\\w*)(?:…)?)?");
     /** Names in code font that look like classes and are none of the program's. */
-    private static final Set<String> OTHERS = Set.of("Retry-After");
+    private static final Set<String> IGNORED_NAMES = Set.of("Retry-After");
 
-    private static final Set<String> CLASSES = sourceFiles()
+    private static final Set<String> CLASS_NAMES = sourceFiles()
             .map(file -> file.getFileName().toString().replace(".java", ""))
             .collect(Collectors.toSet());
 
     private static Stream<Path> sourceFiles() {
-        try (Stream<Path> files = Files.walk(SOURCES)) {
+        try (Stream<Path> files = Files.walk(SOURCE_ROOT)) {
             return files.filter(file -> file.toString().endsWith(".java")).toList().stream();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -55,13 +55,13 @@
 
     @ParameterizedTest
     @MethodSource("pages")
-    void everyClassThatAPageNamesExists(String page) throws IOException {
+    void classesNamedOnPageExist(String page) throws IOException {
         Set<String> unknown = new TreeSet<>();
         Matcher span = CODE_SPAN.matcher(Files.readString(Path.of(page)));
         while (span.find()) {
-            Matcher name = CLASS_NAME.matcher(span.group(1));
+            Matcher name = CLASS_REFERENCE.matcher(span.group(1));
             if (name.matches()
-                    && !OTHERS.contains(span.group(1))
+                    && !IGNORED_NAMES.contains(span.group(1))
                     && !exists(name.group(1), name.group(2), name.group(3))) {
                 unknown.add(span.group(1));
             }
@@ -71,16 +71,16 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"docs/architecture.md", "docs/design.md"})
-    void thePageNamesClassesAtAll(String page) throws IOException {
+    void pageNamesAtLeastOneClass(String page) throws IOException {
         assertTrue(
-                CODE_SPAN.matcher(Files.readString(Path.of(page))).results().anyMatch(span -> CLASS_NAME
+                CODE_SPAN.matcher(Files.readString(Path.of(page))).results().anyMatch(span -> CLASS_REFERENCE
                         .matcher(span.group(1))
                         .matches()),
                 "a page without names would pass the other test for nothing");
     }
 
     private static boolean exists(String packageName, String className, String member) throws IOException {
-        if (!CLASSES.contains(className)) {
+        if (!CLASS_NAMES.contains(className)) {
             return false;
         }
         String file = className + ".java";
