--- a/src/test/java/io/quartzgw/app/ControllerHarness.java
+++ b/src/test/java/io/quartzgw/app/ControllerHarness.java
@@ -28,7 +28,10 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Function;
 
-/** One controller, rig-0 of two and process 17, in simulated time; all else is played by the test. */
+/**
+ * Runs one controller, rig-0 of two as process 17, in simulated time. The harness and the test simulate its
+ * environment: the state service, the cloud, the peer rig-1 and the agents.
+ */
 final class ControllerHarness {
     private static final long STEP_MS = 10;
     private static final long HEARTBEAT_INTERVAL_MS = 1_000;
@@ -41,31 +44,37 @@
     private final EventLoop eventLoop = new EventLoop(1);
     final SimulatedStore store = new SimulatedStore();
     private final Controller controller = new Controller(eventLoop, settings, 17, () -> json("{\"given\":1}"));
+    /** Commands to deliver to the controller, by due time. */
     private final TreeMap<Long, List<Command>> dueCommands = new TreeMap<>();
+    /** Responses of the controller, by exchange ID. */
     final Map<Long, Response> responses = new HashMap<>();
-    /** By address, the workers that orders reach. */
+    /** Agents that direct calls reach, by address. */
     private final Map<String, SimulatedAgent> agents = new HashMap<>();
-    /** Of those, the ones that report by themselves. */
+    /** The reachable agents that also send heartbeats. */
     private final List<SimulatedAgent> heartbeatSenders = new ArrayList<>();
 
     private final List<Call> outboundCalls = new ArrayList<>();
     final List<Call> peerMessages = new ArrayList<>();
-    /** By task, the machine that was told to start it. */
+    /** Machine that received the last start command of a task, by task ID. */
     final Map<String, String> startedOn = new TreeMap<>();
 
-    Function<JsonNode, JsonNode> peer = asked -> null;
+    /** Returns the peer's response to a message, or null if it does not respond. */
+    Function<JsonNode, JsonNode> peer = message -> null;
+
     List<Integer> listedMachines = List.of(1, 2, 3, 4);
     boolean cloudOutage;
+    /** Number of the machine that the cloud rents out next; with 0 it has no capacity. */
     int nextRental;
+
     private long now;
     private long lastExchange;
 
-    /** @param machineTypes the table of machine types that the cloud tells */
-    ControllerHarness(String types) {
-        this.machineTypes = types;
+    /** @param machineTypes the cloud's list of machine types, as JSON */
+    ControllerHarness(String machineTypes) {
+        this.machineTypes = machineTypes;
     }
 
-    // ---- the store
+    // ---- state service
 
     void storeRecords(Map<String, String> records) {
         records.forEach((key, value) -> transact("{\"write\":\"" + key + "\",\"data\":" + value + "}"));
@@ -120,7 +129,7 @@
         for (long end = now + ms; now < end; ) {
             now += STEP_MS;
             store.advanceTo(now);
-            agents.values().forEach(worker -> worker.advanceTo(now));
+            agents.values().forEach(agent -> agent.advanceTo(now));
             if (now % HEARTBEAT_INTERVAL_MS == 0) {
                 List.copyOf(heartbeatSenders).forEach(this::heartbeat);
             }
@@ -132,19 +141,19 @@
         }
     }
 
-    void runUntil(BooleanSupplier reached, String what) {
-        for (long end = now + TIMEOUT_MS; now < end && !reached.getAsBoolean(); ) {
+    void runUntil(BooleanSupplier condition, String message) {
+        for (long end = now + TIMEOUT_MS; now < end && !condition.getAsBoolean(); ) {
             runFor(STEP_MS);
         }
-        assertTrue(reached.getAsBoolean(), what);
+        assertTrue(condition.getAsBoolean(), message);
     }
 
-    /** Hands the reply of a call to the controller; one that was lost ends with its time. */
+    /** Delivers the reply of an outbound call to the controller after a delay. */
     private void scheduleReply(long call, long afterMs, Reply reply) {
-        dueCommands.computeIfAbsent(now + afterMs, moment -> new ArrayList<>()).add(new Command.CallEnded(call, reply));
+        dueCommands.computeIfAbsent(now + afterMs, time -> new ArrayList<>()).add(new Command.CallEnded(call, reply));
     }
 
-    // ---- what the controller calls
+    // ---- outbound calls of the controller
 
     private void handleCall(Call call, long id) {
         if (call.endpoint().equals(settings.state())) {
@@ -153,30 +162,31 @@
             scheduleReply(id, 1, handleCloudCall(call));
         } else if (call.endpoint().equals(settings.peers().get("rig-1"))) {
             peerMessages.add(call);
-            JsonNode answer = peer.apply(cbor(call.body()));
-            scheduleReplyOrTimeout(id, call, answer == null ? null : new Reply(200, cbor(answer)));
+            JsonNode response = peer.apply(cbor(call.body()));
+            scheduleReplyOrTimeout(id, call, response == null ? null : new Reply(200, cbor(response)));
         } else {
-            SimulatedAgent worker = agents.get(call.endpoint().toString());
-            scheduleReplyOrTimeout(id, call, worker == null ? null : handleDirectCall(worker, call));
+            SimulatedAgent agent = agents.get(call.endpoint().toString());
+            scheduleReplyOrTimeout(id, call, agent == null ? null : handleDirectCall(agent, call));
         }
     }
 
+    /** Without a reply, the call ends as lost when its timeout expires. */
     private void scheduleReplyOrTimeout(long id, Call call, Reply reply) {
         scheduleReply(id, reply == null ? call.timeoutMs() : 1, reply == null ? Reply.lost() : reply);
     }
 
-    private Reply handleDirectCall(SimulatedAgent worker, Call call) {
+    private Reply handleDirectCall(SimulatedAgent agent, Call call) {
         if (call.path().equals("/show")) {
-            return new Reply(200, bytes(worker.heartbeat(now).toString()));
+            return new Reply(200, bytes(agent.heartbeat(now).toString()));
         }
-        recordStarts(worker, json(call.body()));
-        return worker.receiveCommands(json(call.body()), now);
+        recordStarts(agent, json(call.body()));
+        return agent.receiveCommands(json(call.body()), now);
     }
 
-    private void recordStarts(SimulatedAgent worker, JsonNode message) {
-        for (JsonNode order : message.path("orders")) {
-            if (order.path("verb").asText().equals("run")) {
-                startedOn.put(order.path("shard").asText(), worker.id);
+    private void recordStarts(SimulatedAgent agent, JsonNode message) {
+        for (JsonNode command : message.path("orders")) {
+            if (command.path("verb").asText().equals("run")) {
+                startedOn.put(command.path("shard").asText(), agent.id);
             }
         }
     }
@@ -219,7 +229,7 @@
                         .toList());
     }
 
-    // ---- workers
+    // ---- agents
 
     private static String machineId(int number) {
         return String.format("i-%06d", number);
@@ -242,36 +252,37 @@
                 new NoOpWatcher());
     }
 
-    private static SimulatedAgent.Description description(String id) {
-        boolean endless = !id.equals("j-000001");
-        return new SimulatedAgent.Description(1, 2, 0.5, 0, endless, false);
+    private static SimulatedAgent.Description description(String jobId) {
+        boolean service = !jobId.equals("j-000001");
+        return new SimulatedAgent.Description(1, 2, 0.5, 0, service, false);
     }
 
-    /** Orders reach this worker from now on. */
-    void makeReachable(SimulatedAgent worker) {
-        int number = Integer.parseInt(worker.id.substring(2));
-        agents.put(address(number), worker);
+    /** From now on direct calls reach this agent. */
+    void makeReachable(SimulatedAgent agent) {
+        int number = Integer.parseInt(agent.id.substring(2));
+        agents.put(address(number), agent);
     }
 
-    /** This worker is reached by orders and reports by itself from now on. */
-    void addAgent(SimulatedAgent worker) {
-        makeReachable(worker);
-        heartbeatSenders.add(worker);
+    /** From now on direct calls reach this agent, and it sends heartbeats. */
+    void addAgent(SimulatedAgent agent) {
+        makeReachable(agent);
+        heartbeatSenders.add(agent);
     }
 
-    void isolate(SimulatedAgent worker) {
-        agents.values().remove(worker);
-        heartbeatSenders.remove(worker);
+    /** From now on direct calls don't reach this agent, and it sends no heartbeats. */
+    void isolate(SimulatedAgent agent) {
+        agents.values().remove(agent);
+        heartbeatSenders.remove(agent);
     }
 
-    Response heartbeat(SimulatedAgent worker) {
-        long session = worker.epoch();
+    Response heartbeat(SimulatedAgent agent) {
+        long epoch = agent.epoch();
         long sentAt = now;
-        Response response = send(
-                ListenerKind.CLIENT, "POST", "/hello", worker.heartbeat(now).toString());
+        Response response =
+                send(ListenerKind.CLIENT, "POST", "/hello", agent.heartbeat(now).toString());
         if (response.status() == 200) {
-            recordStarts(worker, json(response.body()));
-            worker.receiveHeartbeatResponse(new Reply(200, response.body()), session, sentAt, now);
+            recordStarts(agent, json(response.body()));
+            agent.receiveHeartbeatResponse(new Reply(200, response.body()), epoch, sentAt, now);
         }
         return response;
     }
@@ -289,19 +300,21 @@
 
     // ---- requests
 
+    /** Sends a request without waiting for the response; returns the exchange ID. */
     long sendAsync(ListenerKind listener, String method, String path, byte[] body) {
         long id = ++lastExchange;
         process(List.of(new Command.Arrived(new Request(id, listener, method, path, "", body))));
         return id;
     }
 
+    /** Sends a request and waits for the response. */
     Response send(ListenerKind listener, String method, String path, String body) {
         return awaitResponse(sendAsync(listener, method, path, body == null ? new byte[0] : bytes(body)));
     }
 
     private Response awaitResponse(long id) {
         if (!responses.containsKey(id)) {
-            runUntil(() -> responses.containsKey(id), "answered");
+            runUntil(() -> responses.containsKey(id), "response received");
         }
         return responses.get(id);
     }
@@ -336,7 +349,7 @@
         return outboundCalls.stream().anyMatch(call -> call.path().equals(path));
     }
 
-    /** Whether this controller says that it leads with a term. */
+    /** Returns whether the controller's last message to its peer reports that it leads this term. */
     boolean reportsLeading(long term) {
         return !peerMessages.isEmpty() && lastPeerMessage().path("leading").asLong() == term;
     }
--- a/src/test/java/io/quartzgw/app/DecisionDigestTest.java
+++ b/src/test/java/io/quartzgw/app/DecisionDigestTest.java
@@ -7,9 +7,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Tells a refactoring from a change of behaviour: digests of everything that the controllers send while the random
- * failures of {@link FailureTest} are played. A refactoring leaves them as they are; whoever changes a decision, a
- * message or the order of draws from the random source replaces them by the new ones, which a failing test shows.
+ * Detects unintended changes of behaviour by digests of all messages that the controllers send during the random
+ * failures of {@link FailureTest}. A refactoring must not change the digests. After an intended change of a decision, a
+ * message or the order of draws from the random source, replace them by the actual values that the failing test prints.
  */
 class DecisionDigestTest {
 
@@ -21,9 +21,9 @@
         "310494, 14195 eadf38719dd0b316"
     })
     void messageDigestUnchangedUnderSingleFailures(long seed, String expected) {
-        ClusterSimulation world = new ClusterSimulation(seed, 3);
-        FailureTest.runSingleFailures(world, seed);
-        assertEquals(expected, world.messageDigest());
+        ClusterSimulation simulation = new ClusterSimulation(seed, 3);
+        FailureTest.runSingleFailures(simulation, seed);
+        assertEquals(expected, simulation.messageDigest());
     }
 
     @ParameterizedTest
@@ -34,8 +34,8 @@
         "40, 25733 cae2fe0cc2010179"
     })
     void messageDigestUnchangedUnderConcurrentFaults(long seed, String expected) {
-        ClusterSimulation world = new ClusterSimulation(seed, 3);
-        FailureTest.runConcurrentFaults(world, seed);
-        assertEquals(expected, world.messageDigest());
+        ClusterSimulation simulation = new ClusterSimulation(seed, 3);
+        FailureTest.runConcurrentFaults(simulation, seed);
+        assertEquals(expected, simulation.messageDigest());
     }
 }
--- a/src/test/java/io/quartzgw/app/Literals.java
+++ b/src/test/java/io/quartzgw/app/Literals.java
@@ -9,7 +9,7 @@
 import java.io.UncheckedIOException;
 import java.nio.charset.StandardCharsets;
 
-/** Literal JSON and CBOR in tests of formats, by Jackson alone: the program's own codecs are what is tested. */
+/** Reads and writes JSON and CBOR in format tests. Uses only Jackson, because the program's codecs are under test. */
 final class Literals {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final ObjectMapper CBOR = new CBORMapper();
@@ -25,7 +25,7 @@
     }
 
     static JsonNode cbor(byte[] bytes) {
-        // By way of text, where a number has one form whatever its width was.
+        // Converts through text so that equal numbers of different widths become equal nodes.
         return json(read(CBOR, bytes).toString());
     }
 
@@ -49,7 +49,7 @@
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    /** The object with some fields in the place of its own, or added. */
+    /** Returns the object with these fields added or replaced. */
     static String with(String object, String fields) {
         return merged(object, "{" + fields + "}");
     }
--- a/src/test/java/io/quartzgw/app/ScaleTest.java
+++ b/src/test/java/io/quartzgw/app/ScaleTest.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** A simulated cluster of some 1,700 machines; what is bounded is counted work, never real time. */
+/** Bounds the work of a simulated cluster of about 1,700 machines by counters, never by real time. */
 class ScaleTest {
     private static final int MACHINES = 1_700;
     private static final int SERVICES = 30;
@@ -18,11 +18,11 @@
     private static final int BURST_JOBS = 60;
     private static final int ARRAYS = 20;
     private static final int TASKS_PER_ARRAY = 10;
-    /** A task of this size fills a machine of the cheaper type. */
+    /** Fills a machine of the cheaper type. */
     private static final double CPUS_PER_TASK = 16;
 
-    // Work must not grow with the square of the fleet: a scheduling pass, a heartbeat or a takeover may look at
-    // every machine or job once, but not for each other one.
+    // Work must not grow quadratically with the fleet: a scheduling pass, a heartbeat or a takeover may look at each
+    // machine or job once, but not at each pair of them.
     @Test
     void largeFleetRequiresBoundedWorkForStartsAndTakeover() {
         ClusterSimulation simulation =
@@ -37,19 +37,20 @@
         assertEquals(
                 SERVICES * REPLICAS,
                 simulation.invariants().runningTasks().size(),
-                "every replica is up within a minute");
+                "all replicas run after one minute");
         long started = simulation.invariants().startCount();
         assertEquals(SERVICES * REPLICAS, started);
         assertTrue(
                 simulation.counter("placement.looks") < 40 * started, simulation.counter("placement.looks") + " looks");
-        assertTrue(simulation.counter("orders.calls") < 5 * started, simulation.counter("orders.calls") + " orders");
+        assertTrue(
+                simulation.counter("orders.calls") < 5 * started, simulation.counter("orders.calls") + " direct calls");
 
         assertSteadyLoadRequiresLittleWork(simulation);
         assertTakeoverWithUnresponsiveMachinesKeepsTasks(simulation);
         assertPlanningOfBurstRequiresBoundedWork(simulation);
     }
 
-    // The leader would lose its lease: a plan that looks at each machine for each waiting task takes seconds.
+    // A plan that looks at each machine for each pending task takes seconds, in which the leader would lose its lease.
     private void assertPlanningOfBurstRequiresBoundedWork(ClusterSimulation simulation) {
         long looks = simulation.counter("fleet.looks");
         long plans = simulation.counter("fleet.plans");
@@ -62,8 +63,8 @@
         simulation.runUntil(simulation.now() + 10_000);
         long perPlan =
                 (simulation.counter("fleet.looks") - looks) / Math.max(1, simulation.counter("fleet.plans") - plans);
-        // For every job each machine that is rented or planned is looked at once at the most.
-        assertTrue(perPlan > 0 && perPlan < (long) BURST_JOBS * BURST_JOBS * REPLICAS, perPlan + " looks a plan");
+        // A plan looks at each rented or planned machine at most once per job.
+        assertTrue(perPlan > 0 && perPlan < (long) BURST_JOBS * BURST_JOBS * REPLICAS, perPlan + " looks per plan");
         assertEquals(List.of(), simulation.invariants().violations());
     }
 
@@ -83,18 +84,18 @@
         long tasks = ARRAYS * TASKS_PER_ARRAY;
         assertTrue(
                 simulation.counter("store.writes") - writes < 2 * tasks,
-                simulation.counter("store.writes") - writes + " changes");
-        // Heartbeats of machines with no change are compared, not parsed.
+                simulation.counter("store.writes") - writes + " writes");
+        // Heartbeats of unchanged machines are compared, not parsed.
         assertTrue(
                 simulation.counter("reports.read") - read < 10 * tasks,
-                simulation.counter("reports.read") - read + " reports read");
+                simulation.counter("reports.read") - read + " heartbeats parsed");
     }
 
     private void assertTakeoverWithUnresponsiveMachinesKeepsTasks(ClusterSimulation simulation) {
         List<String> machines = simulation.agents().machineIds();
-        List<String> silent = new ArrayList<>();
+        List<String> unresponsive = new ArrayList<>();
         for (int i = 0; i < machines.size(); i += 10) {
-            silent.add(machines.get(i));
+            unresponsive.add(machines.get(i));
         }
         long before = simulation.invariants().startCount();
         for (int i = 0; i < 3; i++) {
@@ -102,14 +103,14 @@
             simulation.crash(controller);
             simulation.schedule(simulation.now() + 5_000 + 300L * i, () -> simulation.start(controller));
         }
-        silent.forEach(machine -> simulation.network().partition(machine, Hosts.ALL));
+        unresponsive.forEach(machine -> simulation.network().partition(machine, Hosts.ALL));
         simulation.runUntil(simulation.now() + 12_000);
-        assertTrue(simulation.hasLeader(), "there is a leader");
+        assertTrue(simulation.hasLeader(), "has a leader");
         assertEquals(
                 before,
                 simulation.invariants().startCount(),
-                "what a silent machine may run is not started again before its hold ends");
-        // New jobs do not wait for silent machines.
+                "tasks of unresponsive machines are not restarted before their reservation expires");
+        // New jobs do not wait for unresponsive machines.
         simulation
                 .users()
                 .submitUntilAccepted(JobRequests.array("j-002000", "blue", TASKS_PER_ARRAY, CPUS_PER_TASK, 1));
@@ -117,14 +118,14 @@
         assertEquals(Optional.of("done"), simulation.invariants().finalPhase("j-002000"));
         assertTrue(
                 simulation.counter("orders.calls") < 6L * machines.size(),
-                simulation.counter("orders.calls") + " calls to ask the machines");
+                simulation.counter("orders.calls") + " direct calls");
         simulation.runUntil(simulation.now() + 50_000);
         assertEquals(List.of(), simulation.invariants().violations());
         assertEquals(0, simulation.failedCommands());
-        assertEquals(List.of(), simulation.invariants().missingReplicas(), "placed again after the hold");
+        assertEquals(List.of(), simulation.invariants().missingReplicas(), "restarted after the reservation expires");
         long restarts = simulation.invariants().startCount() - before - TASKS_PER_ARRAY;
         assertTrue(
-                restarts <= silent.size(),
-                restarts + " replicas were started again for " + silent.size() + " silent machines");
+                restarts <= unresponsive.size(),
+                restarts + " replicas restarted for " + unresponsive.size() + " unresponsive machines");
     }
 }
--- a/src/test/java/io/quartzgw/app/package-info.java
+++ b/src/test/java/io/quartzgw/app/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Tests of whole controllers: in a simulated cluster with faults, where seeds decide what happens, and over HTTP on the
- * loopback interface in real time.
+ * Tests of whole controllers: in a simulated cluster with seeded random faults, and in real time over HTTP on the
+ * loopback interface.
  */
 package io.quartzgw.app;
--- a/src/test/java/io/quartzgw/docs/DocumentationTest.java
+++ b/src/test/java/io/quartzgw/docs/DocumentationTest.java
@@ -19,15 +19,15 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Every class, and every test method, that a page names in code font exists in the sources. */
+/** Checks that every class and test method that a page names in code font exists in the sources. */
 class DocumentationTest {
     private static final Path SOURCE_ROOT = Path.of("src");
     /** Code spans on one line, such as {@code `agent.Heartbeat`}. */
     private static final Pattern CODE_SPAN = Pattern.compile("`([^`\n]+)`");
-    /** A class, perhaps behind its package, perhaps with a member; an ellipsis shortens a member's name. */
+    /** A class with optional package and optional member; an ellipsis abbreviates the member's name. */
     private static final Pattern CLASS_REFERENCE =
             Pattern.compile("(?:([a-z]+)\\.)?([A-Z][A-Za-z0-9]*[a-z][A-Za-z0-9]*)(?:[.#]([a-z]\\w*)(?:…)?)?");
-    /** Names in code font that look like classes and are none of the program's. */
+    /** Names in code font that look like classes but are not classes of this program. */
     private static final Set<String> IGNORED_NAMES = Set.of("Retry-After");
 
     private static final Set<String> CLASS_NAMES = sourceFiles()
@@ -76,7 +76,7 @@
                 CODE_SPAN.matcher(Files.readString(Path.of(page))).results().anyMatch(span -> CLASS_REFERENCE
                         .matcher(span.group(1))
                         .matches()),
-                "a page without names would pass the other test for nothing");
+                "the page names no class, so the check of its names would be vacuous");
     }
 
     private static boolean exists(String packageName, String className, String member) throws IOException {
