--- a/src/main/java/io/quartzgw/agent/CommandDispatcher.java
+++ b/src/main/java/io/quartzgw/agent/CommandDispatcher.java
@@ -176,7 +176,7 @@
                 .addKeyValue("epoch", agent.machine().liveness().epoch())
                 .addKeyValue("attempts", starts)
                 .addKeyValue("token", agent.token().current())
-                .log("start unanswered");
+                .log("direct call with starts unanswered");
     }
 
     private void onHeartbeatReply(AgentState agent, Heartbeat heartbeat, boolean rejected) {
--- a/src/main/java/io/quartzgw/agent/EndedJobStarts.java
+++ b/src/main/java/io/quartzgw/agent/EndedJobStarts.java
@@ -123,7 +123,7 @@
                 .addKeyValue(
                         "former_leader",
                         cluster.isOfFormerLeader(start.attempt().number()))
-                .log("start of a cancelled job outstanding");
+                .log("outstanding start of cancelled job found");
         start.machine().fencing().addCancelledStart(start.attempt(), cancelledAtMs);
         cluster.markChanged();
     }
--- a/src/main/java/io/quartzgw/agent/HeartbeatProcessor.java
+++ b/src/main/java/io/quartzgw/agent/HeartbeatProcessor.java
@@ -141,7 +141,7 @@
                     .addKeyValue("token", heartbeat.fencingToken())
                     .addKeyValue("origin", origin)
                     .addKeyValue("after_ms", eventLoop.nowMs() - token.raisedAtMs())
-                    .log("raised token shown");
+                    .log("raised fencing token observed");
         }
     }
 
--- a/src/main/java/io/quartzgw/leadership/LeaderDeposition.java
+++ b/src/main/java/io/quartzgw/leadership/LeaderDeposition.java
@@ -76,7 +76,7 @@
             LOG.atInfo()
                     .addKeyValue("member", leader.member())
                     .addKeyValue("term", leader.term())
-                    .log("silent leader deposed");
+                    .log("unresponsive leader deposed");
             store.revokeLease(leader.leaseId());
         } else if (eventLoop.nowMs() + RETRY_DELAY_MS < deadlineMs) {
             eventLoop.after(RETRY_DELAY_MS, () -> retry(leader, deadlineMs));
--- a/src/main/java/io/quartzgw/leadership/PeerExchange.java
+++ b/src/main/java/io/quartzgw/leadership/PeerExchange.java
@@ -104,7 +104,7 @@
                 .addKeyValue("term", leadership.highestTerm())
                 .addKeyValue("agreeing_controllers", agreeingControllers)
                 .addKeyValue("redirected_agents", redirectedAgentCount)
-                .log("leader silent");
+                .log("leader unresponsive");
         int controllers = endpoints.size() + 1;
         return agreeingControllers > controllers / 2 && redirectedAgentCount > 0;
     }
--- a/src/main/java/io/quartzgw/recovery/FailoverRecovery.java
+++ b/src/main/java/io/quartzgw/recovery/FailoverRecovery.java
@@ -171,7 +171,7 @@
                 .addKeyValue("starts", formerStarts.count())
                 .addKeyValue("inherited", inherited)
                 .addKeyValue("unreadable_pages", formerStarts.unreadablePages())
-                .log("former starts inherited");
+                .log("starts of previous leaders loaded");
     }
 
     // ---- heartbeats
--- a/src/main/java/io/quartzgw/scheduling/ClusterState.java
+++ b/src/main/java/io/quartzgw/scheduling/ClusterState.java
@@ -129,7 +129,7 @@
 
     /** As {@link #terminate(Job)}, for a job that was cancelled or completed at an earlier time. */
     public void terminate(Job job, long endedAtMs) {
-        LOG.atDebug().addKeyValue("job", job.id()).log("job terminal");
+        LOG.atDebug().addKeyValue("job", job.id()).log("job ended");
         update(job, terminated -> terminated.terminate(endedAtMs));
         removeIfDrained(job);
     }
--- a/src/main/java/io/quartzgw/startlog/StartLog.java
+++ b/src/main/java/io/quartzgw/startlog/StartLog.java
@@ -142,7 +142,7 @@
                 .addKeyValue("key", page.key())
                 .addKeyValue("revision", page.revision())
                 .addKeyValue("term", term.number())
-                .log("start log unreadable");
+                .log("start log page unreadable");
     }
 
     /** Drops the unreadable pages; called once no machine is left that they may refer to. */
