--- a/src/main/java/io/quartzgw/agent/AgentManager.java
+++ b/src/main/java/io/quartzgw/agent/AgentManager.java
@@ -48,7 +48,7 @@
     /** Receives the events that other parts of the leader have to act on. */
     public interface Listener {
         /** A task has completed; the completion must be recorded before the agent may remove the attempt. */
-        void taskFinished(Job job, int index);
+        void taskCompleted(Job job, int index);
 
         /** The machine must be recorded as one that runs tasks before a first start is sent to it. */
         void recordNeeded(Machine machine);
@@ -78,7 +78,7 @@
         PendingCommands pendingCommands = new PendingCommands(leader, startLogUpdater, listener);
         this.registry = new AgentRegistry(leader);
         this.allocationRelease = new AllocationRelease(leader, registry);
-        this.reconciler = new TaskReconciler(leader, registry, allocationRelease, timing, listener::taskFinished);
+        this.reconciler = new TaskReconciler(leader, registry, allocationRelease, timing, listener::taskCompleted);
         this.processor = new HeartbeatProcessor(leader, registry, reconciler, allocationRelease);
         this.responder = new HeartbeatResponder(leader, registry, pendingCommands, isCancelled);
         this.dispatcher = new CommandDispatcher(
@@ -154,7 +154,7 @@
     // ---- tasks and machines
 
     /** Drops the state of the agent of a machine that has been removed. */
-    public void forget(Machine machine) {
+    public void machineRemoved(Machine machine) {
         registry.remove(machine).ifPresent(reconciler::agentRemoved);
         startLogUpdater.machineRemoved(machine.id());
     }
@@ -187,8 +187,8 @@
     }
 
     /** Handles that completions of tasks of a job have been recorded: the agents may remove those attempts. */
-    public void finishesRecorded(Job job) {
-        reconciler.completionsRecorded(job);
+    public void completedTasksRecorded(Job job) {
+        reconciler.completedTasksRecorded(job);
     }
 
     /** Returns whether a direct call may still start an allocation's attempt, even if its machine is unreachable. */
@@ -200,12 +200,12 @@
      * Handles that no attempt runs on a machine any more, although the machine may be rebooted. Its tasks become free
      * to be placed on other machines, except those whose start is outstanding.
      */
-    public void allTasksLost(Machine machine) {
+    public void allAttemptsLost(Machine machine) {
         allocationRelease.allAttemptsLost(machine);
     }
 
     /** Resends the starts of previous leaders whose jobs are within quota; called in every batch. */
-    public void permitInheritedStarts(Predicate<Job> isWithinQuota) {
+    public void resendInheritedStarts(Predicate<Job> isWithinQuota) {
         inheritedStarts.resendWithinQuota(isWithinQuota);
     }
 
--- a/src/main/java/io/quartzgw/agent/AgentState.java
+++ b/src/main/java/io/quartzgw/agent/AgentState.java
@@ -143,7 +143,7 @@
         return !allocation.observed()
                 && !allocation.stopping()
                 && !allocation.startWithheld()
-                && !(allocation.isLost() && machine.isOverbooked())
+                && !(allocation.isLost() && machine.isOvercommitted())
                 && !allocation.job().isTerminal()
                 && !outstandingStarts.isInFlight(Attempts.of(allocation));
     }
--- a/src/main/java/io/quartzgw/agent/AllocationRelease.java
+++ b/src/main/java/io/quartzgw/agent/AllocationRelease.java
@@ -41,8 +41,8 @@
 
     /** Returns whether a direct call may still start the attempt of an allocation. */
     boolean isStartOutstanding(Allocation allocation) {
-        boolean mayHaveUnknownStart =
-                allocation.machine().fencing().hasUnknownStarts() && cluster.isOfFormerLeader(allocation.attempt());
+        boolean mayHaveUnknownStart = allocation.machine().fencing().mayReceiveUnknownStarts()
+                && cluster.isOfPreviousLeader(allocation.attempt());
         return mayHaveUnknownStart
                 || registry.agentOf(allocation.machine())
                         .outstandingStarts()
@@ -74,7 +74,7 @@
             cluster.release(allocation);
         } else {
             logUnfenced(allocation, end);
-            cluster.retainUnfenced(allocation);
+            cluster.retainUnfencedAllocation(allocation);
         }
     }
 
--- a/src/main/java/io/quartzgw/agent/CommandDispatcher.java
+++ b/src/main/java/io/quartzgw/agent/CommandDispatcher.java
@@ -158,7 +158,7 @@
         if (answered) {
             boolean rejected = reply.status() == STATUS_REJECTED;
             HeartbeatCodec.decode(reply.body()).ifPresent(heartbeat -> onHeartbeatReply(agent, heartbeat, rejected));
-        } else if (reply.status() == Reply.LOST) {
+        } else if (reply.status() == Reply.NO_RESPONSE) {
             eventLoop.increment(reply.sent() ? "orders.unanswered" : "orders.unsent", 1);
             machine.liveness().markUnreachable(eventLoop.nowMs());
         }
--- a/src/main/java/io/quartzgw/agent/EndedJobStarts.java
+++ b/src/main/java/io/quartzgw/agent/EndedJobStarts.java
@@ -93,21 +93,21 @@
         while (lookUpsInFlight < MAX_LOOK_UPS_IN_FLIGHT && !jobsToLookUp.isEmpty()) {
             String job = jobsToLookUp.pollFirst();
             lookUpsInFlight++;
-            endedJobs.lookUp(job, end -> onLookedUp(job, end));
+            endedJobs.lookUp(job, outcome -> onLookedUp(job, outcome));
         }
         startingLookUps = false;
     }
 
-    private void onLookedUp(String job, EndedJobs.End end) {
+    private void onLookedUp(String job, EndedJobs.Outcome outcome) {
         lookUpsInFlight--;
         unresolvedByJob.remove(job).stream()
                 .filter(start -> cluster.contains(start.machine()))
-                .forEach(start -> resolve(start, end));
+                .forEach(start -> resolve(start, outcome));
         startLookUps();
     }
 
-    private void resolve(OutstandingStart start, EndedJobs.End end) {
-        if (end instanceof EndedJobs.End.Cancelled cancelled) {
+    private void resolve(OutstandingStart start, EndedJobs.Outcome outcome) {
+        if (outcome instanceof EndedJobs.Outcome.Cancelled cancelled) {
             fence(start, cancelled.atMs().orElse(UNKNOWN_TIME_MS));
         } else {
             onDroppable.accept(start);
@@ -122,7 +122,7 @@
                 .addKeyValue("machine", start.machine().id())
                 .addKeyValue(
                         "former_leader",
-                        cluster.isOfFormerLeader(start.attempt().number()))
+                        cluster.isOfPreviousLeader(start.attempt().number()))
                 .log("outstanding start of cancelled job found");
         start.machine().fencing().addCancelledStart(start.attempt(), cancelledAtMs);
         cluster.markChanged();
--- a/src/main/java/io/quartzgw/agent/EndedJobs.java
+++ b/src/main/java/io/quartzgw/agent/EndedJobs.java
@@ -7,18 +7,18 @@
 public interface EndedJobs {
 
     /** The terminal state of a job. */
-    sealed interface End {
+    sealed interface Outcome {
         /** All tasks of the job are completed. */
-        record Done() implements End {}
+        record Completed() implements Outcome {}
 
         /**
          * The job was cancelled.
          *
          * @param atMs when the cancellation was acknowledged to a user, if this controller knows the time
          */
-        record Cancelled(OptionalLong atMs) implements End {}
+        record Cancelled(OptionalLong atMs) implements Outcome {}
     }
 
     /** Looks up how a job that is not open has ended; the callback runs during this call or later. */
-    void lookUp(String job, Consumer<End> callback);
+    void lookUp(String job, Consumer<Outcome> callback);
 }
--- a/src/main/java/io/quartzgw/agent/HeartbeatProcessor.java
+++ b/src/main/java/io/quartzgw/agent/HeartbeatProcessor.java
@@ -191,7 +191,7 @@
                 .log("agent replaced");
         agent.agentReplaced();
         reconciler.updateUnaccountedCapacity(machine);
-        machine.liveness().agentReplaced(heartbeat.id());
+        machine.liveness().recordAgentReplacement(heartbeat.id());
         allocationRelease.allAttemptsLost(machine);
     }
 }
--- a/src/main/java/io/quartzgw/agent/InheritedStarts.java
+++ b/src/main/java/io/quartzgw/agent/InheritedStarts.java
@@ -123,10 +123,10 @@
         allocation.markStartSent();
         if (job.zonesAllowed(start.machine().zone())) {
             allocation.markLost(eventLoop.nowMs());
-            allocation.withholdStart(true);
+            allocation.setStartWithheld(true);
             withheldAllocations.add(allocation);
         } else {
-            cluster.retainUnfenced(allocation);
+            cluster.retainUnfencedAllocation(allocation);
         }
     }
 
@@ -141,7 +141,7 @@
                 .toList();
         for (Allocation allocation : permitted) {
             withheldAllocations.remove(allocation);
-            allocation.withholdStart(false);
+            allocation.setStartWithheld(false);
             registry.requestStart(allocation);
         }
     }
--- a/src/main/java/io/quartzgw/agent/StartLogUpdater.java
+++ b/src/main/java/io/quartzgw/agent/StartLogUpdater.java
@@ -28,12 +28,12 @@
         Stream<Attempt> outstanding = agent.outstandingStarts().outstandingInDirectCalls().stream();
         Set<Attempt> starts = Stream.concat(pending, outstanding).collect(Collectors.toCollection(LinkedHashSet::new));
 
-        log.announce(agent.machine().id(), starts);
+        log.setStarts(agent.machine().id(), starts);
     }
 
     /** Drops all starts for a machine from the log, since the machine is gone. */
     void machineRemoved(String machine) {
-        log.announce(machine, Set.of());
+        log.setStarts(machine, Set.of());
     }
 
     /** Returns whether a start may be sent in a direct call, which requires that the log has stored it. */
--- a/src/main/java/io/quartzgw/agent/TaskReconciler.java
+++ b/src/main/java/io/quartzgw/agent/TaskReconciler.java
@@ -84,7 +84,7 @@
     /** Restores the allocation of an unfenced attempt that a new agent runs, because a late start has reached it. */
     private Optional<Allocation> restoreUnfenced(Machine machine, Attempt attempt) {
         Optional<Allocation> unfenced = machine.fencing().find(attempt.task(), attempt.number());
-        unfenced.ifPresent(cluster::restoreUnfenced);
+        unfenced.ifPresent(cluster::restoreUnfencedAllocation);
         return unfenced;
     }
 
@@ -104,7 +104,7 @@
     void updateRefusedJobs(AgentState agent) {
         Set<String> refused = agent.refusedJobs();
         if (!refused.equals(agent.machine().exclusions().refusedJobs())) {
-            agent.machine().exclusions().refuseJobs(refused);
+            agent.machine().exclusions().setRefusedJobs(refused);
             cluster.markChanged();
         }
     }
@@ -114,7 +114,7 @@
      * for until they have stopped.
      */
     void updateUnaccountedCapacity(Machine machine) {
-        cluster.setUnexplained(
+        cluster.setMayRunOrphans(
                 machine,
                 cluster.contains(machine)
                         && !registry.agentOf(machine).orphans().isEmpty());
@@ -181,7 +181,7 @@
 
     private void reconcileCompleted(AgentState agent, Attempt attempt, Job job, Optional<Allocation> allocation) {
         Machine machine = agent.machine();
-        machine.exclusions().jobSucceeded();
+        machine.exclusions().recordJobSuccess();
         machine.cacheImage(job.spec().image(), job.spec().imageGb());
         if (!job.isDone(attempt.index())) {
             cluster.markDone(job, attempt.index());
@@ -200,7 +200,7 @@
         if (cause == Heartbeat.ExitCause.ERROR) {
             // Later failures count against the job only: one that fails everywhere must not discredit every machine.
             if (job.failures() == 0) {
-                machine.exclusions().jobFailed(job.id());
+                machine.exclusions().recordJobFailure(job.id());
             }
             job.recordFailure(machine.id(), eventLoop.nowMs(), errorDelayMs);
         } else if (cause == Heartbeat.ExitCause.REFUSED || cause == Heartbeat.ExitCause.GANG_FAILED) {
@@ -209,7 +209,7 @@
     }
 
     /** Handles that completions of tasks of a job have been recorded: the agents may remove those attempts. */
-    void completionsRecorded(Job job) {
+    void completedTasksRecorded(Job job) {
         Set<AgentState> agents = agentsReportingExitByJob.get(job.id());
         if (agents == null) {
             return;
--- a/src/main/java/io/quartzgw/agent/UnfencedAttemptsMonitor.java
+++ b/src/main/java/io/quartzgw/agent/UnfencedAttemptsMonitor.java
@@ -73,7 +73,7 @@
         Machine machine = allocation.machine();
         return allocation.job().isTerminal()
                 && machine.liveness().heartbeatWithin(timing.leaseMs(), eventLoop.nowMs())
-                && allocation.isLostFor((long) (WARNING_LIMIT_FRACTION * timing.cancelMs()), eventLoop.nowMs())
+                && allocation.isLostFor((long) (WARNING_LIMIT_FRACTION * timing.cancelLimitMs()), eventLoop.nowMs())
                 && registry.agentOf(machine).mayStillStart(Attempts.of(allocation));
     }
 
--- a/src/main/java/io/quartzgw/app/AcceptedJobNotice.java
+++ b/src/main/java/io/quartzgw/app/AcceptedJobNotice.java
@@ -16,7 +16,7 @@
 
     static ObjectNode encode(OpenJob job) {
         ObjectNode notice = Json.object().put(REVISION, job.revision());
-        notice.set(JOB, JobRecordCodec.encodeOpen(job.spec(), job.acceptedAt()));
+        notice.set(JOB, JobRecordCodec.encodeOpen(job.spec(), job.acceptedAtMs()));
         return notice;
     }
 
--- a/src/main/java/io/quartzgw/app/AgentReachability.java
+++ b/src/main/java/io/quartzgw/app/AgentReachability.java
@@ -40,7 +40,7 @@
                 unresponsive += isUnresponsive(machine) ? 1 : 0;
             }
         }
-        return unresponsive > PARTITIONED_FRACTION * running && peers.agentsReachingOthers() > unresponsive / 2;
+        return unresponsive > PARTITIONED_FRACTION * running && peers.maxRedirectedAgentsOfPeers() > unresponsive / 2;
     }
 
     private boolean isUnresponsive(Machine machine) {
--- a/src/main/java/io/quartzgw/app/Controller.java
+++ b/src/main/java/io/quartzgw/app/Controller.java
@@ -62,14 +62,14 @@
                 settings.agentTiming().heartbeatMs() / 1000.0,
                 settings.agentTiming().leaseMs() / 1000.0,
                 settings.cancelLimitS());
-        long cancelMs = settings.agentTiming().cancelMs();
+        long cancelMs = settings.agentTiming().cancelLimitMs();
         this.cancellations = new CancellationRegistry(eventLoop, cancelMs);
         this.watermark =
                 new CancellationWatermark(eventLoop, cancelMs, settings.peers().keySet());
         ControllerIdentity identity = new ControllerIdentity(settings.member(), process);
         this.leadership = new Leadership(eventLoop, store, timing, identity, watermark);
         this.peers = new PeerExchange(eventLoop, timing, identity, settings.peers(), peerParticipants(settings));
-        this.catalog = new MachineCatalog(eventLoop, store, cloud, leadership::leading);
+        this.catalog = new MachineCatalog(eventLoop, store, cloud, leadership::isLeading);
         this.jobs = new JobStore(store);
         this.submissions = new SubmissionHandler(
                 eventLoop, store, jobs, catalog, new Admission(settings.teams()), new SubmissionEvents());
@@ -100,7 +100,7 @@
     }
 
     public boolean isLeading() {
-        return leadership.leading();
+        return leadership.isLeading();
     }
 
     public long term() {
@@ -128,9 +128,9 @@
     // controller that can't reach the state service can't serve users, so it is not ready. The exception is an outage
     // for all controllers: leaving the load balancer would then only reset every user's connection.
     private void serveReadiness(Request request) {
-        boolean ready = leadership.hasReadStore()
+        boolean ready = leadership.hasReadElectionState()
                 && catalog.isKnown()
-                && (!store.failingLongerThan(timing.leaseMs()) || !peers.anotherPeerReachesStore());
+                && (!store.failingLongerThan(timing.leaseMs()) || !peers.anyPeerReachesStore());
         eventLoop.answer(
                 request.exchange(),
                 ready
@@ -139,7 +139,7 @@
     }
 
     private void serveMetrics(Request request) {
-        ObjectNode counters = Json.object().put("failures", eventLoop.failures());
+        ObjectNode counters = Json.object().put("failures", eventLoop.failedEvents());
         eventLoop.counters().forEach(counters::put);
         ObjectNode snapshot = Json.object();
         snapshot.set("process", processMetrics.get());
@@ -196,7 +196,7 @@
         @Override
         public void cancelled(String id) {
             if (cancellations.record(id) && leader.isEmpty()) {
-                peers.sendToLeader();
+                peers.sendCancellationsToLeader();
             }
         }
     }
--- a/src/main/java/io/quartzgw/app/ControllerProcess.java
+++ b/src/main/java/io/quartzgw/app/ControllerProcess.java
@@ -1,9 +1,9 @@
 package io.quartzgw.app;
 
-import io.quartzgw.eventloop.Command;
 import io.quartzgw.eventloop.Effect;
 import io.quartzgw.eventloop.EventLoop;
 import io.quartzgw.eventloop.EventLoopThread;
+import io.quartzgw.eventloop.LoopEvent;
 import io.quartzgw.http.HttpClient;
 import io.quartzgw.http.HttpServer;
 import io.quartzgw.http.ListenerKind;
@@ -93,11 +93,11 @@
 
     private boolean receive(Request request) {
         requestStartNanos.put(request.exchange(), System.nanoTime());
-        if (eventLoopThread.offerRequest(new Command.Arrived(request))) {
+        if (eventLoopThread.offerRequest(new LoopEvent.RequestReceived(request))) {
             return true;
         }
         requestStartNanos.remove(request.exchange());
-        metrics.refused();
+        metrics.recordRefusedRequest();
         return false;
     }
 
@@ -105,14 +105,14 @@
         if (effect instanceof Effect.Answer answer) {
             Long startedAt = requestStartNanos.remove(answer.exchange());
             if (startedAt != null) {
-                metrics.served(answer.response().status(), System.nanoTime() - startedAt);
+                metrics.recordRequest(answer.response().status(), System.nanoTime() - startedAt);
             }
             server.answer(answer.exchange(), answer.response(), answer.validUntilMs());
         } else if (effect instanceof Effect.Send send) {
             client.send(
                     send.request(),
                     send.validUntilMs(),
-                    reply -> eventLoopThread.callEnded(new Command.CallEnded(send.call(), reply)));
+                    reply -> eventLoopThread.callEnded(new LoopEvent.CallEnded(send.call(), reply)));
         }
     }
 }
--- a/src/main/java/io/quartzgw/app/EndedJobLookup.java
+++ b/src/main/java/io/quartzgw/app/EndedJobLookup.java
@@ -13,38 +13,42 @@
     private final JobStore jobs;
     private final CancellationRegistry cancellations;
     private final LeaderTerm term;
-    private final long retryMs;
+    private final long retryDelayMs;
 
     EndedJobLookup(
-            EventLoop eventLoop, JobStore jobs, CancellationRegistry cancellations, LeaderTerm term, long retryMs) {
+            EventLoop eventLoop,
+            JobStore jobs,
+            CancellationRegistry cancellations,
+            LeaderTerm term,
+            long retryDelayMs) {
         this.eventLoop = eventLoop;
         this.jobs = jobs;
         this.cancellations = cancellations;
         this.term = term;
-        this.retryMs = retryMs;
+        this.retryDelayMs = retryDelayMs;
     }
 
     @Override
-    public void lookUp(String job, Consumer<End> onEnd) {
+    public void lookUp(String job, Consumer<Outcome> callback) {
         if (cancellations.contains(job)) {
-            onEnd.accept(cancelled(job));
+            callback.accept(cancelled(job));
         } else if (term.isCurrent()) {
-            jobs.lookUp(job, result -> onResult(job, result, onEnd));
+            jobs.lookUp(job, result -> onResult(job, result, callback));
         }
     }
 
-    private End cancelled(String job) {
-        return new End.Cancelled(cancellations.cancelledAtMs(job));
+    private Outcome cancelled(String job) {
+        return new Outcome.Cancelled(cancellations.cancelledAtMs(job));
     }
 
-    private void onResult(String job, JobStore.LookupResult result, Consumer<End> onEnd) {
+    private void onResult(String job, JobStore.LookupResult result, Consumer<Outcome> callback) {
         if (result instanceof JobStore.LookupResult.Terminal terminal) {
-            onEnd.accept(terminal.state().cancelled() ? cancelled(job) : new End.Done());
+            callback.accept(terminal.state().cancelled() ? cancelled(job) : new Outcome.Completed());
         } else if (result instanceof JobStore.LookupResult.NotFound) {
             // No record says that the job completed, so its tasks must not be started.
-            onEnd.accept(cancelled(job));
+            callback.accept(cancelled(job));
         } else {
-            eventLoop.after(retryMs, () -> lookUp(job, onEnd));
+            eventLoop.after(retryDelayMs, () -> lookUp(job, callback));
         }
     }
 }
--- a/src/main/java/io/quartzgw/app/HeartbeatEndpoint.java
+++ b/src/main/java/io/quartzgw/app/HeartbeatEndpoint.java
@@ -61,7 +61,7 @@
         if (runtime.isPresent()) {
             ReceivedHeartbeat received = runtime.get().receive(heartbeat);
             // Deferred, since a job may be cancelled, a task stopped, or the term may end later in this batch.
-            eventLoop.afterCommands(() -> respond(request.exchange(), runtime.get(), received));
+            eventLoop.afterEvents(() -> respond(request.exchange(), runtime.get(), received));
         } else {
             redirectAgent(request.exchange(), heartbeat);
         }
--- a/src/main/java/io/quartzgw/app/LeaderPolicies.java
+++ b/src/main/java/io/quartzgw/app/LeaderPolicies.java
@@ -23,7 +23,7 @@
         return new FleetManager.Policy(
                 reservedCpus(settings),
                 recoveryTiming.reservationMs(),
-                settings.agentTiming().cancelMs(),
+                settings.agentTiming().cancelLimitMs(),
                 settings.cloudLimits().listLagMs());
     }
 
--- a/src/main/java/io/quartzgw/app/LeaderRuntime.java
+++ b/src/main/java/io/quartzgw/app/LeaderRuntime.java
@@ -78,10 +78,10 @@
         this.agents = new AgentManager(
                 context,
                 agentTiming,
-                SocketBudget.of(settings.maxSockets()).agentCalls(),
+                SocketBudget.of(settings.maxSockets()).directCalls(),
                 cancellations::contains,
                 startLog,
-                new EndedJobLookup(eventLoop, jobStore, cancellations, term, recoveryTiming.retryMs()),
+                new EndedJobLookup(eventLoop, jobStore, cancellations, term, recoveryTiming.retryDelayMs()),
                 new AgentEvents());
         this.progress = new ProgressRecorder(
                 eventLoop, services.store(), term, agentTiming.heartbeatMs(), new ProgressEvents());
@@ -183,14 +183,14 @@
         }
         recovery.checkProgress();
         if (recovery.isStateLoaded()) {
-            agents.permitInheritedStarts(scheduler::isWithinQuota);
+            agents.resendInheritedStarts(scheduler::isWithinQuota);
             if (term.isConfirmed() && cluster.takeChanged()) {
                 scheduler.schedule();
                 fleetScaling.requestRun();
             }
             fleetScaling.startOnce();
             if (term.isConfirmed()) {
-                fleetScaling.runIfDue(scheduler.unplaced(), recovery.isWindowClosed());
+                fleetScaling.runIfDue(scheduler.unplaced(), recovery.isRecoveryWindowClosed());
             }
         }
         agents.sendPendingCommands();
@@ -224,8 +224,8 @@
         for (Allocation allocation : job.allocationsSnapshot()) {
             agents.requestStop(allocation, 0, StopReason.JOB_OVER);
         }
-        agents.finishesRecorded(job);
-        progress.forgetJob(job.id());
+        agents.completedTasksRecorded(job);
+        progress.removeJob(job.id());
     }
 
     /** Returns the next page of task counts for display, with at most {@code maxJobs} jobs. */
@@ -237,20 +237,20 @@
 
     private final class FleetEvents implements FleetManager.Listener {
         @Override
-        public void failed(Machine machine) {
-            agents.allTasksLost(machine);
+        public void machineFailed(Machine machine) {
+            agents.allAttemptsLost(machine);
         }
 
         @Override
-        public void removed(Machine machine) {
-            agents.forget(machine);
+        public void machineRemoved(Machine machine) {
+            agents.machineRemoved(machine);
         }
     }
 
     private final class AgentEvents implements AgentManager.Listener {
         @Override
-        public void taskFinished(Job job, int index) {
-            progress.recordFinish(job, index);
+        public void taskCompleted(Job job, int index) {
+            progress.recordCompletedTask(job, index);
         }
 
         @Override
@@ -260,19 +260,19 @@
 
         @Override
         public void recordNeeded(Job job, int index) {
-            progress.recordStart(job, index);
+            progress.requestStartLimitAbove(job, index);
         }
     }
 
     private final class ProgressEvents implements ProgressRecorder.Listener {
         @Override
-        public void startsRecorded(Job job) {
+        public void startLimitRaised(Job job) {
             agents.requestStarts(job);
         }
 
         @Override
-        public void finishesRecorded(Job job) {
-            agents.finishesRecorded(job);
+        public void completedTasksRecorded(Job job) {
+            agents.completedTasksRecorded(job);
         }
 
         @Override
@@ -282,7 +282,7 @@
         }
 
         @Override
-        public void jobTerminatedElsewhere(Job job) {
+        public void jobNoLongerOpen(Job job) {
             terminate(job.id());
         }
     }
--- a/src/main/java/io/quartzgw/app/Main.java
+++ b/src/main/java/io/quartzgw/app/Main.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Command line entry point. */
+/** LoopEvent line entry point. */
 @Command(
         name = "quartzgw",
         mixinStandardHelpOptions = true,
--- a/src/main/java/io/quartzgw/app/OpenJobWatcher.java
+++ b/src/main/java/io/quartzgw/app/OpenJobWatcher.java
@@ -81,7 +81,7 @@
     }
 
     @Override
-    public void caughtUp(long revision, long readAt) {
+    public void onCaughtUp(long revision, long readAt) {
         watchedRevision = revision;
         watermark.recordStoreRead(readAt);
     }
@@ -97,13 +97,13 @@
             change.newValue()
                     .ifPresentOrElse(
                             record -> add(JobRecordCodec.decodeOpen(record, change.revision())),
-                            () -> events.onTerminal().accept(change.key().substring(JobKeys.OPEN.length())));
+                            () -> events.onTerminal().accept(change.key().substring(JobKeys.OPEN_PREFIX.length())));
         }
     }
 
     @Override
     public void onCompacted() {
-        store.listPrefix(JobKeys.OPEN, this::onListed);
+        store.listPrefix(JobKeys.OPEN_PREFIX, this::onListed);
     }
 
     private void onListed(ListResult result) {
@@ -123,7 +123,7 @@
                 .toList();
         terminateMissing(open, listing.revision());
         open.forEach(this::add);
-        store.watch(JobKeys.OPEN, listing.revision(), listing.readAt(), this);
+        store.watch(JobKeys.OPEN_PREFIX, listing.revision(), listing.readAtMs(), this);
     }
 
     // A job that was accepted before the listing and is missing from it has become terminal in the meantime.
--- a/src/main/java/io/quartzgw/app/PauseDetector.java
+++ b/src/main/java/io/quartzgw/app/PauseDetector.java
@@ -41,7 +41,7 @@
     private void logPause(long durationMs) {
         LOG.atInfo()
                 .addKeyValue("duration_ms", durationMs)
-                .addKeyValue("leading", leadership.leading())
+                .addKeyValue("leading", leadership.isLeading())
                 .addKeyValue("term", leadership.term())
                 .addKeyValue("confirmed", leadership.isConfirmed())
                 .addKeyValue("confirmed_age_ms", leadership.confirmedAgeMs())
--- a/src/main/java/io/quartzgw/app/ProcessMetrics.java
+++ b/src/main/java/io/quartzgw/app/ProcessMetrics.java
@@ -27,10 +27,11 @@
             .distributionStatisticBufferLength(2)
             .register(registry);
     private final Timer batches = Timer.builder("batches").register(registry);
-    private final Counter refused = Counter.builder("requests.refused").register(registry);
+    private final Counter recordRefusedRequest =
+            Counter.builder("requests.refused").register(registry);
     private final Map<Integer, Counter> statuses = new ConcurrentHashMap<>();
 
-    void served(int status, long nanos) {
+    void recordRequest(int status, long nanos) {
         requests.record(nanos, TimeUnit.NANOSECONDS);
         statuses.computeIfAbsent(status, key -> Counter.builder("responses")
                         .tag("status", Integer.toString(key))
@@ -38,12 +39,12 @@
                 .increment();
     }
 
-    void batch(long nanos) {
+    void recordBatch(long nanos) {
         batches.record(nanos, TimeUnit.NANOSECONDS);
     }
 
-    void refused() {
-        refused.increment();
+    void recordRefusedRequest() {
+        recordRefusedRequest.increment();
     }
 
     JsonNode snapshot() {
--- a/src/main/java/io/quartzgw/app/SettingsReader.java
+++ b/src/main/java/io/quartzgw/app/SettingsReader.java
@@ -65,7 +65,7 @@
                 positiveNumber(facts, CANCEL_FIELD),
                 storeLimits(facts),
                 cloudLimits(facts),
-                (int) numberAtLeast(facts, "facts.limits.sockets", SocketBudget.minimumFor(peers.size())));
+                (int) numberAtLeast(facts, "facts.limits.sockets", SocketBudget.minimumSockets(peers.size())));
     }
 
     private static JsonNode parse(String toml) throws InvalidSettingsException {
--- a/src/main/java/io/quartzgw/app/TaskCountPager.java
+++ b/src/main/java/io/quartzgw/app/TaskCountPager.java
@@ -27,11 +27,11 @@
         previousPageEnd = "";
         for (Job job : cluster.jobsAfter(afterJob)) {
             int running = job.runningCount();
-            if (running > 0 || job.doneCount() > 0) {
+            if (running > 0 || job.completedCount() > 0) {
                 if (page.size() == maxJobs) {
                     return new TaskCountPage(afterJob, previousPageEnd, page);
                 }
-                page.put(job.id(), new TaskCountPage.TaskCounts(job.doneCount(), running));
+                page.put(job.id(), new TaskCountPage.TaskCounts(job.completedCount(), running));
             }
             previousPageEnd = job.id();
         }
--- a/src/main/java/io/quartzgw/cancellation/CancellationWatermark.java
+++ b/src/main/java/io/quartzgw/cancellation/CancellationWatermark.java
@@ -87,7 +87,7 @@
      * @param requestedAtMs when the request was sent to the peer
      * @param complete whether the response announced all cancellations that the peer had to announce
      */
-    public void recordPeerAnswer(String name, long process, long uptimeMs, long requestedAtMs, boolean complete) {
+    public void recordPeerResponse(String name, long process, long uptimeMs, long requestedAtMs, boolean complete) {
         Peer peer = peers.get(name);
         if (!peer.hasRespondedAs(process)) {
             peer.replaceProcess(process, gapBeforeCurrentProcess(peer, uptimeMs));
--- a/src/main/java/io/quartzgw/eventloop/Effect.java
+++ b/src/main/java/io/quartzgw/eventloop/Effect.java
@@ -20,7 +20,7 @@
     record Answer(long exchange, Response response, long validUntilMs) implements Effect {}
 
     /**
-     * Starts an outbound call, which ends in one {@link Command.CallEnded}. If it expires before it can be sent, the
+     * Starts an outbound call, which ends in one {@link LoopEvent.CallEnded}. If it expires before it can be sent, the
      * reply reports it as unsent.
      */
     record Send(long call, Call request, long validUntilMs) implements Effect {}
--- a/src/main/java/io/quartzgw/eventloop/EventLoop.java
+++ b/src/main/java/io/quartzgw/eventloop/EventLoop.java
@@ -20,7 +20,7 @@
 /**
  * The deterministic core of one controller: time, timers, outbound calls, counters and seeded randomness.
  *
- * <p>Everything runs inside {@link #processBatch}: the same commands at the same times give the same effects. No method
+ * <p>Everything runs inside {@link #processBatch}: the same events at the same times give the same effects. No method
  * may be called from any other thread than the caller of {@code processBatch}.
  */
 public final class EventLoop {
@@ -31,14 +31,14 @@
     private final Map<Long, Consumer<Reply>> pendingCalls = new HashMap<>();
     private final List<Runnable> batchBeginListeners = new ArrayList<>();
     private final List<Runnable> batchEndListeners = new ArrayList<>();
-    /** Tasks to run after this batch's commands and timers, in the order in which they were added. */
-    private final Deque<Runnable> afterCommands = new ArrayDeque<>();
+    /** Tasks to run after this batch's events and timers, in the order in which they were added. */
+    private final Deque<Runnable> afterEvents = new ArrayDeque<>();
 
     private Consumer<Request> requestHandler = request -> {};
     private List<Effect> pendingEffects = new ArrayList<>();
     private ClockReading clock = new ClockReading(0, 0);
     private long lastSequence;
-    private long failures;
+    private long failedEvents;
     private final Map<String, Long> counters = new TreeMap<>();
 
     public EventLoop(long seed) {
@@ -50,22 +50,22 @@
         this.requestHandler = handler;
     }
 
-    /** Adds a listener that runs once at the beginning of every batch, before any of its commands are applied. */
+    /** Adds a listener that runs once at the beginning of every batch, before any of its events are applied. */
     public void onBatchBegin(Runnable listener) {
         batchBeginListeners.add(listener);
     }
 
-    /** Adds a listener that runs once at the end of every batch, after all its commands were applied. */
+    /** Adds a listener that runs once at the end of every batch, after all its events were applied. */
     public void onBatchEnd(Runnable listener) {
         batchEndListeners.add(listener);
     }
 
     /**
-     * Runs a task once, after all commands and timers of this batch and before its end listeners. Used for messages
-     * that have to reflect all commands of the batch.
+     * Runs a task once, after all events and timers of this batch and before its end listeners. Used for messages that
+     * have to reflect all events of the batch.
      */
-    public void afterCommands(Runnable task) {
-        afterCommands.addLast(task);
+    public void afterEvents(Runnable task) {
+        afterEvents.addLast(task);
     }
 
     public long nowMs() {
@@ -117,12 +117,12 @@
         pendingEffects.add(new Effect.Answer(exchange, response, validUntilMs));
     }
 
-    /** Applies a batch of commands and the timers that are due, and returns the effects to carry out. */
-    public List<Effect> processBatch(List<Command> batch, ClockReading now) {
+    /** Applies a batch of events and the timers that are due, and returns the effects to carry out. */
+    public List<Effect> processBatch(List<LoopEvent> batch, ClockReading now) {
         clock = now;
         batchBeginListeners.forEach(this::runGuarded);
-        for (Command command : batch) {
-            runGuarded(() -> apply(command));
+        for (LoopEvent event : batch) {
+            runGuarded(() -> apply(event));
         }
         while (!timers.isEmpty() && timers.peek().dueMs <= clock.steadyMs()) {
             Timer timer = timers.poll();
@@ -130,8 +130,8 @@
                 runGuarded(timer.task);
             }
         }
-        while (!afterCommands.isEmpty()) {
-            runGuarded(afterCommands.pollFirst());
+        while (!afterEvents.isEmpty()) {
+            runGuarded(afterEvents.pollFirst());
         }
         batchEndListeners.forEach(this::runGuarded);
         List<Effect> effects = pendingEffects;
@@ -147,9 +147,9 @@
         return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().dueMs;
     }
 
-    /** The number of commands and tasks that threw an exception. Each one is a defect. */
-    public long failures() {
-        return failures;
+    /** The number of events and tasks that threw an exception. Each one is a defect. */
+    public long failedEvents() {
+        return failedEvents;
     }
 
     /**
@@ -170,10 +170,10 @@
         return counters;
     }
 
-    private void apply(Command command) {
-        if (command instanceof Command.Arrived arrived) {
-            requestHandler.accept(arrived.request());
-        } else if (command instanceof Command.CallEnded ended) {
+    private void apply(LoopEvent event) {
+        if (event instanceof LoopEvent.RequestReceived received) {
+            requestHandler.accept(received.request());
+        } else if (event instanceof LoopEvent.CallEnded ended) {
             Consumer<Reply> callback = pendingCalls.remove(ended.call());
             if (callback != null) {
                 callback.accept(ended.reply());
@@ -187,7 +187,7 @@
         try {
             task.run();
         } catch (RuntimeException e) {
-            failures++;
+            failedEvents++;
             LOG.atError().setCause(e).log("event handler failed");
         }
     }
--- a/src/main/java/io/quartzgw/eventloop/EventLoopThread.java
+++ b/src/main/java/io/quartzgw/eventloop/EventLoopThread.java
@@ -22,8 +22,8 @@
 
     private final EventLoop eventLoop;
     private final Consumer<Effect> effectRunner;
-    private final BlockingQueue<Command> requestBuffer;
-    private final BlockingQueue<Command> commands = new LinkedBlockingQueue<>();
+    private final BlockingQueue<LoopEvent> requestBuffer;
+    private final BlockingQueue<LoopEvent> events = new LinkedBlockingQueue<>();
     private final int maxBatchSize;
     private volatile boolean stopRequested;
 
@@ -39,21 +39,21 @@
     }
 
     /** Queues an inbound request. Returns false when the buffer is full. */
-    public boolean offerRequest(Command.Arrived arrived) {
+    public boolean offerRequest(LoopEvent.RequestReceived arrived) {
         if (!requestBuffer.offer(arrived)) {
             return false;
         }
-        commands.add(WAKE_UP);
+        events.add(WAKE_UP);
         return true;
     }
 
-    public void callEnded(Command.CallEnded ended) {
-        commands.add(ended);
+    public void callEnded(LoopEvent.CallEnded ended) {
+        events.add(ended);
     }
 
     public void stop() {
         stopRequested = true;
-        commands.add(WAKE_UP);
+        events.add(WAKE_UP);
     }
 
     public static ClockReading currentTime() {
@@ -62,17 +62,17 @@
 
     @Override
     public void run() {
-        List<Command> batch = new ArrayList<>(maxBatchSize);
+        List<LoopEvent> batch = new ArrayList<>(maxBatchSize);
         try {
             while (!stopRequested) {
                 long waitMs = Math.min(
                         MAX_POLL_MS, eventLoop.nextTimerAt() - currentTime().steadyMs());
-                Command first = waitMs > 0 ? commands.poll(waitMs, TimeUnit.MILLISECONDS) : commands.poll();
+                LoopEvent first = waitMs > 0 ? events.poll(waitMs, TimeUnit.MILLISECONDS) : events.poll();
                 if (first != null) {
                     batch.add(first);
-                    commands.drainTo(batch, maxBatchSize - 1);
+                    events.drainTo(batch, maxBatchSize - 1);
                 }
-                batch.removeIf(command -> command == WAKE_UP);
+                batch.removeIf(event -> event == WAKE_UP);
                 requestBuffer.drainTo(batch, maxBatchSize);
                 eventLoop.processBatch(batch, currentTime()).forEach(effectRunner);
                 batch.clear();
@@ -83,5 +83,5 @@
         }
     }
 
-    private static final Command WAKE_UP = new Command.CallEnded(0, null);
+    private static final LoopEvent WAKE_UP = new LoopEvent.CallEnded(0, null);
 }
--- a/src/main/java/io/quartzgw/eventloop/Command.java
+++ b/src/main/java/io/quartzgw/eventloop/LoopEvent.java
@@ -4,11 +4,11 @@
 import io.quartzgw.http.Request;
 
 /** An input of the event loop. */
-public sealed interface Command {
+public sealed interface LoopEvent {
 
     /** An inbound request was received. It gets exactly one {@link Effect.Answer}. */
-    record Arrived(Request request) implements Command {}
+    record RequestReceived(Request request) implements LoopEvent {}
 
     /** An outbound call ended, with or without a response. */
-    record CallEnded(long call, Reply reply) implements Command {}
+    record CallEnded(long call, Reply reply) implements LoopEvent {}
 }
--- a/src/main/java/io/quartzgw/fleet/FencingPolicy.java
+++ b/src/main/java/io/quartzgw/fleet/FencingPolicy.java
@@ -2,8 +2,8 @@
 
 import io.quartzgw.eventloop.EventLoop;
 import io.quartzgw.scheduling.Allocation;
-import io.quartzgw.scheduling.CancelledTasks;
 import io.quartzgw.scheduling.ClusterState;
+import io.quartzgw.scheduling.LateStartsOfCancelledTasks;
 import io.quartzgw.scheduling.Machine;
 import java.util.Comparator;
 import java.util.List;
@@ -85,7 +85,7 @@
                 || hasUnreachableLostAttempt(machine)
                 || hasOverdueLostAttempt(machine)
                 || machine.fencing().cancelledStarts() > 0
-                || machine.fencing().hasUnknownStarts();
+                || machine.fencing().mayReceiveUnknownStarts();
     }
 
     private boolean hasOverdueUnfencedAttempt(Machine machine) {
@@ -113,7 +113,7 @@
     // The acknowledged cancellation guarantees that none of the job's tasks runs after the time limit. The limit of
     // machines being evacuated must not delay that.
     private void fenceBeforeCancellationDeadline(Machine machine) {
-        OptionalLong cancelledAtMs = CancelledTasks.firstCancellationMs(machine);
+        OptionalLong cancelledAtMs = LateStartsOfCancelledTasks.firstCancellationMs(machine);
         if (cancelledAtMs.isEmpty() || eventLoop.nowMs() < cancelledAtMs.getAsLong() + ignoreEvacuationLimitMs) {
             return;
         }
@@ -126,7 +126,7 @@
 
     // The state service does not renew the leader's lease, and it may recover only after the cancellation's time limit.
     private void fenceIfCancelledTaskMayStart(Machine machine) {
-        if (CancelledTasks.firstPossibleCancellationMs(machine).isPresent()) {
+        if (LateStartsOfCancelledTasks.firstPossibleCancellationMs(machine).isPresent()) {
             fence(machine, eventLoop.nowMs());
         }
     }
--- a/src/main/java/io/quartzgw/fleet/FleetManager.java
+++ b/src/main/java/io/quartzgw/fleet/FleetManager.java
@@ -57,10 +57,10 @@
     /** Is notified of machines that have failed or no longer exist. */
     public interface Listener {
         /** A machine has stopped on its own, and its tasks with it; it exists until it is deleted. */
-        void failed(Machine machine);
+        void machineFailed(Machine machine);
 
         /** A machine certainly no longer exists. */
-        void removed(Machine machine);
+        void machineRemoved(Machine machine);
     }
 
     /** Creates the fleet manager of one term. */
@@ -93,17 +93,17 @@
         cluster.remove(machine);
         records.removeRecords(machine);
         inventory.stopTracking(machine);
-        listener.removed(machine);
+        listener.machineRemoved(machine);
     }
 
     private final class InventoryEvents implements Listener {
         @Override
-        public void failed(Machine machine) {
-            listener.failed(machine);
+        public void machineFailed(Machine machine) {
+            listener.machineFailed(machine);
         }
 
         @Override
-        public void removed(Machine machine) {
+        public void machineRemoved(Machine machine) {
             remove(machine);
         }
     }
--- a/src/main/java/io/quartzgw/fleet/InventoryReconciler.java
+++ b/src/main/java/io/quartzgw/fleet/InventoryReconciler.java
@@ -108,7 +108,7 @@
         if (entry.failed() && !policy.hasRecentHeartbeat(machine, eventLoop.nowMs())) {
             // The machine has stopped on its own, and its tasks with it.
             LOG.atInfo().addKeyValue("machine", entry.id()).log("machine failed");
-            listener.failed(machine);
+            listener.machineFailed(machine);
             machine.expireReservation();
             machine.drain();
         }
@@ -143,7 +143,7 @@
                         .addKeyValue("machine", machine.id())
                         .addKeyValue("reason", "not_listed")
                         .log("machine removed");
-                listener.removed(machine);
+                listener.machineRemoved(machine);
             }
         }
     }
--- a/src/main/java/io/quartzgw/fleet/MachineRecords.java
+++ b/src/main/java/io/quartzgw/fleet/MachineRecords.java
@@ -31,7 +31,7 @@
     /** Key prefix of the pages with descriptions. */
     public static final String PREFIX = "mach/";
     /** Key prefix of the pages with marks. */
-    public static final String MARK_PREFIX = "used/";
+    public static final String USED_MARK_PREFIX = "used/";
 
     private static final int RETRY_MS = 200;
     /** The fraction of this controller's write budget that descriptions may use while no start waits for a mark. */
@@ -69,7 +69,7 @@
         this.maxClockSkewMs = maxClockSkewMs;
         this.onMarked = onMarked;
         this.descriptions = new PackedRecords(store, PREFIX, this::guardedTransaction);
-        this.marks = new PackedRecords(store, MARK_PREFIX, this::guardedTransaction);
+        this.marks = new PackedRecords(store, USED_MARK_PREFIX, this::guardedTransaction);
         this.flushLater = new CoalescedTask(eventLoop, this::flush);
     }
 
@@ -158,7 +158,7 @@
         writeNeeded = false;
         List<Machine> marked = List.copyOf(pendingMarks);
         int pages = descriptions.dirtyPageCount() + marks.dirtyPageCount();
-        nextBackgroundWriteAt = eventLoop.nowMs() + store.pauseMsAfter(pages, BACKGROUND_FRACTION);
+        nextBackgroundWriteAt = eventLoop.nowMs() + store.writePauseMs(pages, BACKGROUND_FRACTION);
         RequestUrgency urgency = marked.isEmpty() ? RequestUrgency.BACKGROUND : RequestUrgency.HIGH;
         // A mark is useless without its description, so the description is written first.
         descriptions.write(urgency, descriptionsWritten -> {
--- a/src/main/java/io/quartzgw/fleet/ScaleInPolicy.java
+++ b/src/main/java/io/quartzgw/fleet/ScaleInPolicy.java
@@ -82,7 +82,7 @@
     private Resources idleCapacity() {
         Resources capacity = Resources.NONE;
         for (Machine machine : cluster.machines()) {
-            if (machine.status() == Machine.Status.UP && machine.empty() && !machine.reservationExpired()) {
+            if (machine.status() == Machine.Status.UP && machine.hasNoAllocations() && !machine.reservationExpired()) {
                 capacity = capacity.plus(machine.type().size());
             }
         }
@@ -100,7 +100,7 @@
             for (Allocation unfenced : machine.fencing().unfenced()) {
                 demand = demand.plus(unfenced.demand());
             }
-            if (!machine.empty()
+            if (!machine.hasNoAllocations()
                     && !machine.reservationExpired()
                     && !policy.hasRecentHeartbeat(machine, eventLoop.nowMs())) {
                 demand = demand.plus(machine.type().size().minus(machine.freeCapacity()));
@@ -112,7 +112,7 @@
     /** Drains an underutilized machine, unless another machine is still being evacuated. */
     void drainUnderutilized() {
         boolean draining = cluster.machines().stream()
-                .anyMatch(machine -> machine.status() == Machine.Status.DRAINING && !machine.empty());
+                .anyMatch(machine -> machine.status() == Machine.Status.DRAINING && !machine.hasNoAllocations());
         if (policy.reservedCpus() > 0 || draining) {
             return;
         }
@@ -128,7 +128,7 @@
     private boolean isIdle(Machine machine) {
         long idleMs = (long) (IDLE_BOOT_TIMES * machine.type().bootMs());
         return machine.status() == Machine.Status.UP
-                && machine.empty()
+                && machine.hasNoAllocations()
                 && !machine.reservationExpired()
                 && eventLoop.nowMs() - machine.emptySince() > idleMs
                 && minimumRentalElapsed(machine)
@@ -145,7 +145,7 @@
     // A machine is lost if its reservation has expired without a further heartbeat, or if it sends heartbeats but does
     // not respond to direct calls. Such machines must not accumulate while others are rented in their place.
     private boolean isLost(Machine machine) {
-        if (machine.status() != Machine.Status.UP || !machine.empty()) {
+        if (machine.status() != Machine.Status.UP || !machine.hasNoAllocations()) {
             return false;
         }
         AgentLiveness liveness = machine.liveness();
--- a/src/main/java/io/quartzgw/fleet/ScaleInRequests.java
+++ b/src/main/java/io/quartzgw/fleet/ScaleInRequests.java
@@ -64,7 +64,7 @@
 
     // A machine on which a task may run is not deleted, unless it is being fenced and its evacuation has timed out.
     private boolean isDeletable(Machine machine) {
-        return (machine.empty() && !machine.isUnverified())
+        return (machine.hasNoAllocations() && !machine.isUnverified())
                 || machine.reservationExpired()
                 || machine.isFencingDue(eventLoop.nowMs());
     }
--- a/src/main/java/io/quartzgw/http/HttpClient.java
+++ b/src/main/java/io/quartzgw/http/HttpClient.java
@@ -259,7 +259,7 @@
                 connectFuture.cancel();
             }
             IoUtils.safeClose(connection);
-            callback.accept(connection == null ? Reply.unsent() : Reply.lost());
+            callback.accept(connection == null ? Reply.unsent() : Reply.unanswered());
         }
 
         private <T> ClientCallback<T> onSuccess(Consumer<T> next) {
--- a/src/main/java/io/quartzgw/http/Reply.java
+++ b/src/main/java/io/quartzgw/http/Reply.java
@@ -6,25 +6,25 @@
 /**
  * The result of an outbound call.
  *
- * @param status the HTTP status, or {@link #LOST} if no response was received
+ * @param status the HTTP status, or {@link #NO_RESPONSE} if no response was received
  * @param sent whether the request may have been sent. If it may have been and there is no response, the request may
  *     have been executed or may still be. An unsent request is never executed.
  */
 public record Reply(int status, byte[] body, boolean sent) {
-    public static final int LOST = 0;
+    public static final int NO_RESPONSE = 0;
 
     /** The reply to a request that was sent. */
     public Reply(int status, byte[] body) {
         this(status, body, true);
     }
 
-    public static Reply lost() {
-        return new Reply(LOST, new byte[0]);
+    public static Reply unanswered() {
+        return new Reply(NO_RESPONSE, new byte[0]);
     }
 
     /** The reply to a request that was not sent, because there was no connection or the call had expired. */
     public static Reply unsent() {
-        return new Reply(LOST, new byte[0], false);
+        return new Reply(NO_RESPONSE, new byte[0], false);
     }
 
     public boolean ok() {
--- a/src/main/java/io/quartzgw/http/SocketBudget.java
+++ b/src/main/java/io/quartzgw/http/SocketBudget.java
@@ -8,11 +8,11 @@
  * @param clientConnections maximum number of connections of the client listener
  * @param acceptBacklog maximum number of client connections waiting to be accepted; they take sockets too
  * @param keepAliveConnections number of client connections above which each response closes its connection
- * @param agentCalls maximum number of direct calls in flight; those to unreachable machines last until they time out
+ * @param directCalls maximum number of direct calls in flight; those to unreachable machines last until they time out
  * @param pooledConnections maximum number of idle outbound connections kept for later calls
  */
 public record SocketBudget(
-        int clientConnections, int acceptBacklog, int keepAliveConnections, int agentCalls, int pooledConnections) {
+        int clientConnections, int acceptBacklog, int keepAliveConnections, int directCalls, int pooledConnections) {
     /** Minimum number of sockets of a controller, not counting those for its peers. */
     private static final int BASE_SOCKETS = 16;
     /** One message in flight in each direction, one pooled connection and one connection being opened. */
@@ -31,7 +31,7 @@
     private static final double POOLED_FRACTION = 0.05;
 
     /** The minimum number of sockets of a controller with the given number of peers. */
-    public static int minimumFor(int peers) {
+    public static int minimumSockets(int peers) {
         return BASE_SOCKETS + SOCKETS_PER_PEER * peers;
     }
 
--- a/src/main/java/io/quartzgw/leadership/ElectionState.java
+++ b/src/main/java/io/quartzgw/leadership/ElectionState.java
@@ -83,7 +83,7 @@
             store.watch(
                     Leadership.PREFIX,
                     listed.listing().revision(),
-                    listed.listing().readAt(),
+                    listed.listing().readAtMs(),
                     new ElectionWatcher(generation));
         } else {
             eventLoop.after(RETRY_DELAY_MS, () -> reloadUnlessSuperseded(generation));
--- a/src/main/java/io/quartzgw/leadership/LeaderTerm.java
+++ b/src/main/java/io/quartzgw/leadership/LeaderTerm.java
@@ -38,7 +38,7 @@
 
     /** Returns whether this controller still leads in this term, as far as it knows. */
     public boolean isCurrent() {
-        return leadership.leading() && leadership.term() == number;
+        return leadership.isLeading() && leadership.term() == number;
     }
 
     /** Returns the time until which this controller is confirmed in this term if its lease is not renewed again. */
--- a/src/main/java/io/quartzgw/leadership/Leadership.java
+++ b/src/main/java/io/quartzgw/leadership/Leadership.java
@@ -79,7 +79,7 @@
     }
 
     /** Returns whether this controller leads, as far as it knows; its lease may have expired unnoticed. */
-    public boolean leading() {
+    public boolean isLeading() {
         return lease.isPresent();
     }
 
@@ -139,17 +139,17 @@
 
     /** Returns the name of the leading controller, as far as this controller knows. */
     public Optional<String> leader() {
-        return leading() ? Optional.of(identity.member()) : state.leader().map(LeaderRecord::member);
+        return isLeading() ? Optional.of(identity.member()) : state.leader().map(LeaderRecord::member);
     }
 
     /** Returns whether this controller has read the election keys since its start. */
-    public boolean hasReadStore() {
+    public boolean hasReadElectionState() {
         return state.initialized();
     }
 
     /** Steps down in favour of another controller and takes part in no election during the back-off. */
     public void resign(long backOffMs) {
-        if (leading()) {
+        if (isLeading()) {
             candidacy.backOff(backOffMs);
             stepDown(StepDownReason.RESIGNED);
             state.reload();
@@ -160,7 +160,7 @@
     /** Records a term from a message of an agent or a peer. A leader steps down if it is higher than its own term. */
     public void observeTerm(long observedTerm) {
         highestObservedTerm = Math.max(highestObservedTerm, observedTerm);
-        if (leading() && observedTerm > term) {
+        if (isLeading() && observedTerm > term) {
             stepDown(StepDownReason.HIGHER_TERM_OBSERVED);
             state.reload();
         }
@@ -177,7 +177,7 @@
      * was sent: a record received since then may name a newer process.
      */
     void recordPeerProcess(ControllerIdentity peer, Optional<LeaderRecord> recordAtRequest) {
-        if (leading() || state.leader().isEmpty() || !state.leader().equals(recordAtRequest)) {
+        if (isLeading() || state.leader().isEmpty() || !state.leader().equals(recordAtRequest)) {
             return;
         }
         LeaderRecord leader = state.leader().get();
@@ -195,7 +195,7 @@
 
     /** Deposes the leader that the leader record names, after a majority of the controllers found it unresponsive. */
     void deposeUnresponsiveLeader() {
-        if (!leading()) {
+        if (!isLeading()) {
             state.leader().ifPresent(deposition::depose);
         }
     }
@@ -203,7 +203,7 @@
     private void evaluateRole() {
         deposition.recordDepositions();
         candidacy.logStatusChange();
-        if (leading()) {
+        if (isLeading()) {
             if (state.term() > term) {
                 stepDown(StepDownReason.HIGHER_TERM_STORED);
             }
@@ -229,7 +229,7 @@
     private final class CandidacyOwner implements Candidacy.Owner {
         @Override
         public boolean leading() {
-            return Leadership.this.leading();
+            return Leadership.this.isLeading();
         }
 
         @Override
--- a/src/main/java/io/quartzgw/leadership/PeerExchange.java
+++ b/src/main/java/io/quartzgw/leadership/PeerExchange.java
@@ -129,7 +129,7 @@
     }
 
     /** Sends a message with the cancelled jobs to the leader immediately, if another controller leads. */
-    public void sendToLeader() {
+    public void sendCancellationsToLeader() {
         postToLeader(messages.create());
     }
 
@@ -209,7 +209,7 @@
         peers.observeProcess(peer).applyStatus(response, eventLoop.nowMs());
         response.attachments().writeGrantPerS().ifPresent(writesPerS -> writeBudget.applyGrant(writesPerS, sentAtMs));
         applyDurableFacts(response);
-        watermark.recordPeerAnswer(
+        watermark.recordPeerResponse(
                 member,
                 peer.process(),
                 response.status().uptimeMs(),
@@ -237,12 +237,12 @@
     }
 
     /** Returns the highest number of agents that a single peer recently redirected and can reach. */
-    public int agentsReachingOthers() {
+    public int maxRedirectedAgentsOfPeers() {
         return peers.maxRedirectedAgents();
     }
 
     /** Returns whether the state store recently responded to any other controller. */
-    public boolean anotherPeerReachesStore() {
+    public boolean anyPeerReachesStore() {
         return peers.anyReachesStore();
     }
 }
--- a/src/main/java/io/quartzgw/leadership/PeerMessageFactory.java
+++ b/src/main/java/io/quartzgw/leadership/PeerMessageFactory.java
@@ -41,7 +41,7 @@
         return new PeerStatus(
                 redirectedAgents.count(),
                 participants.watermark().uptimeMs(),
-                leadership.leading() ? leadership.term() : 0,
+                leadership.isLeading() ? leadership.term() : 0,
                 leadership.highestTerm(),
                 storeReachable(),
                 unresponsiveLeaderDetector.isLeaderUnresponsive());
--- a/src/main/java/io/quartzgw/leadership/UnresponsiveLeaderDetector.java
+++ b/src/main/java/io/quartzgw/leadership/UnresponsiveLeaderDetector.java
@@ -48,7 +48,7 @@
 
     /** Returns whether the recorded leader is another controller and unresponsive. */
     boolean isLeaderUnresponsive() {
-        return !leadership.leading()
+        return !leadership.isLeading()
                 && observedRecord.isPresent()
                 && observedRecord.equals(leadership.leaderRecord())
                 && eventLoop.nowMs() - lastReceivedAtMs(observedRecord.get()) >= unresponsiveAfterMs;
--- a/src/main/java/io/quartzgw/liveness/AgentLiveness.java
+++ b/src/main/java/io/quartzgw/liveness/AgentLiveness.java
@@ -114,7 +114,7 @@
      * Records that a reply to a direct call came from a new agent on the same machine: the reply is older than
      * heartbeats that had been received when the call was sent. The tasks of the previous agent have ended.
      */
-    public void agentReplaced(HeartbeatId reply) {
+    public void recordAgentReplacement(HeartbeatId reply) {
         hasReplacedAgent = true;
         latestObservedEpoch = reply.epoch();
         // One sequence before the reply, so that the reply is classified as current.
@@ -139,7 +139,7 @@
     }
 
     /** Sets the latest time at which a previous leader may have responded. It applies until the agent is verified. */
-    public void boundPreviousLeader(long until) {
+    public void boundPreviousLeaderActivity(long until) {
         previousLeaderActiveUntil = until;
     }
 
--- a/src/main/java/io/quartzgw/liveness/AgentTiming.java
+++ b/src/main/java/io/quartzgw/liveness/AgentTiming.java
@@ -5,9 +5,9 @@
  *
  * @param heartbeatMs the interval between two heartbeats of an agent
  * @param leaseMs how long an agent keeps its tasks after sending the last heartbeat that got a response
- * @param cancelMs how long a task may run after the cancellation of its job was acknowledged to a user
+ * @param cancelLimitMs how long a task may run after the cancellation of its job was acknowledged to a user
  */
-public record AgentTiming(long heartbeatMs, long leaseMs, long cancelMs) {
+public record AgentTiming(long heartbeatMs, long leaseMs, long cancelLimitMs) {
     /** Steady clocks drift by up to 0.05% in either direction, so those of two machines drift apart by up to 0.1%. */
     private static final double MAX_CLOCK_DRIFT = 0.001;
 
--- a/src/main/java/io/quartzgw/model/JobSpec.java
+++ b/src/main/java/io/quartzgw/model/JobSpec.java
@@ -51,7 +51,7 @@
     }
 
     /** The minimum resources that the job needs at the same time. An array can run its tasks one after the other. */
-    public Resources neededAtOnce() {
+    public Resources minimumDemand() {
         return shape == JobShape.ARRAY ? demand : demand.times(tasks);
     }
 
--- a/src/main/java/io/quartzgw/model/Resources.java
+++ b/src/main/java/io/quartzgw/model/Resources.java
@@ -23,7 +23,7 @@
     }
 
     /** Returns the smaller of the two amounts of each resource. */
-    public Resources least(Resources other) {
+    public Resources min(Resources other) {
         return new Resources(
                 Math.min(cpus, other.cpus), Math.min(gpus, other.gpus), Math.min(memoryGb, other.memoryGb));
     }
--- a/src/main/java/io/quartzgw/progress/JobCompletionWriter.java
+++ b/src/main/java/io/quartzgw/progress/JobCompletionWriter.java
@@ -72,7 +72,7 @@
         } else if (outcome instanceof TransactionOutcome.Conflict conflict
                 && conflict.failedKeys().contains(JobKeys.open(job.id()))) {
             completing.remove(job);
-            listener.jobTerminatedElsewhere(job);
+            listener.jobNoLongerOpen(job);
         } else {
             retry(job);
         }
--- a/src/main/java/io/quartzgw/progress/ProgressRecorder.java
+++ b/src/main/java/io/quartzgw/progress/ProgressRecorder.java
@@ -66,10 +66,10 @@
     /** Is notified of recorded progress that other parts of the leader have to act on. */
     public interface Listener {
         /** A job's start limit has been raised, so that more of its tasks may be started. */
-        void startsRecorded(Job job);
+        void startLimitRaised(Job job);
 
         /** Completed tasks of a job have been recorded. */
-        void finishesRecorded(Job job);
+        void completedTasksRecorded(Job job);
 
         /** The completion of a job has been recorded. */
         void jobCompleted(Job job, TerminalState terminalState);
@@ -78,7 +78,7 @@
          * A job is no longer open in the state service: it was cancelled, or an earlier write of its completion with an
          * unknown outcome has succeeded.
          */
-        void jobTerminatedElsewhere(Job job);
+        void jobNoLongerOpen(Job job);
     }
 
     /** The progress that one write records. */
@@ -140,7 +140,7 @@
     }
 
     /** Removes the progress records of a job that has ended, as part of the next write. */
-    public void forgetJob(String job) {
+    public void removeJob(String job) {
         records.removeLazily(startLimitKey(job));
         Set<Integer> chunks = chunksByJob.remove(job);
         if (chunks != null) {
@@ -155,7 +155,7 @@
     // ---- progress to be recorded
 
     /** Requests a write that raises a job's start limit above a task's index. */
-    public void recordStart(Job job, int index) {
+    public void requestStartLimitAbove(Job job, int index) {
         int tasks = job.spec().tasks();
         int limit = index + 1 + (int) Math.ceil(START_LIMIT_AHEAD_FRACTION * tasks);
         unwrittenStartLimits.merge(job, Math.min(tasks, limit), Math::max);
@@ -171,8 +171,8 @@
     }
 
     /** Requests a write of a completed task, or of the completion of its job if all its tasks have completed. */
-    public void recordFinish(Job job, int index) {
-        if (job.complete()) {
+    public void recordCompletedTask(Job job, int index) {
+        if (job.isComplete()) {
             // Written without delay, since the user expects the job to end immediately. The completion replaces all of
             // the job's progress.
             unwrittenChunks.remove(job);
@@ -212,7 +212,7 @@
         }
         writeInFlight = true;
         nextCompletedTasksWriteAtMs =
-                eventLoop.nowMs() + store.pauseMsAfter(records.dirtyPageCount(), COMPLETED_TASKS_WRITE_FRACTION);
+                eventLoop.nowMs() + store.writePauseMs(records.dirtyPageCount(), COMPLETED_TASKS_WRITE_FRACTION);
         RequestUrgency urgency = batch.startLimits().isEmpty() ? RequestUrgency.BACKGROUND : RequestUrgency.HIGH;
         records.write(urgency, written -> onWritten(batch, written));
     }
@@ -267,11 +267,11 @@
     private void onWriteSucceeded(Batch batch) {
         batch.startLimits().forEach((job, limit) -> {
             job.recordedStartLimit(limit);
-            listener.startsRecorded(job);
+            listener.startLimitRaised(job);
         });
         batch.completedTasks().forEach((job, snapshot) -> {
             job.recordedDone().or(snapshot);
-            listener.finishesRecorded(job);
+            listener.completedTasksRecorded(job);
         });
         if (!unwrittenChunks.isEmpty()) {
             scheduleWrite();
@@ -283,7 +283,7 @@
         retryDelayed = true;
         eventLoop.after(retryMs, () -> retryDelayed = false);
         batch.completedTasks().forEach((job, snapshot) -> {
-            if (!job.isTerminal() && !job.complete()) {
+            if (!job.isTerminal() && !job.isComplete()) {
                 snapshot.andNot(job.recordedDone());
                 unwrittenChunks.computeIfAbsent(job, key -> new LinkedHashSet<>());
                 snapshot.stream().forEach(index -> addUnwrittenChunk(job, bitmaps.chunkOf(index)));
--- a/src/main/java/io/quartzgw/recovery/FailoverRecovery.java
+++ b/src/main/java/io/quartzgw/recovery/FailoverRecovery.java
@@ -9,7 +9,7 @@
 import io.quartzgw.scheduling.ClusterState;
 import io.quartzgw.scheduling.Job;
 import io.quartzgw.scheduling.Machine;
-import io.quartzgw.startlog.FormerStarts;
+import io.quartzgw.startlog.LoadedStarts;
 import io.quartzgw.startlog.StartLog;
 import io.quartzgw.store.KeyValue;
 import io.quartzgw.store.StoreClient;
@@ -95,7 +95,7 @@
 
     /** Starts reading the stored state. */
     public void start() {
-        new StateLoader(leader, collaborators.store(), timing.retryMs(), this::onStateLoaded).load();
+        new StateLoader(leader, collaborators.store(), timing.retryDelayMs(), this::onStateLoaded).load();
     }
 
     /** Returns whether the stored state has been read. From then on verified machines may receive tasks. */
@@ -104,7 +104,7 @@
     }
 
     /** Returns whether the window for gathering heartbeats has closed. */
-    public boolean isWindowClosed() {
+    public boolean isRecoveryWindowClosed() {
         return phase == Phase.RECOVERED;
     }
 
@@ -116,7 +116,7 @@
         LOG.atInfo()
                 .addKeyValue("term", leader.term().number())
                 .addKeyValue("revision", state.openJobs().revision())
-                .addKeyValue("read_after_ms", state.openJobs().readAt() - electedAtMs)
+                .addKeyValue("read_after_ms", state.openJobs().readAtMs() - electedAtMs)
                 .addKeyValue("jobs", state.openJobs().entries().size())
                 .addKeyValue("machines", cluster.machines().size())
                 .log("stored state loaded");
@@ -126,11 +126,11 @@
         collaborators
                 .store()
                 .watch(
-                        JobKeys.OPEN,
+                        JobKeys.OPEN_PREFIX,
                         state.openJobs().revision(),
-                        state.openJobs().readAt(),
+                        state.openJobs().readAtMs(),
                         openJobWatcher);
-        List.copyOf(cluster.jobs()).stream().filter(Job::complete).forEach(collaborators.progress()::completeJob);
+        List.copyOf(cluster.jobs()).stream().filter(Job::isComplete).forEach(collaborators.progress()::completeJob);
         eventLoop.after(timing.contactIntervalMs(), this::contactUnverified);
         checkProgress();
     }
@@ -156,21 +156,21 @@
 
     // ---- starts of previous leaders
 
-    private void inheritStarts(FormerStarts formerStarts) {
-        if (formerStarts.unreadablePages() > 0) {
+    private void inheritStarts(LoadedStarts loadedStarts) {
+        if (loadedStarts.unreadablePages() > 0) {
             eventLoop.increment("takeover.starts_unknown", 1);
             unverifiedMachines.expectUnknownStarts();
             dropUnreadablePagesIfObsolete();
         }
-        int inherited = collaborators.agents().inheritStarts(formerStarts.machines());
+        int inherited = collaborators.agents().inheritStarts(loadedStarts.machines());
         eventLoop.increment("takeover.starts_inherited", inherited);
         LOG.atInfo()
                 .addKeyValue("term", leader.term().number())
                 .addKeyValue("after_ms", eventLoop.nowMs() - electedAtMs)
-                .addKeyValue("machines", formerStarts.machines().size())
-                .addKeyValue("starts", formerStarts.count())
+                .addKeyValue("machines", loadedStarts.machines().size())
+                .addKeyValue("starts", loadedStarts.count())
                 .addKeyValue("inherited", inherited)
-                .addKeyValue("unreadable_pages", formerStarts.unreadablePages())
+                .addKeyValue("unreadable_pages", loadedStarts.unreadablePages())
                 .log("starts of previous leaders loaded");
     }
 
@@ -214,7 +214,7 @@
 
     private void dropUnreadablePagesIfObsolete() {
         if (!unverifiedMachines.hasUnknownStarts()) {
-            collaborators.startLog().dropUnreadablePages();
+            collaborators.startLog().resetUnreadablePages();
         }
     }
 
--- a/src/main/java/io/quartzgw/recovery/RecoveryTiming.java
+++ b/src/main/java/io/quartzgw/recovery/RecoveryTiming.java
@@ -7,10 +7,10 @@
  *
  * @param gatherWindowMs the maximum time for which a new leader gathers heartbeats
  * @param reservationMs how long capacity on an unresponsive machine stays reserved after the last heartbeat response
- * @param retryMs the delay before another attempt to read the stored state
+ * @param retryDelayMs the delay before another attempt to read the stored state
  * @param contactIntervalMs the interval at which the leader contacts unverified machines
  */
-public record RecoveryTiming(long gatherWindowMs, long reservationMs, long retryMs, long contactIntervalMs) {
+public record RecoveryTiming(long gatherWindowMs, long reservationMs, long retryDelayMs, long contactIntervalMs) {
     private static final int GATHER_WINDOW_HEARTBEATS = 6;
     /** The margin on top of the lease, as a fraction of it: an agent may detect late that its lease has expired. */
     private static final double LEASE_MARGIN = 0.06;
--- a/src/main/java/io/quartzgw/recovery/ReservationExpiry.java
+++ b/src/main/java/io/quartzgw/recovery/ReservationExpiry.java
@@ -33,13 +33,13 @@
     private boolean isExpired(Machine machine) {
         ClusterState cluster = leader.cluster();
         boolean reserved = !machine.reservationExpired()
-                && (!machine.empty() || UnverifiedMachines.isUnverified(machine, cluster));
+                && (!machine.hasNoAllocations() || UnverifiedMachines.isUnverified(machine, cluster));
         return reserved && leader.eventLoop().nowMs() - machine.liveness().lastResponseAt() > reservationMs;
     }
 
     private void release(Machine machine) {
         int allocated = machine.allocations().size();
-        agents.allTasksLost(machine);
+        agents.allAttemptsLost(machine);
         LOG.atInfo()
                 .addKeyValue("machine", machine.id())
                 .addKeyValue("released_tasks", allocated - machine.allocations().size())
--- a/src/main/java/io/quartzgw/recovery/StateLoader.java
+++ b/src/main/java/io/quartzgw/recovery/StateLoader.java
@@ -14,7 +14,11 @@
 /** Reads the stored state, one key prefix after the other, and restarts from the first if a request fails. */
 final class StateLoader {
     private static final List<String> PREFIXES = List.of(
-            JobKeys.OPEN, ProgressBitmaps.PREFIX, MachineRecords.PREFIX, MachineRecords.MARK_PREFIX, StartLog.PREFIX);
+            JobKeys.OPEN_PREFIX,
+            ProgressBitmaps.PREFIX,
+            MachineRecords.PREFIX,
+            MachineRecords.USED_MARK_PREFIX,
+            StartLog.PREFIX);
 
     private final LeaderContext leader;
     private final StoreClient store;
--- a/src/main/java/io/quartzgw/recovery/UnverifiedMachines.java
+++ b/src/main/java/io/quartzgw/recovery/UnverifiedMachines.java
@@ -49,7 +49,7 @@
     /** Adds a machine from the stored state to the cluster state. */
     void add(Machine machine) {
         if (cluster.findMachine(machine.id()).isEmpty()) {
-            machine.liveness().boundPreviousLeader(previousLeaderActiveUntilMs);
+            machine.liveness().boundPreviousLeaderActivity(previousLeaderActiveUntilMs);
             cluster.add(machine);
             machines.add(machine);
         }
@@ -58,7 +58,7 @@
     /** Marks the unverified machines as unexplained, and the jobs whose tasks may run there as unaccounted for. */
     void markUnaccounted() {
         machines.removeIf(machine -> !isUnverified(machine));
-        machines.forEach(machine -> cluster.setUnexplained(machine, true));
+        machines.forEach(machine -> cluster.setMayRunOrphans(machine, true));
         List.copyOf(cluster.pendingJobs()).stream().filter(this::mayRunOnAny).forEach(cluster::markUnaccounted);
     }
 
@@ -69,7 +69,7 @@
      */
     void expectUnknownStarts() {
         cluster.machines().stream().filter(Machine::hasRunTasks).forEach(machine -> {
-            machine.fencing().expectUnknownStarts();
+            machine.fencing().markUnknownStartsPossible();
             machinesWithUnknownStarts.add(machine);
         });
     }
@@ -120,7 +120,8 @@
             previousLeadersStopped = true;
             previousLeaderActiveUntilMs =
                     Math.min(previousLeaderActiveUntilMs, leader.eventLoop().nowMs());
-            cluster.machines().forEach(machine -> machine.liveness().boundPreviousLeader(previousLeaderActiveUntilMs));
+            cluster.machines()
+                    .forEach(machine -> machine.liveness().boundPreviousLeaderActivity(previousLeaderActiveUntilMs));
         }
     }
 
--- a/src/main/java/io/quartzgw/scheduling/Allocation.java
+++ b/src/main/java/io/quartzgw/scheduling/Allocation.java
@@ -146,7 +146,7 @@
     }
 
     /** Sets whether the start command must not be sent yet. Meanwhile the task still counts as possibly running. */
-    public void withholdStart(boolean withheld) {
+    public void setStartWithheld(boolean withheld) {
         startWithheld = withheld;
     }
 
--- a/src/main/java/io/quartzgw/scheduling/ClusterState.java
+++ b/src/main/java/io/quartzgw/scheduling/ClusterState.java
@@ -68,7 +68,7 @@
     /** Adds an open job, or returns the existing job with the same ID. */
     public Job add(OpenJob open) {
         changed = true;
-        long ageMs = Math.max(0, eventLoop.wallClockMs() - open.acceptedAt());
+        long ageMs = Math.max(0, eventLoop.wallClockMs() - open.acceptedAtMs());
         return jobs.computeIfAbsent(open.spec().id(), id -> {
             Job job = new Job(open, eventLoop.nowMs() - ageMs);
             LOG.atDebug()
@@ -171,7 +171,7 @@
         machine.fencing().unfenced().forEach(this::release);
         machines.remove(machine.id(), machine);
         removedMachineIds.add(machine.id());
-        setUnexplained(machine, false);
+        setMayRunOrphans(machine, false);
         changed = true;
     }
 
@@ -188,7 +188,7 @@
     }
 
     /** Whether a previous leader created the attempt. */
-    public boolean isOfFormerLeader(long attempt) {
+    public boolean isOfPreviousLeader(long attempt) {
         return attempt >>> 32 < term;
     }
 
@@ -224,7 +224,7 @@
      * Keeps the allocation of an attempt that has ended but is unfenced. The allocation no longer reserves capacity of
      * the machine. Its task does not become pending, and counts as possibly running for quota, zone and gang checks.
      */
-    public void retainUnfenced(Allocation allocation) {
+    public void retainUnfencedAllocation(Allocation allocation) {
         Machine machine = allocation.machine();
         machine.removeAllocation(allocation, eventLoop.nowMs());
         machine.fencing().add(allocation);
@@ -234,7 +234,7 @@
     }
 
     /** Restores the allocation of an unfenced attempt that an agent has started again after all. */
-    public void restoreUnfenced(Allocation allocation) {
+    public void restoreUnfencedAllocation(Allocation allocation) {
         Machine machine = allocation.machine();
         machine.fencing().remove(allocation);
         machine.addAllocation(allocation);
@@ -275,7 +275,7 @@
     }
 
     /** Sets whether a machine may run orphans, which are tasks of jobs that are no longer open. */
-    public void setUnexplained(Machine machine, boolean isUnexplained) {
+    public void setMayRunOrphans(Machine machine, boolean isUnexplained) {
         if (isUnexplained ? possibleOrphanMachines.add(machine) : possibleOrphanMachines.remove(machine)) {
             Resources size = machine.type().size();
             // Updated incrementally: hundreds of machines may change one by one after a failover. Reset when empty.
--- a/src/main/java/io/quartzgw/scheduling/Consolidation.java
+++ b/src/main/java/io/quartzgw/scheduling/Consolidation.java
@@ -45,7 +45,7 @@
         }
         List<Machine> machines = cluster.machines().stream().filter(schedulable).toList();
         List<Machine> candidates = machines.stream()
-                .filter(machine -> !machine.empty()
+                .filter(machine -> !machine.hasNoAllocations()
                         && utilization(machine) <= MAX_UTILIZATION
                         && removable.test(machine)
                         && machine.allocations().stream().allMatch(allocation -> isMovable(allocation, now)))
--- a/src/main/java/io/quartzgw/scheduling/Job.java
+++ b/src/main/java/io/quartzgw/scheduling/Job.java
@@ -79,12 +79,12 @@
     }
 
     /** The number of completed tasks. */
-    public int doneCount() {
+    public int completedCount() {
         return done.cardinality();
     }
 
     /** Whether all tasks have completed; always false for a service. */
-    public boolean complete() {
+    public boolean isComplete() {
         return !spec().service() && done.cardinality() == spec().tasks();
     }
 
--- a/src/main/java/io/quartzgw/scheduling/CancelledTasks.java
+++ b/src/main/java/io/quartzgw/scheduling/LateStartsOfCancelledTasks.java
@@ -6,8 +6,8 @@
 import java.util.stream.Stream;
 
 /** Determines whether a delayed direct call may start a task of a cancelled job on a machine. */
-public final class CancelledTasks {
-    private CancelledTasks() {}
+public final class LateStartsOfCancelledTasks {
+    private LateStartsOfCancelledTasks() {}
 
     /** Returns the earliest cancellation time of the jobs whose tasks a late start command may run on a machine. */
     public static OptionalLong firstCancellationMs(Machine machine) {
@@ -26,7 +26,7 @@
 
     private static OptionalLong firstCancellationMs(Machine machine, Predicate<Allocation> mayBeStartedLate) {
         MachineFencing fencing = machine.fencing();
-        if (machine.empty() && !fencing.hasUnfenced()) {
+        if (machine.hasNoAllocations() && !fencing.hasUnfenced()) {
             return fencing.firstCancellationMs();
         }
         Stream<Allocation> startedLate = machine.allocations().stream().filter(mayBeStartedLate);
--- a/src/main/java/io/quartzgw/scheduling/Machine.java
+++ b/src/main/java/io/quartzgw/scheduling/Machine.java
@@ -206,12 +206,12 @@
      * after other tasks have been allocated. The agent would refuse to start that attempt until some of them have
      * ended.
      */
-    public boolean isOverbooked() {
+    public boolean isOvercommitted() {
         return !Resources.NONE.fitsIn(freeCapacity);
     }
 
     /** Whether no task is allocated to the machine. */
-    public boolean empty() {
+    public boolean hasNoAllocations() {
         return allocations.isEmpty();
     }
 
--- a/src/main/java/io/quartzgw/scheduling/MachineExclusions.java
+++ b/src/main/java/io/quartzgw/scheduling/MachineExclusions.java
@@ -17,17 +17,17 @@
     }
 
     /** Sets the jobs of which the agent would currently refuse a task. */
-    public void refuseJobs(Set<String> jobs) {
+    public void setRefusedJobs(Set<String> jobs) {
         refusedJobs = jobs;
     }
 
     /** Records that a task of the job failed on the machine. */
-    public void jobFailed(String job) {
+    public void recordJobFailure(String job) {
         failedJobs.add(job);
     }
 
     /** Records that a task completed on the machine, which resets the failures in a row. */
-    public void jobSucceeded() {
+    public void recordJobSuccess() {
         failedJobs.clear();
     }
 
--- a/src/main/java/io/quartzgw/scheduling/MachineFencing.java
+++ b/src/main/java/io/quartzgw/scheduling/MachineFencing.java
@@ -86,12 +86,12 @@
     /**
      * Records that direct calls of previous leaders may carry starts to the machine that this leader does not track.
      */
-    public void expectUnknownStarts() {
+    public void markUnknownStartsPossible() {
         unknownStarts = true;
     }
 
     /** Whether direct calls of previous leaders may carry starts to the machine that this leader does not track. */
-    public boolean hasUnknownStarts() {
+    public boolean mayReceiveUnknownStarts() {
         return unknownStarts;
     }
 
--- a/src/main/java/io/quartzgw/scheduling/Scheduler.java
+++ b/src/main/java/io/quartzgw/scheduling/Scheduler.java
@@ -119,7 +119,7 @@
     private static List<Machine> withFreeCapacity(List<Job> queued, List<Machine> machines) {
         Resources least = queued.get(0).spec().demand();
         for (Job job : queued) {
-            least = least.least(job.spec().demand());
+            least = least.min(job.spec().demand());
         }
         Resources smallestDemand = least;
         return machines.stream()
--- a/src/main/java/io/quartzgw/scheduling/SchedulingQueue.java
+++ b/src/main/java/io/quartzgw/scheduling/SchedulingQueue.java
@@ -68,7 +68,7 @@
         long ageMs = now - job.submittedAt();
         boolean late = !objectives.isObjectiveReachable(job, now) && ageMs < LATENESS_EXPIRES_HEARTBEATS * heartbeatMs;
         boolean starved = ageMs >= STARVED_AFTER_HEARTBEATS * heartbeatMs
-                && job.doneCount() == 0
+                && job.completedCount() == 0
                 && job.possiblyRunningCount() == 0;
         double ageDivisor = 1 + Math.max(0.0, (double) ageMs) / (AGEING_HEARTBEATS * heartbeatMs);
         double agedWork = job.pendingCpuSeconds() / (ageDivisor * ageDivisor);
--- a/src/main/java/io/quartzgw/startlog/FormerStarts.java
+++ b/src/main/java/io/quartzgw/startlog/LoadedStarts.java
@@ -8,7 +8,7 @@
  * @param machines the machines that have outstanding starts
  * @param unreadablePages the number of pages that can't be decoded; each may contain any start for any machine
  */
-public record FormerStarts(List<MachineStarts> machines, int unreadablePages) {
+public record LoadedStarts(List<MachineStarts> machines, int unreadablePages) {
 
     /** Returns the number of starts in the readable pages. */
     public int count() {
--- a/src/main/java/io/quartzgw/startlog/StartLog.java
+++ b/src/main/java/io/quartzgw/startlog/StartLog.java
@@ -105,7 +105,7 @@
     // ---- starts of previous leaders
 
     /** Loads the log of previous leaders from pages read from the state service. */
-    public FormerStarts load(List<KeyValue> pages) {
+    public LoadedStarts load(List<KeyValue> pages) {
         List<KeyValue> readable = new ArrayList<>();
         int unreadable = 0;
         for (KeyValue page : pages) {
@@ -128,12 +128,12 @@
         List<MachineStarts> machines = starts.entrySet().stream()
                 .map(entry -> new MachineStarts(entry.getKey(), entry.getValue()))
                 .toList();
-        return new FormerStarts(machines, unreadable);
+        return new LoadedStarts(machines, unreadable);
     }
 
     private void handleUnreadable(KeyValue page) {
         if (records.isPageKey(page.key())) {
-            records.keepUnreadable(page);
+            records.addUnreadablePage(page);
         } else {
             nonPageKeys.add(page.key());
         }
@@ -146,8 +146,8 @@
     }
 
     /** Drops the unreadable pages; called once no machine is left that they may refer to. */
-    public void dropUnreadablePages() {
-        records.dropUnreadable();
+    public void resetUnreadablePages() {
+        records.resetUnreadablePages();
         scheduleCleanup();
         // If a deletion fails, the next leader reads the key and deletes it.
         nonPageKeys.forEach(
@@ -165,7 +165,7 @@
     // ---- this leader's starts
 
     /** Sets the complete set of starts that direct calls to a machine may carry, now or from earlier calls. */
-    public void announce(String machine, Set<Attempt> starts) {
+    public void setStarts(String machine, Set<Attempt> starts) {
         Map<Attempt, LogEntry> current = entriesByMachine.getOrDefault(machine, Map.of());
         current.values().stream()
                 .filter(entry -> !starts.contains(entry.start()))
@@ -243,7 +243,7 @@
         RequestUrgency urgency = written.isEmpty() ? RequestUrgency.BACKGROUND : RequestUrgency.NORMAL;
         double fraction = written.isEmpty() ? CLEANUP_FRACTION : WRITE_FRACTION;
         long startedAtMs = eventLoop.nowMs();
-        nextWriteAtMs = startedAtMs + store.pauseMsAfter(records.dirtyPageCount(), fraction);
+        nextWriteAtMs = startedAtMs + store.writePauseMs(records.dirtyPageCount(), fraction);
         writeInFlight = true;
         eventLoop.increment("startlog.pages_written", records.dirtyPageCount());
         records.write(urgency, success -> onWritten(written, success, startedAtMs));
--- a/src/main/java/io/quartzgw/store/PackedRecords.java
+++ b/src/main/java/io/quartzgw/store/PackedRecords.java
@@ -83,7 +83,7 @@
     }
 
     /** Registers a stored page that can't be decoded. It receives no records and is not written. */
-    public void keepUnreadable(KeyValue entry) {
+    public void addUnreadablePage(KeyValue entry) {
         RecordPage page = RecordPage.empty(pageNumber(entry));
         page.setRevision(entry.revision());
         page.setUnreadable(true);
@@ -91,7 +91,7 @@
     }
 
     /** Replaces the unreadable pages by empty ones with the next {@link #write}. */
-    public void dropUnreadable() {
+    public void resetUnreadablePages() {
         pages.values().stream().filter(RecordPage::unreadable).forEach(page -> {
             page.setUnreadable(false);
             page.setDirty(true);
--- a/src/main/java/io/quartzgw/store/PrefixWatch.java
+++ b/src/main/java/io/quartzgw/store/PrefixWatch.java
@@ -28,7 +28,7 @@
         if (!watcher.active()) {
             return;
         }
-        watcher.caughtUp(fromRevision, caughtUpAtMs);
+        watcher.onCaughtUp(fromRevision, caughtUpAtMs);
         long requestedAtMs = eventLoop.nowMs();
         requests.submit(
                 codec.watchRequest(prefix, fromRevision, watcher.pollMs()),
--- a/src/main/java/io/quartzgw/store/StoreClient.java
+++ b/src/main/java/io/quartzgw/store/StoreClient.java
@@ -50,7 +50,7 @@
      * The pause that a caller has to make after a number of writes so that its writes use, on average, at most the
      * given fraction of this controller's share.
      */
-    public long pauseMsAfter(int writeCount, double fraction) {
+    public long writePauseMs(int writeCount, double fraction) {
         return (long) (writeCount * 1000 / (fraction * requests.writesPerS()));
     }
 
@@ -99,9 +99,9 @@
      * All keys with a prefix.
      *
      * @param revision the lowest store revision of all pages, from which a watch misses no change
-     * @param readAt when the first page was requested; all changes made before then are included
+     * @param readAtMs when the first page was requested; all changes made before then are included
      */
-    public record Listing(List<KeyValue> entries, long revision, long readAt) {}
+    public record Listing(List<KeyValue> entries, long revision, long readAtMs) {}
 
     /** Reads all keys with a prefix, page by page. */
     public void listPrefix(String prefix, Consumer<ListResult> callback) {
@@ -152,7 +152,7 @@
         boolean active();
 
         /** All changes up to the revision, and so all changes made before {@code readAtMs}, have been delivered. */
-        default void caughtUp(long revision, long readAtMs) {}
+        default void onCaughtUp(long revision, long readAtMs) {}
 
         /** How long the state service may wait for a change before it returns an empty response. */
         default long pollMs() {
--- a/src/main/java/io/quartzgw/store/StoreHealth.java
+++ b/src/main/java/io/quartzgw/store/StoreHealth.java
@@ -30,7 +30,7 @@
 
     /** Records the result of a call. */
     void record(Reply reply) {
-        if (reply.status() == Reply.LOST || reply.status() == SERVICE_UNAVAILABLE) {
+        if (reply.status() == Reply.NO_RESPONSE || reply.status() == SERVICE_UNAVAILABLE) {
             failingSinceMs = Math.min(failingSinceMs, eventLoop.nowMs());
             scheduleProbe();
         } else {
--- a/src/main/java/io/quartzgw/submission/Admission.java
+++ b/src/main/java/io/quartzgw/submission/Admission.java
@@ -25,7 +25,7 @@
         if (types.stream().noneMatch(type -> fits(job, type))) {
             return Optional.of("a task fits no allowed machine type");
         }
-        return team.withinLimit(job.neededAtOnce()) ? Optional.empty() : Optional.of("more than the crew's limit");
+        return team.withinLimit(job.minimumDemand()) ? Optional.empty() : Optional.of("more than the crew's limit");
     }
 
     private static boolean fits(JobSpec job, MachineType type) {
--- a/src/main/java/io/quartzgw/submission/JobRecordCodec.java
+++ b/src/main/java/io/quartzgw/submission/JobRecordCodec.java
@@ -14,8 +14,8 @@
     private JobRecordCodec() {}
 
     /** Encodes the record of an open job. */
-    public static ObjectNode encodeOpen(JobSpec spec, long acceptedAt) {
-        return JobCodec.encode(spec).put(ACCEPTED_AT, acceptedAt);
+    public static ObjectNode encodeOpen(JobSpec spec, long acceptedAtMs) {
+        return JobCodec.encode(spec).put(ACCEPTED_AT, acceptedAtMs);
     }
 
     /**
--- a/src/main/java/io/quartzgw/submission/JobStore.java
+++ b/src/main/java/io/quartzgw/submission/JobStore.java
@@ -154,21 +154,21 @@
     }
 
     /** Records a new job unless one with its ID already exists. */
-    public void accept(JobSpec spec, long acceptedAt, Consumer<AcceptResult> callback) {
+    public void accept(JobSpec spec, long acceptedAtMs, Consumer<AcceptResult> callback) {
         Transaction transaction = new Transaction()
                 .require(JobKeys.open(spec.id()), Transaction.NO_REVISION)
                 .require(JobKeys.terminal(spec.id()), Transaction.NO_REVISION)
-                .put(JobKeys.open(spec.id()), JobRecordCodec.encodeOpen(spec, acceptedAt));
+                .put(JobKeys.open(spec.id()), JobRecordCodec.encodeOpen(spec, acceptedAtMs));
         store.commit(
                 transaction,
                 RequestUrgency.NORMAL,
-                outcome -> callback.accept(acceptResult(spec, acceptedAt, outcome)));
+                outcome -> callback.accept(acceptResult(spec, acceptedAtMs, outcome)));
     }
 
-    private AcceptResult acceptResult(JobSpec spec, long acceptedAt, TransactionOutcome outcome) {
+    private AcceptResult acceptResult(JobSpec spec, long acceptedAtMs, TransactionOutcome outcome) {
         if (outcome instanceof TransactionOutcome.Committed committed) {
             openRevisions.put(spec.id(), committed.revision());
-            return new AcceptResult.New(new OpenJob(spec, committed.revision(), acceptedAt));
+            return new AcceptResult.New(new OpenJob(spec, committed.revision(), acceptedAtMs));
         }
         return outcome instanceof TransactionOutcome.Conflict
                 ? new AcceptResult.AlreadyExists()
--- a/src/main/java/io/quartzgw/submission/OpenJob.java
+++ b/src/main/java/io/quartzgw/submission/OpenJob.java
@@ -6,6 +6,6 @@
  * An accepted job that is not terminal, as stored in the state service.
  *
  * @param revision revision of the job's record, which never changes while the job is open
- * @param acceptedAt wall-clock time, in milliseconds, of the controller that accepted the job
+ * @param acceptedAtMs wall-clock time, in milliseconds, of the controller that accepted the job
  */
-public record OpenJob(JobSpec spec, long revision, long acceptedAt) {}
+public record OpenJob(JobSpec spec, long revision, long acceptedAtMs) {}
--- a/src/main/java/io/quartzgw/submission/OpenJobRevalidation.java
+++ b/src/main/java/io/quartzgw/submission/OpenJobRevalidation.java
@@ -33,7 +33,7 @@
 
     /**
      * @param openRevisions the known revisions by job ID; changed ones are removed
-     * @param readJob reads a job whose revision is not known or has changed
+     * @param read reads a job whose revision is not known or has changed
      */
     OpenJobRevalidation(
             StoreClient store, Cache<String, Long> openRevisions, BiConsumer<String, Consumer<LookupResult>> read) {
--- a/src/test/java/io/quartzgw/agent/AgentManagerTest.java
+++ b/src/test/java/io/quartzgw/agent/AgentManagerTest.java
@@ -8,9 +8,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quartzgw.eventloop.ClockReading;
-import io.quartzgw.eventloop.Command;
 import io.quartzgw.eventloop.Effect;
 import io.quartzgw.eventloop.EventLoop;
+import io.quartzgw.eventloop.LoopEvent;
 import io.quartzgw.fleet.CloudClient;
 import io.quartzgw.fleet.CloudLimits;
 import io.quartzgw.fleet.MachineCatalog;
@@ -30,7 +30,7 @@
 import io.quartzgw.scheduling.Machine;
 import io.quartzgw.scheduling.StopReason;
 import io.quartzgw.simulation.Elections;
-import io.quartzgw.simulation.JobSpecs;
+import io.quartzgw.simulation.JobSpecBuilder;
 import io.quartzgw.simulation.SimulatedStore;
 import io.quartzgw.startlog.StartLog;
 import io.quartzgw.store.StoreClient;
@@ -81,7 +81,7 @@
                 10,
                 id -> false,
                 startLog,
-                (ended, onEnd) -> onEnd.accept(new EndedJobs.End.Done()),
+                (ended, callback) -> callback.accept(new EndedJobs.Outcome.Completed()),
                 new IgnoringListener());
         startLog.load(List.of());
         eventLoop.onBatchEnd(startLog::flush);
@@ -106,11 +106,11 @@
 
     private Allocation allocate(String id) {
         Job job = cluster.add(new OpenJob(
-                JobSpecs.named(id)
+                JobSpecBuilder.named(id)
                         .team("team")
                         .shape(JobShape.SERVICE)
                         .demand(2, 0, 4)
-                        .spec(),
+                        .build(),
                 1,
                 0));
         job.recordedStartLimit(1);
@@ -119,7 +119,7 @@
 
     private static final class IgnoringListener implements AgentManager.Listener {
         @Override
-        public void taskFinished(Job job, int index) {}
+        public void taskCompleted(Job job, int index) {}
 
         @Override
         public void recordNeeded(Machine machine) {}
@@ -144,14 +144,14 @@
     private void deliver(List<Effect> initial) {
         List<Effect> effects = initial;
         while (!effects.isEmpty()) {
-            List<Command> replies = new ArrayList<>();
+            List<LoopEvent> replies = new ArrayList<>();
             for (Effect effect : effects) {
                 Effect.Send send = (Effect.Send) effect;
                 if (send.request().path().equals("/orders")) {
                     callsInFlight.add(send);
                 } else {
                     stateService.handle(
-                            send.request(), now, reply -> replies.add(new Command.CallEnded(send.call(), reply)));
+                            send.request(), now, reply -> replies.add(new LoopEvent.CallEnded(send.call(), reply)));
                 }
             }
             effects = replies.isEmpty() ? List.of() : eventLoop.processBatch(replies, new ClockReading(++now, now));
@@ -160,7 +160,7 @@
 
     /** Ends the oldest direct call in flight with a reply. */
     private void endCall(Reply reply) {
-        Command ended = new Command.CallEnded(callsInFlight.remove(0).call(), reply);
+        LoopEvent ended = new LoopEvent.CallEnded(callsInFlight.remove(0).call(), reply);
         deliver(eventLoop.processBatch(List.of(ended), new ClockReading(++now, now)));
     }
 
@@ -226,19 +226,19 @@
 
     @Test
     void resendsUnansweredStartInNextHeartbeatResponse() {
-        endCall(Reply.lost());
+        endCall(Reply.unanswered());
         assertEquals(List.of("run"), heartbeat(""));
     }
 
     // A start that arrives after the removal would run the attempt again, after its task was placed elsewhere.
     @Test
     void withholdsRemovalWhileUnansweredStartIsOutstanding() {
-        endCall(Reply.lost());
+        endCall(Reply.unanswered());
         heartbeat("running");
         agents.requestStop(allocation, 0, StopReason.PREEMPTED);
         assertEquals(List.of("kill"), heartbeat("running"));
         assertFalse(heartbeat("ended").contains("reap"));
-        assertTrue(machine.empty(), "capacity is free despite the outstanding start");
+        assertTrue(machine.hasNoAllocations(), "capacity is free despite the outstanding start");
     }
 
     // The attempt was started by a heartbeat response while the direct call with the same start was in flight.
@@ -248,7 +248,7 @@
         agents.requestStop(allocation, 0, StopReason.MACHINE_RECLAIMED);
         assertEquals(List.of("kill"), heartbeat("running"));
         assertFalse(heartbeat("ended").contains("reap"), "direct call is in flight");
-        endCall(Reply.lost());
+        endCall(Reply.unanswered());
         assertFalse(heartbeat("ended").contains("reap"), "direct call is unanswered");
     }
 
@@ -285,14 +285,14 @@
         assertFalse(agents.isStartOutstanding(allocation), "rejected");
         agents.requestStart(allocation);
         sendPendingCommands();
-        endCall(Reply.lost());
+        endCall(Reply.unanswered());
         assertTrue(agents.isStartOutstanding(allocation), "unanswered");
     }
 
     // The unanswered call may reach the agent of the rebooted machine, so the task must not be placed elsewhere.
     @Test
     void keepsAllocationWhenAgentIsReplacedWhileStartIsOutstanding() {
-        endCall(Reply.lost());
+        endCall(Reply.unanswered());
         heartbeat("running");
         agents.contact(machine);
         advance(0);
@@ -336,12 +336,12 @@
         detectAgentReplacement(List.of("run"));
         agents.requestStop(allocation, 0, StopReason.PREEMPTED);
         heartbeat("");
-        assertFalse(machine.empty(), "response may still be executed");
+        assertFalse(machine.hasNoAllocations(), "response may still be executed");
         advanceBySeconds(5);
         agents.contact(machine);
         advance(0);
         endCall(executed(""));
-        assertTrue(machine.empty(), "response was executed or dropped");
+        assertTrue(machine.hasNoAllocations(), "response was executed or dropped");
     }
 
     // Guards against fencing a machine unnecessarily: a heartbeat response is executed within seconds or never.
@@ -350,8 +350,8 @@
         endCall(rejected());
         detectAgentReplacement(List.of("run"));
         advanceBySeconds(20);
-        agents.allTasksLost(machine);
-        assertTrue(machine.empty());
+        agents.allAttemptsLost(machine);
+        assertTrue(machine.hasNoAllocations());
         assertTrue(allocation.job().pending().get(0));
     }
 
@@ -362,13 +362,13 @@
         assertEquals(List.of("run"), heartbeat(""));
         agents.requestStop(allocation, 0, StopReason.PREEMPTED);
         heartbeat("");
-        assertTrue(machine.empty(), "attempt can no longer be started");
+        assertTrue(machine.hasNoAllocations(), "attempt can no longer be started");
     }
 
     // The new agent of a rebooted machine counts its epochs from the first, which is the epoch of the unanswered call.
     @Test
     void keepsAllocationInNewEpochWhileStartIsOutstanding() {
-        endCall(Reply.lost());
+        endCall(Reply.unanswered());
         epoch = 2;
         heartbeat("");
         assertSame(allocation, machine.allocation(allocation.task()));
@@ -380,13 +380,13 @@
         endCall(Reply.unsent());
         epoch = 2;
         heartbeat("");
-        assertTrue(machine.empty(), "direct call was never sent");
+        assertTrue(machine.hasNoAllocations(), "direct call was never sent");
     }
 
     // Otherwise a late start could run the task on a replacement agent while it also runs elsewhere.
     @Test
     void blocksTaskOfExitedAttemptUntilMachineIsDeleted() {
-        endCall(Reply.lost());
+        endCall(Reply.unanswered());
         heartbeat("running");
         heartbeat("ended");
         assertFalse(allocation.job().pending().get(0), "start is outstanding");
@@ -408,7 +408,7 @@
     // The late start has reached the new agent of a rebooted machine.
     @Test
     void restoresAllocationWhenLateStartIsExecuted() {
-        endCall(Reply.lost());
+        endCall(Reply.unanswered());
         heartbeat("running");
         heartbeat("ended");
         agents.contact(machine);
@@ -423,10 +423,10 @@
     // free, but its task is not pending yet.
     @Test
     void freesCapacityOfUnobservedStoppingAttemptWithoutStartingIt() {
-        endCall(Reply.lost());
+        endCall(Reply.unanswered());
         agents.requestStop(allocation, 0, StopReason.PREEMPTED);
         assertFalse(heartbeat("").contains("run"));
-        assertTrue(machine.empty(), "capacity is free");
+        assertTrue(machine.hasNoAllocations(), "capacity is free");
         assertFalse(allocation.job().pending().get(0), "start is outstanding");
         assertTrue(machine.fencing().hasUnfenced());
         cluster.remove(machine);
@@ -436,20 +436,20 @@
     // A heartbeat response with the start may still be executed until the agent sends its next heartbeat.
     @Test
     void keepsCapacityOfStoppingAttemptWhileResponseWithStartIsOutstanding() {
-        endCall(Reply.lost());
+        endCall(Reply.unanswered());
         assertEquals(List.of("run"), heartbeat(""));
         agents.requestStop(allocation, 0, StopReason.PREEMPTED);
         agents.contact(machine);
         advance(0);
         endCall(executed(""));
-        assertFalse(machine.empty(), "response with the start may still be executed");
+        assertFalse(machine.hasNoAllocations(), "response with the start may still be executed");
         assertEquals(List.of("kill"), heartbeat(""), "direct call may be executed before this response");
-        assertTrue(machine.empty(), "response with the start was executed or lost");
+        assertTrue(machine.hasNoAllocations(), "response with the start was executed or lost");
     }
 
     @Test
     void stopsAttemptStartedAfterStopRequest() {
-        endCall(Reply.lost());
+        endCall(Reply.unanswered());
         agents.requestStop(allocation, 0, StopReason.PREEMPTED);
         heartbeat("");
         assertEquals(List.of("kill"), heartbeat("running"));
@@ -459,7 +459,7 @@
     @Test
     void raisesTokenAfterUnansweredStart() {
         assertEquals(shownToken, responseTo("").path("baton").asLong());
-        endCall(Reply.lost());
+        endCall(Reply.unanswered());
         assertEquals(shownToken + 1, responseTo("").path("baton").asLong());
         agents.contact(machine);
         advance(0);
@@ -475,7 +475,7 @@
 
     @Test
     void removesExitedAttemptOnceAgentShowsRaisedToken() {
-        endCall(Reply.lost());
+        endCall(Reply.unanswered());
         adoptTokenOfResponse("running");
         assertEquals(List.of("reap"), heartbeat("ended"), "agent rejects the late start");
         assertTrue(machine.fencing().hasUnfenced(), "replacement agent may execute the late start");
@@ -483,7 +483,7 @@
 
     @Test
     void withholdsRemovalFromReplacementAgentThatHasNotShownRaisedToken() {
-        endCall(Reply.lost());
+        endCall(Reply.unanswered());
         adoptTokenOfResponse("running");
         heartbeat("running");
         agents.contact(machine);
@@ -502,7 +502,7 @@
 
     @Test
     void stopsUnansweredStartInEachResponseUntilRaisedTokenIsShown() {
-        endCall(Reply.lost());
+        endCall(Reply.unanswered());
         agents.requestStop(allocation, 0, StopReason.JOB_OVER);
         assertEquals(List.of("kill"), heartbeat(""));
         assertEquals(List.of("kill"), heartbeat(""));
@@ -524,7 +524,7 @@
 
     @Test
     void warnsOnceOfStartableCancelledAttemptAfterHalfOfTimeLimit() {
-        endCall(Reply.lost());
+        endCall(Reply.unanswered());
         cluster.terminate(allocation.job());
         agents.requestStop(allocation, 0, StopReason.JOB_OVER);
         heartbeat("");
@@ -541,7 +541,7 @@
 
     @Test
     void doesNotWarnOfCancelledAttemptOnceRaisedTokenIsShown() {
-        endCall(Reply.lost());
+        endCall(Reply.unanswered());
         cluster.terminate(allocation.job());
         agents.requestStop(allocation, 0, StopReason.JOB_OVER);
         adoptTokenOfResponse("");
--- a/src/test/java/io/quartzgw/agent/InheritedStartsTest.java
+++ b/src/test/java/io/quartzgw/agent/InheritedStartsTest.java
@@ -9,9 +9,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quartzgw.eventloop.ClockReading;
-import io.quartzgw.eventloop.Command;
 import io.quartzgw.eventloop.Effect;
 import io.quartzgw.eventloop.EventLoop;
+import io.quartzgw.eventloop.LoopEvent;
 import io.quartzgw.fleet.CloudClient;
 import io.quartzgw.fleet.CloudLimits;
 import io.quartzgw.fleet.MachineCatalog;
@@ -27,12 +27,12 @@
 import io.quartzgw.model.MachineType;
 import io.quartzgw.model.Resources;
 import io.quartzgw.scheduling.Allocation;
-import io.quartzgw.scheduling.CancelledTasks;
 import io.quartzgw.scheduling.ClusterState;
 import io.quartzgw.scheduling.Job;
+import io.quartzgw.scheduling.LateStartsOfCancelledTasks;
 import io.quartzgw.scheduling.Machine;
 import io.quartzgw.simulation.Elections;
-import io.quartzgw.simulation.JobSpecs;
+import io.quartzgw.simulation.JobSpecBuilder;
 import io.quartzgw.simulation.SimulatedStore;
 import io.quartzgw.startlog.MachineStarts;
 import io.quartzgw.startlog.StartLog;
@@ -70,7 +70,7 @@
     private static final long STEP_MS = 500;
     private static final long TERM_IN_ATTEMPTS = 5;
     /** A cancellation at an unknown time. */
-    private static final EndedJobs.End CANCELLED = new EndedJobs.End.Cancelled(OptionalLong.empty());
+    private static final EndedJobs.Outcome CANCELLED = new EndedJobs.Outcome.Cancelled(OptionalLong.empty());
     /** Stack size of the event loop's thread, as in {@code ControllerProcess}. */
     private static final long EVENT_LOOP_STACK_BYTES = 256 * 1024;
 
@@ -85,7 +85,7 @@
             new StoreClient(eventLoop, STATE_SERVICE, new StoreLimits(100_000, 100_000, 8192, 16));
     private final Leadership leadership = Elections.candidate(eventLoop, store);
     /** Callbacks of the pending look-ups of ended jobs, by job ID. */
-    private final Map<String, Consumer<EndedJobs.End>> pendingLookUps = new HashMap<>();
+    private final Map<String, Consumer<EndedJobs.Outcome>> pendingLookUps = new HashMap<>();
 
     private final List<Effect.Send> directCalls = new ArrayList<>();
     private long now;
@@ -136,12 +136,12 @@
 
     private Job addJob(String id, double cpus) {
         Job added = cluster.add(new OpenJob(
-                JobSpecs.named(id)
+                JobSpecBuilder.named(id)
                         .team("team")
                         .shape(JobShape.ARRAY)
                         .tasks(3)
                         .demand(cpus, 0, 4)
-                        .spec(),
+                        .build(),
                 1,
                 0));
         added.recordedStartLimit(RECORDED_START_LIMIT);
@@ -175,7 +175,7 @@
 
     private static final class IgnoringListener implements AgentManager.Listener {
         @Override
-        public void taskFinished(Job job, int index) {}
+        public void taskCompleted(Job job, int index) {}
 
         @Override
         public void recordNeeded(Machine machine) {}
@@ -193,14 +193,14 @@
     private void deliver(List<Effect> initial) {
         List<Effect> effects = initial;
         while (!effects.isEmpty()) {
-            List<Command> replies = new ArrayList<>();
+            List<LoopEvent> replies = new ArrayList<>();
             for (Effect effect : effects) {
                 Effect.Send send = (Effect.Send) effect;
                 if (send.request().path().equals("/orders")) {
                     directCalls.add(send);
                 } else {
                     stateService.handle(
-                            send.request(), now, reply -> replies.add(new Command.CallEnded(send.call(), reply)));
+                            send.request(), now, reply -> replies.add(new LoopEvent.CallEnded(send.call(), reply)));
                 }
             }
             effects = replies.isEmpty() ? List.of() : eventLoop.processBatch(replies, new ClockReading(now, now));
@@ -215,7 +215,7 @@
     private void resolveUnaccountedTasks() {
         agents.allocateInheritedStarts(job);
         cluster.resolveUnaccounted(job);
-        agents.permitInheritedStarts(unused -> true);
+        agents.resendInheritedStarts(unused -> true);
     }
 
     // Guards against ran_twice: the task was placed on another machine as soon as no machine was running it.
@@ -266,10 +266,10 @@
         inherit(MACHINE, 0, PREVIOUS_LEADER_ATTEMPT);
         agents.allocateInheritedStarts(job);
         cluster.resolveUnaccounted(job);
-        agents.permitInheritedStarts(unused -> false);
+        agents.resendInheritedStarts(unused -> false);
         assertFalse(respondTo(0).contains("run"));
         assertNotNull(job.allocation(0), "attempt may be running nevertheless");
-        agents.permitInheritedStarts(unused -> true);
+        agents.resendInheritedStarts(unused -> true);
         assertTrue(respondTo(0).contains("run"));
     }
 
@@ -309,10 +309,10 @@
     @Test
     void keepsAllocationOfPreviousLeaderWhileUnknownStartsMayBeOutstanding() {
         agents.inheritStarts(List.of());
-        machine.fencing().expectUnknownStarts();
+        machine.fencing().markUnknownStartsPossible();
         agents.receive(heartbeat(MACHINE, "a", PREVIOUS_LEADER_ATTEMPT));
         Allocation allocation = job.allocation(0);
-        agents.allTasksLost(machine);
+        agents.allAttemptsLost(machine);
         assertEquals(allocation, job.allocation(0));
         cluster.remove(machine);
         assertNull(job.allocation(0));
@@ -351,7 +351,7 @@
         assertEquals("{0, 1}", job.unaccounted().toString());
         assertEquals("{2}", job.pending().toString());
         agents.receive(heartbeat(MACHINE, "a", 0));
-        agents.allTasksLost(machine);
+        agents.allAttemptsLost(machine);
         assertEquals("{0, 1}", job.unaccounted().toString());
         assertEquals("{2}", job.pending().toString());
     }
@@ -364,7 +364,7 @@
         inherit(MACHINE, 0, PREVIOUS_LEADER_ATTEMPT);
         agents.receive(heartbeat(MACHINE, "a", PREVIOUS_LEADER_ATTEMPT, "ended", exitCause));
         agents.receive(heartbeat(MACHINE, "a", 0));
-        agents.allTasksLost(machine);
+        agents.allAttemptsLost(machine);
         assertEquals("{0, 1}", job.unaccounted().toString());
         assertEquals("{2}", job.pending().toString());
     }
@@ -418,7 +418,7 @@
     @Test
     void dropsStartOfCompletedJob() {
         inheritStartOfEndedJob();
-        pendingLookUps.remove(START_OF_ENDED_JOB.job()).accept(new EndedJobs.End.Done());
+        pendingLookUps.remove(START_OF_ENDED_JOB.job()).accept(new EndedJobs.Outcome.Completed());
         assertEquals(0, machine.fencing().cancelledStarts());
         assertFalse(isInLogAfterCleanup(START_OF_ENDED_JOB));
     }
@@ -437,7 +437,7 @@
     void dropsStartOfCancelledJobFromLogOnceMachineIsRemoved() {
         inheritStartOfEndedJob();
         cluster.remove(machine);
-        agents.forget(machine);
+        agents.machineRemoved(machine);
         pendingLookUps.remove(START_OF_ENDED_JOB.job()).accept(CANCELLED);
         assertFalse(isInLogAfterCleanup(START_OF_ENDED_JOB));
     }
@@ -452,7 +452,7 @@
         agents.reportUnfencedAttempts();
         pendingLookUps.remove(JOB).accept(CANCELLED);
         assertTrue(
-                CancelledTasks.firstCancellationMs(machine).isPresent(),
+                LateStartsOfCancelledTasks.firstCancellationMs(machine).isPresent(),
                 "inherited start may run the cancelled task at any time");
     }
 
@@ -464,8 +464,10 @@
         long cancelledAt = now;
         agents.reportUnfencedAttempts();
         advance(LOOK_UP_DURATION_MS);
-        pendingLookUps.remove(JOB).accept(new EndedJobs.End.Cancelled(OptionalLong.of(cancelledAt)));
-        assertEquals(cancelledAt, CancelledTasks.firstCancellationMs(machine).orElseThrow());
+        pendingLookUps.remove(JOB).accept(new EndedJobs.Outcome.Cancelled(OptionalLong.of(cancelledAt)));
+        assertEquals(
+                cancelledAt,
+                LateStartsOfCancelledTasks.firstCancellationMs(machine).orElseThrow());
     }
 
     // Guards against a stack overflow in the event loop's thread: look-ups of cached jobs complete immediately, and
@@ -478,7 +480,7 @@
             if (id.equals(START_OF_ENDED_JOB.job())) {
                 pendingLookUps.put(id, callback);
             } else {
-                callback.accept(new EndedJobs.End.Done());
+                callback.accept(new EndedJobs.Outcome.Completed());
             }
         });
         Set<Attempt> starts = new LinkedHashSet<>(Set.of(START_OF_ENDED_JOB));
@@ -489,7 +491,7 @@
         AtomicReference<Throwable> thrown = new AtomicReference<>();
         Thread eventLoopThread = new Thread(
                 null,
-                () -> pendingLookUps.remove(START_OF_ENDED_JOB.job()).accept(new EndedJobs.End.Done()),
+                () -> pendingLookUps.remove(START_OF_ENDED_JOB.job()).accept(new EndedJobs.Outcome.Completed()),
                 "owner",
                 EVENT_LOOP_STACK_BYTES);
         eventLoopThread.setUncaughtExceptionHandler((thread, throwable) -> thrown.set(throwable));
@@ -509,7 +511,7 @@
         advance(1);
         advance(HEARTBEAT_MS);
         assertEquals(1, directCalls.size());
-        endCall(directCalls.get(0), Reply.lost());
+        endCall(directCalls.get(0), Reply.unanswered());
         Attempt start = new Attempt(JOB, 0, allocation.attempt());
         respondTo(allocation.attempt());
         agents.receive(heartbeat(MACHINE, "a", allocation.attempt(), "ended", "done"));
@@ -521,11 +523,12 @@
         cluster.markDone(job, 2);
         cluster.terminate(job);
         agents.reportUnfencedAttempts();
-        pendingLookUps.remove(JOB).accept(new EndedJobs.End.Done());
+        pendingLookUps.remove(JOB).accept(new EndedJobs.Outcome.Completed());
         assertFalse(isInLogAfterCleanup(start));
     }
 
     private void endCall(Effect.Send call, Reply reply) {
-        deliver(eventLoop.processBatch(List.of(new Command.CallEnded(call.call(), reply)), new ClockReading(now, now)));
+        deliver(eventLoop.processBatch(
+                List.of(new LoopEvent.CallEnded(call.call(), reply)), new ClockReading(now, now)));
     }
 }
--- a/src/test/java/io/quartzgw/app/BadInputTest.java
+++ b/src/test/java/io/quartzgw/app/BadInputTest.java
@@ -36,7 +36,7 @@
     @BeforeEach
     void start() throws Exception {
         cluster = new LoopbackCluster(1);
-        controller = new ControllerProcess(SettingsReader.read(cluster.settings(0, folder)), 100);
+        controller = new ControllerProcess(SettingsReader.read(cluster.writeSettings(0, folder)), 100);
         controller.start();
     }
 
@@ -63,7 +63,7 @@
 
     private void awaitReady() throws Exception {
         for (int i = 0; i < MAX_POLLS && status("GET", "/ready", "") != 200; i++) {
-            LoopbackCluster.pause(50);
+            LoopbackCluster.sleep(50);
         }
         assertEquals(200, status("GET", "/ready", ""));
     }
@@ -132,11 +132,11 @@
     @Test
     void returns503WithRetryAfterDuringStoreOutage() throws Exception {
         awaitReady();
-        cluster.storeOutage(true);
+        cluster.setStoreOutage(true);
         HttpResponse<String> response =
                 send("POST", SUBMISSIONS_PATH, validJob("j-000001").toString());
         for (int i = 0; i < MAX_POLLS && response.statusCode() != 503; i++) {
-            LoopbackCluster.pause(50);
+            LoopbackCluster.sleep(50);
             response = send(
                     "POST", SUBMISSIONS_PATH, validJob("j-00" + (1_000 + i)).toString());
         }
--- a/src/test/java/io/quartzgw/app/CancellationTest.java
+++ b/src/test/java/io/quartzgw/app/CancellationTest.java
@@ -46,7 +46,7 @@
     private static void assertNoTaskRuns(ClusterSimulation simulation, String job) {
         assertEquals(List.of(), simulation.invariants().violations());
         assertTrue(simulation.invariants().runningTasks().stream().noneMatch(task -> task.startsWith(job + "/")));
-        assertEquals(0, simulation.failedCommands());
+        assertEquals(0, simulation.failedEvents());
     }
 
     private static int peerOf(int controller, int offset) {
@@ -120,7 +120,7 @@
             simulation.runChecked(150_000);
             assertEquals(List.of(), simulation.invariants().violations(), "run " + i);
             assertEquals(List.of(), simulation.invariants().missingReplicas(), "run " + i);
-            assertEquals(0, simulation.failedCommands());
+            assertEquals(0, simulation.failedEvents());
         }
     }
 
@@ -190,7 +190,7 @@
         simulation.runChecked(40_000);
         assertEquals(List.of(), simulation.invariants().violations());
         assertEquals(List.of(), simulation.invariants().missingReplicas());
-        assertEquals(0, simulation.failedCommands());
+        assertEquals(0, simulation.failedEvents());
     }
 
     // The state service applies the cancellation, but its response is lost. Another request acknowledges it to the
--- a/src/test/java/io/quartzgw/app/CancelledStartsAndOutagesTest.java
+++ b/src/test/java/io/quartzgw/app/CancelledStartsAndOutagesTest.java
@@ -1,6 +1,6 @@
 package io.quartzgw.app;
 
-import static io.quartzgw.app.ClusterFixtures.LEASE_MS;
+import static io.quartzgw.app.ClusterFixtures.AGENT_LEASE_MS;
 import static io.quartzgw.app.ClusterFixtures.clusterWithServices;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -22,7 +22,7 @@
  */
 class CancelledStartsAndOutagesTest {
     private static final int CONTROLLERS = 3;
-    private static final long CANCEL_MS = new AgentTiming(2_500, LEASE_MS, 36_000).cancelMs();
+    private static final long CANCEL_LIMIT_MS = new AgentTiming(2_500, AGENT_LEASE_MS, 36_000).cancelLimitMs();
     private static final long AFTER_LIMIT_MS = 1_000;
     private static final String FILLER_JOB = "j-000699";
     private static final long FILLER_STARTUP_MS = 30_000;
@@ -59,7 +59,7 @@
     }
 
     private void assertNothingStartsAfterCancelLimit() {
-        simulation.runChecked(CANCEL_MS + AFTER_LIMIT_MS);
+        simulation.runChecked(CANCEL_LIMIT_MS + AFTER_LIMIT_MS);
         starts.rebootAndDeliver();
         simulation.runChecked(RECOVERY_MS);
         assertEquals(
@@ -73,7 +73,7 @@
     @MethodSource("seeds")
     void machineIsDeletedWithinCancelLimitDuringStateServiceOutage(long seed) {
         cancelWithOutstandingStart(seed);
-        beginOutage(CANCEL_MS + 4_000);
+        beginOutage(CANCEL_LIMIT_MS + 4_000);
         assertNothingStartsAfterCancelLimit();
     }
 
@@ -92,7 +92,7 @@
             assertTrue(
                     simulation.invariants().runningTasks().stream().noneMatch(task -> simulation
                             .network()
-                            .heldStarts(DelayedStartsScenario.JOB)
+                            .delayedStarts(DelayedStartsScenario.JOB)
                             .get(machine)
                             .contains(task)),
                     "the tasks have completed");
--- a/src/test/java/io/quartzgw/app/ClusterAssertions.java
+++ b/src/test/java/io/quartzgw/app/ClusterAssertions.java
@@ -16,13 +16,13 @@
     static void assertHealthy(ClusterSimulation simulation) {
         assertEquals(List.of(), simulation.invariants().violations());
         assertEquals(List.of(), simulation.invariants().missingReplicas(), "all replicas of every service run");
-        assertEquals(0, simulation.failedCommands(), "number of commands that failed inside a controller");
+        assertEquals(0, simulation.failedEvents(), "number of events that failed inside a controller");
     }
 
     /** Asserts that a terminal state, completed or cancelled, was reported to users for each job. */
     static void assertAllEnded(ClusterSimulation simulation, List<String> jobs) {
         List<String> notEnded = jobs.stream()
-                .filter(id -> simulation.invariants().finalPhase(id).isEmpty())
+                .filter(id -> simulation.invariants().terminalState(id).isEmpty())
                 .toList();
         assertEquals(List.of(), notEnded, "every job has ended");
     }
@@ -33,7 +33,7 @@
      * given jobs must have ended.
      */
     static void assertRecovers(ClusterSimulation simulation, List<String> jobs, long end) {
-        simulation.invariants().faultsOver(simulation.now());
+        simulation.invariants().endFaults(simulation.now());
         while (simulation.now() < end) {
             simulation.runChecked(1_000);
             simulation.checkWaitingJobs();
@@ -44,7 +44,7 @@
     }
 
     /** Asserts that each job was reported to users as completed. */
-    static void assertAllDone(ClusterSimulation simulation, List<String> jobs) {
+    static void assertAllCompleted(ClusterSimulation simulation, List<String> jobs) {
         List<String> notCompleted = jobs.stream()
                 .filter(id -> !simulation.invariants().hasEndedIn("done", id))
                 .toList();
--- a/src/test/java/io/quartzgw/app/ClusterFixtures.java
+++ b/src/test/java/io/quartzgw/app/ClusterFixtures.java
@@ -10,10 +10,10 @@
 /** Sets up simulated clusters and their jobs for the tests of whole controllers. */
 final class ClusterFixtures {
     /** Default lease of agents in a simulation. */
-    static final long LEASE_MS = 16_000;
+    static final long AGENT_LEASE_MS = 16_000;
 
     /** Default limit in a simulation for stopping the tasks of a cancelled job. */
-    static final long CANCEL_MS = 36_000;
+    static final long CANCEL_LIMIT_MS = 36_000;
 
     /** Number of services of {@link #clusterWithServices}. */
     static final int SERVICES = 5;
--- a/src/test/java/io/quartzgw/app/ConcurrentFaultsTest.java
+++ b/src/test/java/io/quartzgw/app/ConcurrentFaultsTest.java
@@ -1,9 +1,9 @@
 package io.quartzgw.app;
 
-import static io.quartzgw.app.ClusterAssertions.assertAllDone;
+import static io.quartzgw.app.ClusterAssertions.assertAllCompleted;
 import static io.quartzgw.app.ClusterAssertions.assertAllEnded;
 import static io.quartzgw.app.ClusterAssertions.assertHealthy;
-import static io.quartzgw.app.ClusterFixtures.LEASE_MS;
+import static io.quartzgw.app.ClusterFixtures.AGENT_LEASE_MS;
 import static io.quartzgw.app.ClusterFixtures.clusterWithServices;
 import static io.quartzgw.app.ClusterFixtures.firstHalf;
 import static io.quartzgw.app.ClusterFixtures.submitArrays;
@@ -152,7 +152,7 @@
         simulation.cancelRunningJobsWhileMachinesHang(5, hangMs);
         simulation.runChecked(400);
         simulation.crash(simulation.leaderOrFirst(), 5_000);
-        simulation.runChecked(LEASE_MS - 3_000);
+        simulation.runChecked(AGENT_LEASE_MS - 3_000);
         partitioned.forEach(machine -> simulation.network().heal(machine, Hosts.ALL));
         simulation.runChecked(250_000);
         assertHealthy(simulation);
@@ -173,7 +173,7 @@
         simulation.network().duplicateMessageShare(0);
         simulation.runChecked(120_000);
         assertHealthy(simulation);
-        assertAllDone(simulation, jobs);
+        assertAllCompleted(simulation, jobs);
     }
 
     // New machines get tasks immediately. The machine and the start must be recorded before that, also when the state
@@ -191,6 +191,6 @@
         simulation.network().delayStoreUpTo(0);
         simulation.runChecked(100_000);
         assertHealthy(simulation);
-        assertAllDone(simulation, jobs);
+        assertAllCompleted(simulation, jobs);
     }
 }
--- a/src/test/java/io/quartzgw/app/CrashesOfAllControllers.java
+++ b/src/test/java/io/quartzgw/app/ControllerCrashes.java
@@ -14,7 +14,7 @@
  * has a short outage. Jobs are cancelled around the crashes. Direct calls to some machines are delayed until these
  * reboot, either after the tasks may have been placed elsewhere or after the cancellation limit.
  */
-final class CrashesOfAllControllers {
+final class ControllerCrashes {
     private static final int CONTROLLERS = 3;
     private static final long FIRST_ROUND_AT_MS = 20_000;
     private static final int MIN_ROUND_INTERVAL_MS = 12_000;
@@ -44,13 +44,13 @@
 
     private final ClusterSimulation simulation;
     private final SplittableRandom random;
-    private final long cancelMs;
+    private final long cancelLimitMs;
     private final long end;
 
-    private CrashesOfAllControllers(ClusterSimulation simulation, long seed, long cancelMs, long end) {
+    private ControllerCrashes(ClusterSimulation simulation, long seed, long cancelLimitMs, long end) {
         this.simulation = simulation;
         this.random = new SplittableRandom(~seed);
-        this.cancelMs = cancelMs;
+        this.cancelLimitMs = cancelLimitMs;
         this.end = end;
     }
 
@@ -58,11 +58,11 @@
      * Schedules the crashes of a run.
      *
      * @param seed the seed of the run; the crashes use their own random source, which leaves the other faults unchanged
-     * @param cancelMs the time within which the tasks of a cancelled job must be stopped
+     * @param cancelLimitMs the time within which the tasks of a cancelled job must be stopped
      * @param end the time by which all of these faults have ended
      */
-    static void scheduleAll(ClusterSimulation simulation, long seed, long cancelMs, long end) {
-        new CrashesOfAllControllers(simulation, seed, cancelMs, end).scheduleRounds();
+    static void scheduleAll(ClusterSimulation simulation, long seed, long cancelLimitMs, long end) {
+        new ControllerCrashes(simulation, seed, cancelLimitMs, end).scheduleRounds();
     }
 
     private void scheduleRounds() {
@@ -73,12 +73,12 @@
             scheduleRound(at, FIRST_JOB_NUMBER + round * JOBS_PER_ROUND);
             round++;
         }
-        simulation.schedule(end, () -> simulation.network().holdUpCommandShare(0, 0));
+        simulation.schedule(end, () -> simulation.network().delayCommandShareUpTo(0, 0));
     }
 
     private void scheduleRound(long at, int firstJob) {
         long crashAt = at + 1 + random.nextInt(MAX_CRASH_DELAY_MS);
-        simulation.schedule(at, () -> CrashesWithHeldUpStarts.delayMostCalls(simulation));
+        simulation.schedule(at, () -> LeaderCrashesWithDelayedCalls.delayMostCalls(simulation));
         for (int i = 0; i < JOBS_PER_ROUND; i++) {
             scheduleJob(at, firstJob + i);
         }
@@ -96,7 +96,7 @@
     }
 
     private void scheduleJob(long roundAt, int number) {
-        ObjectNode job = CrashesWithHeldUpStarts.job(number, 1 + random.nextInt(MAX_TASKS));
+        ObjectNode job = LeaderCrashesWithDelayedCalls.job(number, 1 + random.nextInt(MAX_TASKS));
         long at = roundAt + random.nextInt(SUBMISSION_SPREAD_MS);
         OptionalLong cancelAt = random.nextBoolean()
                 ? OptionalLong.of(at + MIN_JOB_LIFETIME_MS + random.nextInt(JOB_LIFETIME_SPREAD_MS))
@@ -131,7 +131,7 @@
         }
         simulation.schedule(crashAt, () -> {
             int leader = simulation.leaderOrFirst();
-            LoggerFactory.getLogger(CrashesOfAllControllers.class)
+            LoggerFactory.getLogger(ControllerCrashes.class)
                     .info("{} controllers crash, controller {} first", crashes, leader);
             for (int i = 0; i < crashes; i++) {
                 int controller = (leader + i * direction) % CONTROLLERS;
@@ -139,7 +139,7 @@
                 simulation.schedule(crashAt + delaysMs[i], () -> simulation.crash(controller, downtimeMs));
             }
         });
-        simulation.schedule(crashAt + spreadMs, () -> simulation.network().holdUpCommandShare(0, 0));
+        simulation.schedule(crashAt + spreadMs, () -> simulation.network().delayCommandShareUpTo(0, 0));
     }
 
     private void scheduleOutage(long at) {
@@ -153,8 +153,8 @@
         int machineChoice = random.nextInt(Integer.MAX_VALUE);
         boolean epochKept = random.nextInt(4) == 0;
         long rebootDelayMs = (long) MIN_REBOOT_DELAY_MS + random.nextInt(REBOOT_DELAY_SPREAD_MS);
-        boolean afterCancelLimit = random.nextBoolean() && crashAt + MAX_BURST_MS + cancelMs + rebootDelayMs < end;
-        long rebootAt = crashAt + rebootDelayMs + (afterCancelLimit ? MAX_BURST_MS + cancelMs : 0);
+        boolean afterCancelLimit = random.nextBoolean() && crashAt + MAX_BURST_MS + cancelLimitMs + rebootDelayMs < end;
+        long rebootAt = crashAt + rebootDelayMs + (afterCancelLimit ? MAX_BURST_MS + cancelLimitMs : 0);
         long deliveryDelayMs = random.nextInt(MAX_DELIVERY_DELAY_MS);
         simulation.schedule(roundAt, () -> {
             List<String> machines = simulation.agents().machineIds();
@@ -162,13 +162,13 @@
                 return;
             }
             String machine = machines.get(machineChoice % machines.size());
-            if (simulation.network().holdsCommands(machine)) {
+            if (simulation.network().isDelayingCommandsTo(machine)) {
                 return;
             }
-            simulation.network().holdCommands(machine);
+            simulation.network().delayCommandsTo(machine);
             simulation.schedule(rebootAt, () -> simulation.agents().reboot(machine, epochKept));
             simulation.schedule(
-                    rebootAt + deliveryDelayMs, () -> simulation.network().deliverHeldCommands(machine));
+                    rebootAt + deliveryDelayMs, () -> simulation.network().deliverDelayedCommands(machine));
         });
     }
 }
--- a/src/test/java/io/quartzgw/app/ControllerHarness.java
+++ b/src/test/java/io/quartzgw/app/ControllerHarness.java
@@ -9,9 +9,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.quartzgw.eventloop.ClockReading;
-import io.quartzgw.eventloop.Command;
 import io.quartzgw.eventloop.Effect;
 import io.quartzgw.eventloop.EventLoop;
+import io.quartzgw.eventloop.LoopEvent;
 import io.quartzgw.http.Call;
 import io.quartzgw.http.ListenerKind;
 import io.quartzgw.http.Reply;
@@ -44,8 +44,8 @@
     private final EventLoop eventLoop = new EventLoop(1);
     final SimulatedStore store = new SimulatedStore();
     private final Controller controller = new Controller(eventLoop, settings, 17, () -> json("{\"given\":1}"));
-    /** Commands to deliver to the controller, by due time. */
-    private final TreeMap<Long, List<Command>> dueCommands = new TreeMap<>();
+    /** Events to deliver to the controller, by due time. */
+    private final TreeMap<Long, List<LoopEvent>> dueEvents = new TreeMap<>();
     /** Responses of the controller, by exchange ID. */
     final Map<Long, Response> responses = new HashMap<>();
     /** Agents that direct calls reach, by address. */
@@ -114,8 +114,8 @@
         process(List.of());
     }
 
-    private void process(List<Command> commands) {
-        for (Effect effect : eventLoop.processBatch(commands, clockReading())) {
+    private void process(List<LoopEvent> events) {
+        for (Effect effect : eventLoop.processBatch(events, clockReading())) {
             if (effect instanceof Effect.Answer answer) {
                 responses.put(answer.exchange(), answer.response());
             } else if (effect instanceof Effect.Send send) {
@@ -133,11 +133,11 @@
             if (now % HEARTBEAT_INTERVAL_MS == 0) {
                 List.copyOf(heartbeatSenders).forEach(this::heartbeat);
             }
-            List<Command> commands = new ArrayList<>();
-            while (!dueCommands.isEmpty() && dueCommands.firstKey() <= now) {
-                commands.addAll(dueCommands.pollFirstEntry().getValue());
+            List<LoopEvent> events = new ArrayList<>();
+            while (!dueEvents.isEmpty() && dueEvents.firstKey() <= now) {
+                events.addAll(dueEvents.pollFirstEntry().getValue());
             }
-            process(commands);
+            process(events);
         }
     }
 
@@ -150,7 +150,7 @@
 
     /** Delivers the reply of an outbound call to the controller after a delay. */
     private void scheduleReply(long call, long afterMs, Reply reply) {
-        dueCommands.computeIfAbsent(now + afterMs, time -> new ArrayList<>()).add(new Command.CallEnded(call, reply));
+        dueEvents.computeIfAbsent(now + afterMs, time -> new ArrayList<>()).add(new LoopEvent.CallEnded(call, reply));
     }
 
     // ---- outbound calls of the controller
@@ -172,7 +172,7 @@
 
     /** Without a reply, the call ends as lost when its timeout expires. */
     private void scheduleReplyOrTimeout(long id, Call call, Reply reply) {
-        scheduleReply(id, reply == null ? call.timeoutMs() : 1, reply == null ? Reply.lost() : reply);
+        scheduleReply(id, reply == null ? call.timeoutMs() : 1, reply == null ? Reply.unanswered() : reply);
     }
 
     private Reply handleDirectCall(SimulatedAgent agent, Call call) {
@@ -248,13 +248,13 @@
                 spot,
                 AGENT_LEASE_MS,
                 now,
-                ControllerHarness::description,
+                ControllerHarness::taskProfile,
                 new NoOpWatcher());
     }
 
-    private static SimulatedAgent.Description description(String jobId) {
+    private static SimulatedAgent.TaskProfile taskProfile(String jobId) {
         boolean service = !jobId.equals("j-000001");
-        return new SimulatedAgent.Description(1, 2, 0.5, 0, service, false);
+        return new SimulatedAgent.TaskProfile(1, 2, 0.5, 0, service, false);
     }
 
     /** From now on direct calls reach this agent. */
@@ -303,7 +303,7 @@
     /** Sends a request without waiting for the response; returns the exchange ID. */
     long sendAsync(ListenerKind listener, String method, String path, byte[] body) {
         long id = ++lastExchange;
-        process(List.of(new Command.Arrived(new Request(id, listener, method, path, "", body))));
+        process(List.of(new LoopEvent.RequestReceived(new Request(id, listener, method, path, "", body))));
         return id;
     }
 
@@ -358,7 +358,7 @@
         assertEquals(0, metrics().path("counts").path("failures").asLong(-1));
     }
 
-    private static final class NoOpWatcher implements SimulatedAgent.Watcher {
+    private static final class NoOpWatcher implements SimulatedAgent.TaskListener {
         @Override
         public void started(SimulatedAgent on, String task) {}
 
--- a/src/test/java/io/quartzgw/app/DecisionDigestTest.java
+++ b/src/test/java/io/quartzgw/app/DecisionDigestTest.java
@@ -8,8 +8,9 @@
 
 /**
  * Detects unintended changes of behaviour by digests of all messages that the controllers send during the random
- * failures of {@link FailureTest}. A refactoring must not change the digests. After an intended change of a decision, a
- * message or the order of draws from the random source, replace them by the actual values that the failing test prints.
+ * failures of {@link RandomFaultsTest}. A refactoring must not change the digests. After an intended change of a
+ * decision, a message or the order of draws from the random source, replace them by the actual values that the failing
+ * test prints.
  */
 class DecisionDigestTest {
 
@@ -22,7 +23,7 @@
     })
     void messageDigestUnchangedUnderSingleFailures(long seed, String expected) {
         ClusterSimulation simulation = new ClusterSimulation(seed, 3);
-        FailureTest.runSingleFailures(simulation, seed);
+        RandomFaultsTest.runSingleFaults(simulation, seed);
         assertEquals(expected, simulation.messageDigest());
     }
 
@@ -35,7 +36,7 @@
     })
     void messageDigestUnchangedUnderConcurrentFaults(long seed, String expected) {
         ClusterSimulation simulation = new ClusterSimulation(seed, 3);
-        FailureTest.runConcurrentFaults(simulation, seed);
+        RandomFaultsTest.runConcurrentFaults(simulation, seed);
         assertEquals(expected, simulation.messageDigest());
     }
 }
--- a/src/test/java/io/quartzgw/app/HeldUpCalls.java
+++ b/src/test/java/io/quartzgw/app/DelayedCallBursts.java
@@ -11,7 +11,7 @@
  * minutes, on more machines than may be evacuated at the same time, while jobs are cancelled right after their starts
  * are sent.
  */
-final class HeldUpCalls {
+final class DelayedCallBursts {
     /** Maximum delay of a call. */
     static final long LONGEST_MS = 150_000;
 
@@ -27,7 +27,7 @@
     private static final int MIN_JOB_LIFETIME_MS = 200;
     private static final int JOB_LIFETIME_SPREAD_MS = 4_000;
 
-    private HeldUpCalls() {}
+    private DelayedCallBursts() {}
 
     /**
      * Schedules the bursts of a run.
@@ -43,7 +43,7 @@
                 at += MIN_BURST_INTERVAL_MS + random.nextInt(BURST_INTERVAL_SPREAD_MS)) {
             double share = DELAYED_CALL_SHARES.get(random.nextInt(DELAYED_CALL_SHARES.size()));
             long longestMs = random.nextBoolean() ? LONGEST_MS : MAX_SHORT_DELAY_MS;
-            simulation.schedule(at, () -> simulation.network().holdUpCommandShare(share, longestMs));
+            simulation.schedule(at, () -> simulation.network().delayCommandShareUpTo(share, longestMs));
             int cancelled = random.nextInt(MAX_CANCELLED_JOBS + 1);
             simulation.schedule(
                     at + random.nextInt(MIN_BURST_INTERVAL_MS),
@@ -53,7 +53,7 @@
             }
             burst++;
         }
-        simulation.schedule(end, () -> simulation.network().holdUpCommandShare(0, 0));
+        simulation.schedule(end, () -> simulation.network().delayCommandShareUpTo(0, 0));
     }
 
     private static void scheduleShortLivedJob(
--- a/src/test/java/io/quartzgw/app/DelayedCommandsTest.java
+++ b/src/test/java/io/quartzgw/app/DelayedCommandsTest.java
@@ -1,7 +1,7 @@
 package io.quartzgw.app;
 
 import static io.quartzgw.app.ClusterAssertions.assertRecovers;
-import static io.quartzgw.app.ClusterFixtures.LEASE_MS;
+import static io.quartzgw.app.ClusterFixtures.AGENT_LEASE_MS;
 import static io.quartzgw.app.ClusterFixtures.clusterWithServices;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -76,7 +76,7 @@
     @MethodSource("seedsWithCrashes")
     void invariantsHoldWhenLeadersCrashWithDelayedStarts(long seed) {
         ClusterSimulation simulation = newSimulation(seed);
-        CrashesWithHeldUpStarts.scheduleAll(simulation, seed, FAULTS_END_MS);
+        LeaderCrashesWithDelayedCalls.scheduleAll(simulation, seed, FAULTS_END_MS);
         run(simulation, seed, true);
     }
 
@@ -91,7 +91,7 @@
     @MethodSource("seedsWithTotalLoss")
     void invariantsHoldWhenAllControllersCrashWithDelayedStarts(long seed) {
         ClusterSimulation simulation = newSimulation(seed);
-        CrashesOfAllControllers.scheduleAll(simulation, seed, TIMING.cancelMs(), FAULTS_END_MS);
+        ControllerCrashes.scheduleAll(simulation, seed, TIMING.cancelLimitMs(), FAULTS_END_MS);
         run(simulation, seed, true);
     }
 
@@ -147,7 +147,7 @@
                 .get(simulation.agents().machineIds().size() - 1);
         simulation.network().setInboundBlocked(machine, true);
         simulation.users().submitUntilAccepted(JobRequests.array("j-000701", "blue", 4, 2, 60));
-        simulation.runChecked(LEASE_MS + 8_000);
+        simulation.runChecked(AGENT_LEASE_MS + 8_000);
         simulation.agents().reboot(machine, false);
         simulation.network().setInboundBlocked(machine, false);
         simulation.runChecked(120_000);
@@ -164,7 +164,7 @@
 
     private static void run(ClusterSimulation simulation, long seed, boolean reboots) {
         SplittableRandom random = new SplittableRandom(seed);
-        simulation.batchCommandsUpTo(1 + random.nextInt(MAX_BATCH_DELAY_MS));
+        simulation.setMaxBatchDelay(1 + random.nextInt(MAX_BATCH_DELAY_MS));
         simulation.network().delayCommandsUpTo(MAX_COMMAND_DELAY_MS);
         simulation.network().delayLinksUpTo(random.nextInt(MAX_LINK_DELAY_MS));
         simulation.network().duplicateMessageShare(DUPLICATE_SHARE);
--- a/src/test/java/io/quartzgw/app/DelayedStartsScenario.java
+++ b/src/test/java/io/quartzgw/app/DelayedStartsScenario.java
@@ -68,7 +68,7 @@
 
     /** Submits a job and runs until one of its starts is sent in a delayed direct call. */
     void sendDelayedStarts(ObjectNode job) {
-        delayCommands(simulation.agents().machinesWithRoom(TASK_CPUS));
+        delayCommands(simulation.agents().machinesWithFreeCpus(TASK_CPUS));
         simulation.users().submitUntilAccepted(job);
         awaitDelayedStart();
         assertFalse(delayedStarts.isEmpty(), "a start is delayed");
@@ -77,13 +77,13 @@
     /** Delays all direct calls to the given machines until {@link #rebootAndDeliver}. */
     void delayCommands(List<String> machines) {
         machinesWithDelayedCommands = machines;
-        machines.forEach(simulation.network()::holdCommands);
+        machines.forEach(simulation.network()::delayCommandsTo);
     }
 
     /** Runs until a start of the job is sent in a delayed direct call, or the timeout expires. */
     void awaitDelayedStart() {
-        runUntil(() -> !simulation.network().heldStarts(JOB).isEmpty(), SEND_TIMEOUT_MS);
-        delayedStarts = simulation.network().heldStarts(JOB);
+        runUntil(() -> !simulation.network().delayedStarts(JOB).isEmpty(), SEND_TIMEOUT_MS);
+        delayedStarts = simulation.network().delayedStarts(JOB);
         logStep("delayed starts: " + delayedStarts + ", running " + runningTasks());
     }
 
@@ -119,9 +119,9 @@
     void cancel() {
         for (long end = simulation.now() + CANCEL_TIMEOUT_MS;
                 simulation.now() < end
-                        && simulation.invariants().finalPhase(JOB).isEmpty(); ) {
+                        && simulation.invariants().terminalState(JOB).isEmpty(); ) {
             simulation.users().cancelJob(simulation.leaderOrFirst(), JOB, reply -> {});
-            runUntil(() -> simulation.invariants().finalPhase(JOB).isPresent(), CANCEL_RETRY_MS);
+            runUntil(() -> simulation.invariants().terminalState(JOB).isPresent(), CANCEL_RETRY_MS);
         }
         assertTrue(simulation.invariants().hasEndedIn("withdrawn", JOB), "cancellation is acknowledged");
         logStep("cancellation acknowledged");
@@ -146,7 +146,7 @@
         logStep("rebooting " + targetMachines() + " and delivering delayed calls; running machines: "
                 + simulation.agents().machineIds());
         targetMachines().forEach(machine -> simulation.agents().reboot(machine, false));
-        machinesWithDelayedCommands.forEach(simulation.network()::deliverHeldCommands);
+        machinesWithDelayedCommands.forEach(simulation.network()::deliverDelayedCommands);
         logStep("violations " + simulation.invariants().violations());
     }
 
--- a/src/test/java/io/quartzgw/app/EndToEndTest.java
+++ b/src/test/java/io/quartzgw/app/EndToEndTest.java
@@ -23,7 +23,7 @@
         try (LoopbackCluster cluster = new LoopbackCluster(3)) {
             ControllerProcess[] controllers = new ControllerProcess[3];
             for (int i = 0; i < 3; i++) {
-                controllers[i] = new ControllerProcess(SettingsReader.read(cluster.settings(i, folder)), 100 + i);
+                controllers[i] = new ControllerProcess(SettingsReader.read(cluster.writeSettings(i, folder)), 100 + i);
                 controllers[i].start();
             }
             ObjectNode array = JobRequests.array("j-000001", "blue", 3, 2, 0.3);
@@ -51,16 +51,17 @@
     private static void assertInvalidRequestsAreRejected(LoopbackCluster cluster) {
         assertEquals(
                 400,
-                cluster.raw(1, "POST", "/submissions", HttpRequest.BodyPublishers.ofString("{"))
+                cluster.requestWithRawBody(1, "POST", "/submissions", HttpRequest.BodyPublishers.ofString("{"))
                         .status());
         assertEquals(
                 413,
-                cluster.raw(1, "POST", "/submissions", HttpRequest.BodyPublishers.ofByteArray(new byte[70_000]))
+                cluster.requestWithRawBody(
+                                1, "POST", "/submissions", HttpRequest.BodyPublishers.ofByteArray(new byte[70_000]))
                         .status());
     }
 
     private static void assertMetricsAreServed(LoopbackCluster cluster) {
-        Reply metrics = cluster.peer(1, "/metrics");
+        Reply metrics = cluster.getFromPeerListener(1, "/metrics");
         assertEquals(200, metrics.status());
         assertEquals(0, metrics.json().path("counts").path("failures").asLong(-1));
         assertTrue(metrics.json().path("counts").path("store.requests").asLong() > 0);
@@ -80,7 +81,7 @@
 
     private static void awaitCondition(BooleanSupplier condition) {
         for (int i = 0; i < 500 && !condition.getAsBoolean(); i++) {
-            LoopbackCluster.pause(100);
+            LoopbackCluster.sleep(100);
         }
         assertTrue(condition.getAsBoolean(), "condition not met in time");
     }
--- a/src/test/java/io/quartzgw/app/FiveControllersTest.java
+++ b/src/test/java/io/quartzgw/app/FiveControllersTest.java
@@ -55,9 +55,9 @@
     private static void assertArraysCompletedAndReplicasRun(ClusterSimulation simulation, List<String> arrays) {
         assertEquals(List.of(), simulation.invariants().violations());
         arrays.forEach(
-                id -> assertEquals(Optional.of("done"), simulation.invariants().finalPhase(id), id));
+                id -> assertEquals(Optional.of("done"), simulation.invariants().terminalState(id), id));
         assertEquals(REPLICAS, simulation.invariants().runningTasks().size(), "all replicas run, and no other tasks");
-        assertEquals(0, simulation.failedCommands());
+        assertEquals(0, simulation.failedEvents());
     }
 
     // All controllers share the rate limit for changes. All jobs must complete within it.
--- a/src/test/java/io/quartzgw/app/CrashesWithHeldUpStarts.java
+++ b/src/test/java/io/quartzgw/app/LeaderCrashesWithDelayedCalls.java
@@ -10,7 +10,7 @@
  * Adds crashes of the leader, alone or together with another controller, to the other faults of a random simulation.
  * The leader's direct calls are delayed when it crashes, and some machines reboot before the calls reach them.
  */
-final class CrashesWithHeldUpStarts {
+final class LeaderCrashesWithDelayedCalls {
     private static final int CONTROLLERS = 3;
     private static final long FIRST_ROUND_AT_MS = 25_000;
     private static final int MIN_ROUND_INTERVAL_MS = 12_000;
@@ -28,7 +28,7 @@
     private static final int JOBS_PER_CRASH = 3;
     private static final int MAX_TASKS = 4;
 
-    private CrashesWithHeldUpStarts() {}
+    private LeaderCrashesWithDelayedCalls() {}
 
     /**
      * Schedules the crashes of a run.
@@ -45,7 +45,7 @@
             schedule(simulation, random, at, FIRST_JOB_NUMBER + crashes * JOBS_PER_CRASH);
             crashes++;
         }
-        simulation.schedule(end, () -> simulation.network().holdUpCommandShare(0, 0));
+        simulation.schedule(end, () -> simulation.network().delayCommandShareUpTo(0, 0));
     }
 
     private static void schedule(ClusterSimulation simulation, SplittableRandom random, long at, int firstJob) {
@@ -70,7 +70,7 @@
 
     /** Delays most direct calls from now on. */
     static void delayMostCalls(ClusterSimulation simulation) {
-        simulation.network().holdUpCommandShare(DELAYED_CALL_SHARE, MAX_CALL_DELAY_MS);
+        simulation.network().delayCommandShareUpTo(DELAYED_CALL_SHARE, MAX_CALL_DELAY_MS);
     }
 
     /** Returns a job without an image to fetch, so that its tasks run as soon as their starts arrive. */
@@ -81,9 +81,9 @@
     /** @param offset from the leader to the other controller that crashes with it; 0 if only the leader crashes */
     private static void crash(ClusterSimulation simulation, long downtimeMs, int offset) {
         int leader = simulation.leaderOrFirst();
-        LoggerFactory.getLogger(CrashesWithHeldUpStarts.class)
+        LoggerFactory.getLogger(LeaderCrashesWithDelayedCalls.class)
                 .info("crashing controller {}, offset to the second: {}", leader, offset);
-        simulation.network().holdUpCommandShare(0, 0);
+        simulation.network().delayCommandShareUpTo(0, 0);
         simulation.crash(leader, downtimeMs);
         if (offset > 0) {
             simulation.crash((leader + offset) % CONTROLLERS, downtimeMs / 2);
--- a/src/test/java/io/quartzgw/app/LeaderDepositionTest.java
+++ b/src/test/java/io/quartzgw/app/LeaderDepositionTest.java
@@ -39,7 +39,7 @@
         int paused = simulation.leader();
         long end = simulation.now() + PAUSE_MS;
         simulation.pauseController(paused, PAUSE_MS);
-        simulation.schedule(simulation.now() + storeSteadyMs, () -> simulation.letStoreComeAndGo(end));
+        simulation.schedule(simulation.now() + storeSteadyMs, () -> simulation.makeStoreIntermittent(end));
         simulation.runChecked(FAILOVER_LIMIT_MS);
         assertNotEquals(paused, simulation.leader(), "another controller leads");
         assertEquals("{\"term\":4096}", simulation.store().value("lead/deposed").toString());
--- a/src/test/java/io/quartzgw/app/LeaderPauses.java
+++ b/src/test/java/io/quartzgw/app/LeaderPauses.java
@@ -66,7 +66,7 @@
             simulation.pauseController(leader, pause.durationMs);
         }
         if (pause.storeIsIntermittent) {
-            simulation.letStoreComeAndGo(pause.time + pause.durationMs);
+            simulation.makeStoreIntermittent(pause.time + pause.durationMs);
         }
         simulation.schedule(
                 pause.time + (long) (pause.cancelFraction * pause.durationMs),
--- a/src/test/java/io/quartzgw/app/LogEventsTest.java
+++ b/src/test/java/io/quartzgw/app/LogEventsTest.java
@@ -31,7 +31,7 @@
         PrintStream standardError = System.err;
         System.setErr(new PrintStream(log, true, StandardCharsets.UTF_8));
         try {
-            simulation.letStoreComeAndGo(simulation.now() + 2 * PAUSE_MS);
+            simulation.makeStoreIntermittent(simulation.now() + 2 * PAUSE_MS);
             simulation.pauseController(leader, PAUSE_MS);
             simulation.runChecked(2 * PAUSE_MS);
         } finally {
@@ -62,20 +62,20 @@
         ClusterSimulation simulation = ClusterFixtures.clusterWithServices();
         simulation.users().submitUntilAccepted(JobRequests.array("j-000700", "blue", 4, 4, 90));
         simulation.runChecked(30_000);
-        List<String> machinesWithRoom = simulation.agents().machinesWithRoom(4);
-        assertEquals(1, machinesWithRoom.size(), "one machine has room for the tasks");
-        String machine = machinesWithRoom.get(0);
+        List<String> machinesWithFreeCpus = simulation.agents().machinesWithFreeCpus(4);
+        assertEquals(1, machinesWithFreeCpus.size(), "one machine has room for the tasks");
+        String machine = machinesWithFreeCpus.get(0);
         PrintStream standardError = System.err;
         System.setErr(new PrintStream(log, true, StandardCharsets.UTF_8));
         try {
-            simulation.network().holdCommands(machine);
+            simulation.network().delayCommandsTo(machine);
             simulation.users().submitUntilAccepted(JobRequests.array("j-000701", "blue", 2, 2, 60));
             simulation.runChecked(500);
             simulation.cloud().setOutage(true);
             simulation.users().cancelJob(0, "j-000701", reply -> {});
-            simulation.runChecked(ClusterFixtures.LEASE_MS);
+            simulation.runChecked(ClusterFixtures.AGENT_LEASE_MS);
             assertTrue(simulation.counter("fencing.unfenced") > 0);
-            assertTrue(simulation.counter("fencing.oldest_unfenced_ms") > ClusterFixtures.LEASE_MS / 2);
+            assertTrue(simulation.counter("fencing.oldest_unfenced_ms") > ClusterFixtures.AGENT_LEASE_MS / 2);
         } finally {
             System.setErr(standardError);
         }
@@ -98,7 +98,7 @@
         PrintStream standardError = System.err;
         System.setErr(new PrintStream(log, true, StandardCharsets.UTF_8));
         try {
-            simulation.agents().machineIds().forEach(simulation.network()::holdCommands);
+            simulation.agents().machineIds().forEach(simulation.network()::delayCommandsTo);
             simulation.store().setOutage(true);
             simulation.users().submitUntilAccepted(JobRequests.array("j-000701", "blue", 2, 2, 60));
             simulation.runChecked(2_000);
--- a/src/test/java/io/quartzgw/app/LongCommandDelaysTest.java
+++ b/src/test/java/io/quartzgw/app/LongCommandDelaysTest.java
@@ -36,7 +36,7 @@
 
     private static final long FAULTS_BEGIN_MS = 20_000;
     private static final long FAULTS_END_MS = 150_000;
-    private static final long END_MS = FAULTS_END_MS + HeldUpCalls.LONGEST_MS + 90_000;
+    private static final long END_MS = FAULTS_END_MS + DelayedCallBursts.LONGEST_MS + 90_000;
     private static final int MIN_MACHINES = 4;
     private static final int MACHINE_SPREAD = 12;
     private static final int BACKGROUND_SERVICES = 8;
@@ -51,11 +51,11 @@
     void cancelledStartDelayedBeyondCancelLimitIsNotExecuted(long seed) {
         ClusterSimulation simulation = clusterWithServiceOnEveryMachine(seed);
         List<String> machines = simulation.agents().machineIds();
-        machines.forEach(simulation.network()::holdCommands);
+        machines.forEach(simulation.network()::delayCommandsTo);
         submitAndCancel(simulation);
-        simulation.runChecked(CANCEL_AFTER_MS + TIMING.cancelMs() + TIMING.heartbeatMs());
+        simulation.runChecked(CANCEL_AFTER_MS + TIMING.cancelLimitMs() + TIMING.heartbeatMs());
         assertTrue(simulation.counter("orders.unanswered") > 0, "direct calls are unanswered");
-        machines.forEach(simulation.network()::deliverHeldCommands);
+        machines.forEach(simulation.network()::deliverDelayedCommands);
         simulation.runChecked(RECOVERY_MS);
         assertEquals(List.of(), simulation.invariants().violations());
         assertHealthy(simulation);
@@ -99,7 +99,7 @@
         SplittableRandom random = new SplittableRandom(seed);
         ClusterSimulation simulation = newSimulation(seed, MIN_MACHINES + random.nextInt(MACHINE_SPREAD));
         List<String> arrays = submitJobs(simulation, random);
-        HeldUpCalls.scheduleAll(simulation, seed, FAULTS_END_MS);
+        DelayedCallBursts.scheduleAll(simulation, seed, FAULTS_END_MS);
         if (random.nextInt(3) == 0) {
             long crashAt = FAULTS_BEGIN_MS + random.nextInt(100_000);
             simulation.schedule(crashAt, () -> simulation.crash(simulation.leaderOrFirst(), 3_000));
@@ -121,7 +121,7 @@
         // With fewer machines, small ones that stay occupied by services leave no room for the other jobs.
         ClusterSimulation simulation = newSimulation(seed, MIN_MACHINES + MACHINE_SPREAD);
         List<String> arrays = submitJobs(simulation, new SplittableRandom(seed));
-        CrashesOfAllControllers.scheduleAll(simulation, seed, TIMING.cancelMs(), FAULTS_END_MS);
+        ControllerCrashes.scheduleAll(simulation, seed, TIMING.cancelLimitMs(), FAULTS_END_MS);
         simulation.runChecked(FAULTS_END_MS);
         assertRecovers(simulation, arrays, END_MS);
     }
--- a/src/test/java/io/quartzgw/app/OutstandingStartsAfterCrashesTest.java
+++ b/src/test/java/io/quartzgw/app/OutstandingStartsAfterCrashesTest.java
@@ -1,8 +1,8 @@
 package io.quartzgw.app;
 
-import static io.quartzgw.app.ClusterAssertions.assertAllDone;
+import static io.quartzgw.app.ClusterAssertions.assertAllCompleted;
 import static io.quartzgw.app.ClusterAssertions.assertHealthy;
-import static io.quartzgw.app.ClusterFixtures.LEASE_MS;
+import static io.quartzgw.app.ClusterFixtures.AGENT_LEASE_MS;
 import static io.quartzgw.app.ClusterFixtures.clusterWithServices;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -30,7 +30,7 @@
     private static final int CONTROLLERS = 3;
     private static final long DOWNTIME_MS = 1_000;
     private static final long LONG_DOWNTIME_MS = 4_000;
-    private static final long CANCEL_MS = new AgentTiming(2_500, LEASE_MS, 36_000).cancelMs();
+    private static final long CANCEL_LIMIT_MS = new AgentTiming(2_500, AGENT_LEASE_MS, 36_000).cancelLimitMs();
     private static final long RECOVERY_MS = 120_000;
     private static final long PARTITION_MS = 5_000;
     private static final long OUTAGE_MS = 8_000;
@@ -82,7 +82,7 @@
         starts.rebootAndDeliver();
         simulation.runChecked(RECOVERY_MS);
         starts.assertNoViolation();
-        assertAllDone(simulation, List.of(DelayedStartsScenario.JOB));
+        assertAllCompleted(simulation, List.of(DelayedStartsScenario.JOB));
         simulation.runChecked(RECOVERY_MS);
         assertHealthy(simulation);
     }
@@ -242,7 +242,7 @@
         starts.rebootAndDeliver();
         simulation.runChecked(FULL_EVACUATION_MS);
         starts.assertNoViolation();
-        assertAllDone(simulation, List.of(DelayedStartsScenario.JOB));
+        assertAllCompleted(simulation, List.of(DelayedStartsScenario.JOB));
         simulation.runChecked(RECOVERY_MS);
         assertHealthy(simulation);
     }
@@ -250,7 +250,7 @@
     // ---- the start is inherited without the cancellation: ran_cancelled
 
     private void assertCancelledTasksNeverRun() {
-        simulation.runChecked(CANCEL_MS + LEASE_MS);
+        simulation.runChecked(CANCEL_LIMIT_MS + AGENT_LEASE_MS);
         starts.rebootAndDeliver();
         simulation.runChecked(RECOVERY_MS);
         assertHealthy(simulation);
@@ -324,16 +324,16 @@
         simulation = LongCommandDelaysTest.clusterWithServiceOnEveryMachine(seed);
         starts = new DelayedStartsScenario(simulation);
         List<String> machines = simulation.agents().machineIds();
-        machines.forEach(simulation.network()::holdCommands);
+        machines.forEach(simulation.network()::delayCommandsTo);
         LongCommandDelaysTest.submitAndCancel(simulation);
         simulation.runChecked(LongCommandDelaysTest.CANCEL_AFTER_MS
-                + LongCommandDelaysTest.TIMING.cancelMs()
+                + LongCommandDelaysTest.TIMING.cancelLimitMs()
                 + LongCommandDelaysTest.TIMING.heartbeatMs());
         assertTrue(simulation.counter("orders.unanswered") > 0, "direct calls are unanswered");
         starts.logStep("rebooting " + machines + " and delivering delayed calls; running machines: "
                 + simulation.agents().machineIds());
         machines.forEach(machine -> simulation.agents().reboot(machine, false));
-        machines.forEach(simulation.network()::deliverHeldCommands);
+        machines.forEach(simulation.network()::deliverDelayedCommands);
         starts.logStep("violations " + simulation.invariants().violations());
         simulation.runChecked(RECOVERY_MS);
         assertHealthy(simulation);
--- a/src/test/java/io/quartzgw/app/PairedFaultsTest.java
+++ b/src/test/java/io/quartzgw/app/PairedFaultsTest.java
@@ -1,9 +1,9 @@
 package io.quartzgw.app;
 
-import static io.quartzgw.app.ClusterAssertions.assertAllDone;
+import static io.quartzgw.app.ClusterAssertions.assertAllCompleted;
 import static io.quartzgw.app.ClusterAssertions.assertAllEnded;
 import static io.quartzgw.app.ClusterAssertions.assertHealthy;
-import static io.quartzgw.app.ClusterFixtures.LEASE_MS;
+import static io.quartzgw.app.ClusterFixtures.AGENT_LEASE_MS;
 import static io.quartzgw.app.ClusterFixtures.REPLICAS;
 import static io.quartzgw.app.ClusterFixtures.clusterWithServices;
 import static io.quartzgw.app.ClusterFixtures.firstHalf;
@@ -30,12 +30,12 @@
         List<String> jobs = submitArrays(simulation, 4, 5, 25, "red");
         simulation.runChecked(10_000);
         IntStream.range(0, 3).forEach(simulation::crash);
-        simulation.runChecked(LEASE_MS + 9_000);
+        simulation.runChecked(AGENT_LEASE_MS + 9_000);
         IntStream.range(0, 3).forEach(simulation::start);
         simulation.runChecked(30_000);
         assertHealthy(simulation);
         simulation.runChecked(90_000);
-        assertAllDone(simulation, jobs);
+        assertAllCompleted(simulation, jobs);
     }
 
     // Agents report the end of a task until it is recorded, whichever controller leads. The crash must lose none.
@@ -53,7 +53,7 @@
             simulation.crash(simulation.leader(), 5_000);
             simulation.runChecked(75_000);
             assertHealthy(simulation);
-            assertAllDone(simulation, jobs);
+            assertAllCompleted(simulation, jobs);
         }
     }
 
@@ -82,7 +82,7 @@
             } else {
                 simulation.network().partition(machine, Hosts.ALL);
                 simulation.schedule(
-                        simulation.now() + 2 * LEASE_MS,
+                        simulation.now() + 2 * AGENT_LEASE_MS,
                         () -> simulation.network().heal(machine, Hosts.ALL));
             }
             if (i == 4) {
@@ -93,7 +93,7 @@
         IntStream.range(0, 3).filter(controller -> !simulation.isUp(controller)).forEach(simulation::start);
         simulation.runChecked(120_000);
         assertHealthy(simulation);
-        assertAllDone(simulation, jobs);
+        assertAllCompleted(simulation, jobs);
     }
 
     // Leases expire although commands are still answered. The tasks of such a machine must run elsewhere, exactly once.
@@ -110,7 +110,7 @@
             simulation.runChecked(1_000);
             simulation.crash(simulation.leader(), 5_000);
         }
-        simulation.runChecked(3 * LEASE_MS);
+        simulation.runChecked(3 * AGENT_LEASE_MS);
         assertEquals(
                 List.of(),
                 simulation.invariants().missingReplicas(),
@@ -170,7 +170,8 @@
         assertHealthy(simulation);
         assertTrue(
                 jobs.stream()
-                        .allMatch(id -> simulation.invariants().finalPhase(id).isPresent()),
+                        .allMatch(
+                                id -> simulation.invariants().terminalState(id).isPresent()),
                 "the final phase of every job is reported to users");
         assertTrue(
                 jobs.stream().anyMatch(id -> simulation.invariants().hasEndedIn("withdrawn", id)),
@@ -216,7 +217,7 @@
             simulation.checkWaitingJobs();
         }
         assertHealthy(simulation);
-        assertAllDone(simulation, jobs);
+        assertAllCompleted(simulation, jobs);
     }
 
     // Jobs are accepted, started, stopped and ended in each term. No task may be placed twice or never.
@@ -272,7 +273,7 @@
         });
         simulation.runChecked(3_000);
         simulation.users().cancelRunningJobs(3);
-        simulation.runChecked(3 * LEASE_MS);
+        simulation.runChecked(3 * AGENT_LEASE_MS);
         outsideHosts.forEach(host -> {
             simulation.network().heal(Hosts.controller(insideController), host);
             zone.forEach(machine -> simulation.network().heal(machine, host));
@@ -310,7 +311,7 @@
             });
             simulation.runChecked(150_000);
             assertHealthy(simulation);
-            assertAllDone(simulation, jobs);
+            assertAllCompleted(simulation, jobs);
         }
     }
 
--- a/src/test/java/io/quartzgw/app/PausedLeaderTest.java
+++ b/src/test/java/io/quartzgw/app/PausedLeaderTest.java
@@ -1,7 +1,7 @@
 package io.quartzgw.app;
 
 import static io.quartzgw.app.ClusterAssertions.assertHealthy;
-import static io.quartzgw.app.ClusterFixtures.LEASE_MS;
+import static io.quartzgw.app.ClusterFixtures.AGENT_LEASE_MS;
 import static io.quartzgw.app.ClusterFixtures.clusterWithServices;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -73,7 +73,7 @@
         cancelAtAnotherController(leader);
         simulation.runChecked(100);
         assertTrue(simulation.invariants().hasEndedIn("withdrawn", JOB));
-        simulation.letStoreComeAndGo(simulation.now() + pauseMs);
+        simulation.makeStoreIntermittent(simulation.now() + pauseMs);
         simulation.runChecked(pauseMs);
         simulation.runChecked(RECOVERY_MS);
         assertEquals(List.of(), simulation.invariants().violations());
@@ -114,12 +114,12 @@
         replay.pauseControllerWithinBatch(replay.leader(), 4_000);
         replay.runUntil(responseBuiltAt + 1);
         assertTrue(replay.counter("orders.in_responses") > 0, "the leader has decided to send the start");
-        replay.runChecked(LEASE_MS);
+        replay.runChecked(AGENT_LEASE_MS);
         assertEquals(List.of(), replay.invariants().violations());
     }
 
     private static void holdAllCommands(ClusterSimulation cluster) {
-        cluster.agents().machineIds().forEach(cluster.network()::holdCommands);
+        cluster.agents().machineIds().forEach(cluster.network()::delayCommandsTo);
     }
 
     /**
--- a/src/test/java/io/quartzgw/app/PreviousLeaderStartsTest.java
+++ b/src/test/java/io/quartzgw/app/PreviousLeaderStartsTest.java
@@ -1,8 +1,8 @@
 package io.quartzgw.app;
 
-import static io.quartzgw.app.ClusterAssertions.assertAllDone;
+import static io.quartzgw.app.ClusterAssertions.assertAllCompleted;
 import static io.quartzgw.app.ClusterAssertions.assertHealthy;
-import static io.quartzgw.app.ClusterFixtures.LEASE_MS;
+import static io.quartzgw.app.ClusterFixtures.AGENT_LEASE_MS;
 import static io.quartzgw.app.ClusterFixtures.clusterWithServices;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -27,7 +27,7 @@
     private static final long RECOVERY_MS = 120_000;
     private static final long DOWNTIME_MS = 1_000;
     private static final long SHORT_DOWNTIME_MS = 100;
-    private static final long CANCEL_MS = new AgentTiming(2_500, LEASE_MS, 36_000).cancelMs();
+    private static final long CANCEL_LIMIT_MS = new AgentTiming(2_500, AGENT_LEASE_MS, 36_000).cancelLimitMs();
     private static final double TASK_CPUS = 2;
     private static final int TASKS = 2;
     private static final String JOB = "j-000701";
@@ -44,9 +44,9 @@
         simulation = clusterWithServices(seed);
         simulation.users().submitUntilAccepted(JobRequests.array("j-000700", "blue", 4, 4, 90));
         simulation.runChecked(30_000);
-        machines = simulation.agents().machinesWithRoom(TASK_CPUS);
+        machines = simulation.agents().machinesWithFreeCpus(TASK_CPUS);
         assertFalse(machines.isEmpty());
-        machines.forEach(simulation.network()::holdCommands);
+        machines.forEach(simulation.network()::delayCommandsTo);
         simulation.users().submitUntilAccepted(job);
         simulation.runChecked(1_000);
     }
@@ -70,7 +70,7 @@
     private void rebootAndDeliverDelayedCommands() {
         machines.forEach(machine -> {
             simulation.agents().reboot(machine, false);
-            simulation.network().deliverHeldCommands(machine);
+            simulation.network().deliverDelayedCommands(machine);
         });
     }
 
@@ -79,7 +79,7 @@
         rebootAndDeliverDelayedCommands();
         simulation.runChecked(RECOVERY_MS);
         assertEquals(List.of(), simulation.invariants().violations());
-        assertAllDone(simulation, List.of(JOB));
+        assertAllCompleted(simulation, List.of(JOB));
         simulation.runChecked(RECOVERY_MS);
         assertHealthy(simulation);
     }
@@ -158,8 +158,8 @@
         simulation.runChecked(30_000);
         simulation.network().partition(leader, follower);
         simulation.runChecked(5_000);
-        machines = simulation.agents().machinesWithRoom(TASK_CPUS);
-        machines.forEach(simulation.network()::holdCommands);
+        machines = simulation.agents().machinesWithFreeCpus(TASK_CPUS);
+        machines.forEach(simulation.network()::delayCommandsTo);
         simulation.users().submitUntilAccepted(tasks());
         simulation.runChecked(1_000);
         crashLeader(DOWNTIME_MS);
@@ -182,7 +182,7 @@
         crashLeader(DOWNTIME_MS);
         runUntilTasksRun();
         simulation.users().cancelJob(simulation.leaderOrFirst(), JOB, reply -> {});
-        simulation.runChecked(CANCEL_MS + LEASE_MS);
+        simulation.runChecked(CANCEL_LIMIT_MS + AGENT_LEASE_MS);
         rebootAndDeliverDelayedCommands();
         simulation.runChecked(RECOVERY_MS);
         assertHealthy(simulation);
--- a/src/test/java/io/quartzgw/app/FailureTest.java
+++ b/src/test/java/io/quartzgw/app/RandomFaultsTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Runs three controllers in a simulated cluster with random faults and checks all invariants of the protocol. */
-class FailureTest {
+class RandomFaultsTest {
     private static final long END_MS = 420_000;
     private static final long FAULTS_END_MS = ConcurrentFault.FAULTS_END_MS;
     /** Arrays take longer when teams are at their quotas and one zone has most of the work. */
@@ -30,7 +30,8 @@
         assertEquals(List.of(), simulation.invariants().violations());
         assertTrue(
                 arrays.stream()
-                        .allMatch(id -> simulation.invariants().finalPhase(id).isPresent()),
+                        .allMatch(
+                                id -> simulation.invariants().terminalState(id).isPresent()),
                 "every array has ended");
     }
 
@@ -53,7 +54,7 @@
     @MethodSource("seeds")
     void invariantsHoldUnderSingleFaults(long seed) {
         ClusterSimulation simulation = new ClusterSimulation(seed, 3);
-        List<String> arrays = runSingleFailures(simulation, seed);
+        List<String> arrays = runSingleFaults(simulation, seed);
         assertHealthy(simulation);
         assertAllEnded(simulation, arrays);
         assertTrue(simulation.invariants().startCount() > 50, "enough tasks were started");
@@ -68,7 +69,7 @@
     void invariantsHoldUnderSingleFaultsAndLeaderPauses(long seed) {
         ClusterSimulation simulation = new ClusterSimulation(seed, 3);
         LeaderPauses.scheduleAll(simulation, seed, FAULTS_END_MS);
-        List<String> arrays = runSingleFailures(simulation, seed);
+        List<String> arrays = runSingleFaults(simulation, seed);
         assertHealthy(simulation);
         assertAllEnded(simulation, arrays);
     }
@@ -79,12 +80,12 @@
     }
 
     /** Runs random faults, one after the other. Returns the ids of the submitted arrays. */
-    static List<String> runSingleFailures(ClusterSimulation simulation, long seed) {
+    static List<String> runSingleFaults(ClusterSimulation simulation, long seed) {
         setMessageFaults(simulation);
         SplittableRandom random = new SplittableRandom(seed);
         List<String> arrays = RandomLoads.scheduleMixedJobs(simulation, random);
         SingleFault.scheduleAll(simulation, random);
-        simulation.schedule(FAULTS_END_MS, () -> simulation.invariants().faultsOver(FAULTS_END_MS));
+        simulation.schedule(FAULTS_END_MS, () -> simulation.invariants().endFaults(FAULTS_END_MS));
         simulation.runChecked(END_MS);
         return arrays;
     }
@@ -116,15 +117,15 @@
         assertAllEnded(simulation, arrays);
     }
 
-    static LongStream concurrentSeedsWithHeldUpCalls() {
+    static LongStream concurrentSeedsWithDelayedCalls() {
         return SeedRanges.range("concurrentHeldUp", 1, 20);
     }
 
     @ParameterizedTest
-    @MethodSource("concurrentSeedsWithHeldUpCalls")
+    @MethodSource("concurrentSeedsWithDelayedCalls")
     void invariantsHoldUnderConcurrentFaultsAndDelayedDirectCalls(long seed) {
         ClusterSimulation simulation = new ClusterSimulation(seed, 3);
-        HeldUpCalls.scheduleAll(simulation, seed, FAULTS_END_MS);
+        DelayedCallBursts.scheduleAll(simulation, seed, FAULTS_END_MS);
         List<String> arrays = runConcurrentFaults(simulation, seed);
         assertHealthy(simulation);
         assertAllEnded(simulation, arrays);
@@ -139,7 +140,7 @@
     @MethodSource("concurrentSeedsWithCrashes")
     void invariantsHoldUnderConcurrentFaultsAndLeaderCrashesWithDelayedStarts(long seed) {
         ClusterSimulation simulation = new ClusterSimulation(seed, 3);
-        CrashesWithHeldUpStarts.scheduleAll(simulation, seed, FAULTS_END_MS);
+        LeaderCrashesWithDelayedCalls.scheduleAll(simulation, seed, FAULTS_END_MS);
         List<String> arrays = runConcurrentFaults(simulation, seed);
         assertHealthy(simulation);
         assertAllEnded(simulation, arrays);
@@ -156,7 +157,7 @@
     @MethodSource("concurrentSeedsWithTotalLoss")
     void invariantsHoldUnderConcurrentFaultsAndCrashesOfAllControllersWithDelayedStarts(long seed) {
         ClusterSimulation simulation = new ClusterSimulation(seed, 3);
-        CrashesOfAllControllers.scheduleAll(simulation, seed, ClusterFixtures.CANCEL_MS, FAULTS_END_MS);
+        ControllerCrashes.scheduleAll(simulation, seed, ClusterFixtures.CANCEL_LIMIT_MS, FAULTS_END_MS);
         List<String> arrays = runConcurrentFaults(simulation, seed);
         assertHealthy(simulation);
         assertAllEnded(simulation, arrays);
@@ -174,7 +175,7 @@
         if (random.nextInt(3) == 0) {
             SingleFault.scheduleAll(simulation, random);
         }
-        simulation.schedule(FAULTS_END_MS, () -> simulation.invariants().faultsOver(FAULTS_END_MS));
+        simulation.schedule(FAULTS_END_MS, () -> simulation.invariants().endFaults(FAULTS_END_MS));
         simulation.runChecked(FAULTS_END_MS);
         while (simulation.now() < EXTENDED_END_MS) {
             simulation.runChecked(1_000);
--- a/src/test/java/io/quartzgw/app/RebootedMachineTest.java
+++ b/src/test/java/io/quartzgw/app/RebootedMachineTest.java
@@ -1,8 +1,8 @@
 package io.quartzgw.app;
 
-import static io.quartzgw.app.ClusterAssertions.assertAllDone;
+import static io.quartzgw.app.ClusterAssertions.assertAllCompleted;
 import static io.quartzgw.app.ClusterAssertions.assertHealthy;
-import static io.quartzgw.app.ClusterFixtures.LEASE_MS;
+import static io.quartzgw.app.ClusterFixtures.AGENT_LEASE_MS;
 import static io.quartzgw.app.ClusterFixtures.clusterWithServices;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -27,7 +27,7 @@
  */
 class RebootedMachineTest {
     private static final long FAILOVER_TIMEOUT_MS = 60_000;
-    private static final long CANCEL_MS = new AgentTiming(2_500, LEASE_MS, 36_000).cancelMs();
+    private static final long CANCEL_LIMIT_MS = new AgentTiming(2_500, AGENT_LEASE_MS, 36_000).cancelLimitMs();
     private static final String JOB = "j-000701";
 
     private ClusterSimulation simulation;
@@ -52,7 +52,7 @@
 
     private void rebootAndDeliverDelayedCommands() {
         simulation.agents().reboot(machine, false);
-        simulation.network().deliverHeldCommands(machine);
+        simulation.network().deliverDelayedCommands(machine);
     }
 
     private void runUntilTasksRunElsewhere(long timeoutMs) {
@@ -65,7 +65,7 @@
     // The new leader gives up on a machine without heartbeats while the previous leader's start is still outstanding.
     @Test
     void previousLeaderStartIsNotExecutedOnUnresponsiveMachine() {
-        simulation.network().holdCommands(machine);
+        simulation.network().delayCommandsTo(machine);
         submitTasks();
         simulation.runChecked(1_000);
         simulation.crash(simulation.leader(), 1_000);
@@ -75,13 +75,13 @@
         rebootAndDeliverDelayedCommands();
         simulation.runChecked(120_000);
         assertEquals(List.of(), simulation.invariants().violations());
-        assertAllDone(simulation, List.of(JOB));
+        assertAllCompleted(simulation, List.of(JOB));
     }
 
     // Guards against a new leader that has verified the machine but has no record of the previous leader's start.
     @Test
     void previousLeaderStartIsNotExecutedOnVerifiedMachine() {
-        simulation.network().holdCommands(machine);
+        simulation.network().delayCommandsTo(machine);
         submitTasks();
         simulation.runChecked(1_000);
         simulation.crash(simulation.leader(), 1_000);
@@ -89,18 +89,18 @@
         rebootAndDeliverDelayedCommands();
         simulation.runChecked(120_000);
         assertEquals(List.of(), simulation.invariants().violations());
-        assertAllDone(simulation, List.of(JOB));
+        assertAllCompleted(simulation, List.of(JOB));
     }
 
     // The agent that recorded the end of the attempt has been replaced when the start arrives.
     @Test
     void cancelledStartIsNotExecutedAfterReboot() {
-        simulation.network().holdCommands(machine);
+        simulation.network().delayCommandsTo(machine);
         submitTasks();
         simulation.runChecked(10_000);
         assertTrue(simulation.invariants().runningTasks().contains(JOB + "/0"), "started by a heartbeat response");
         simulation.users().cancelJob(0, JOB, reply -> {});
-        simulation.runChecked(CANCEL_MS + LEASE_MS);
+        simulation.runChecked(CANCEL_LIMIT_MS + AGENT_LEASE_MS);
         rebootAndDeliverDelayedCommands();
         simulation.runChecked(30_000);
         assertEquals(List.of(), simulation.invariants().violations());
@@ -113,10 +113,10 @@
         submitTasks();
         simulation.runChecked(1_000);
         simulation.cloud().setOutage(true);
-        simulation.runChecked(2 * LEASE_MS);
+        simulation.runChecked(2 * AGENT_LEASE_MS);
         simulation.network().setInboundBlocked(machine, false);
         simulation.runChecked(120_000);
-        assertAllDone(simulation, List.of(JOB));
+        assertAllCompleted(simulation, List.of(JOB));
         simulation.cloud().setOutage(false);
         simulation.runChecked(120_000);
         assertHealthy(simulation);
--- a/src/test/java/io/quartzgw/app/ScaleTest.java
+++ b/src/test/java/io/quartzgw/app/ScaleTest.java
@@ -79,7 +79,7 @@
         }
         simulation.runUntil(simulation.now() + 60_000);
         for (int i = 0; i < ARRAYS; i++) {
-            assertEquals(Optional.of("done"), simulation.invariants().finalPhase(JobRequests.id(1000 + i)));
+            assertEquals(Optional.of("done"), simulation.invariants().terminalState(JobRequests.id(1000 + i)));
         }
         long tasks = ARRAYS * TASKS_PER_ARRAY;
         assertTrue(
@@ -115,13 +115,13 @@
                 .users()
                 .submitUntilAccepted(JobRequests.array("j-002000", "blue", TASKS_PER_ARRAY, CPUS_PER_TASK, 1));
         simulation.runUntil(simulation.now() + 8_000);
-        assertEquals(Optional.of("done"), simulation.invariants().finalPhase("j-002000"));
+        assertEquals(Optional.of("done"), simulation.invariants().terminalState("j-002000"));
         assertTrue(
                 simulation.counter("orders.calls") < 6L * machines.size(),
                 simulation.counter("orders.calls") + " direct calls");
         simulation.runUntil(simulation.now() + 50_000);
         assertEquals(List.of(), simulation.invariants().violations());
-        assertEquals(0, simulation.failedCommands());
+        assertEquals(0, simulation.failedEvents());
         assertEquals(List.of(), simulation.invariants().missingReplicas(), "restarted after the reservation expires");
         long restarts = simulation.invariants().startCount() - before - TASKS_PER_ARRAY;
         assertTrue(
--- a/src/test/java/io/quartzgw/app/SingleFaultsTest.java
+++ b/src/test/java/io/quartzgw/app/SingleFaultsTest.java
@@ -280,7 +280,7 @@
         simulation.runUntil(simulation.now() + 100);
         simulation.store().compactHistory();
         simulation.runUntil(simulation.now() + 60_000);
-        assertEquals(Optional.of("done"), simulation.invariants().finalPhase("j-000077"));
+        assertEquals(Optional.of("done"), simulation.invariants().terminalState("j-000077"));
         assertEquals(List.of(), simulation.invariants().violations());
     }
 
--- a/src/test/java/io/quartzgw/app/StoredFormatTest.java
+++ b/src/test/java/io/quartzgw/app/StoredFormatTest.java
@@ -241,10 +241,10 @@
         harness.storeRecords(Map.of("types", TYPES));
         harness.start();
         harness.runFor(1_000);
-        long acceptedAt = harness.wallClockMs();
+        long acceptedAtMs = harness.wallClockMs();
         assertEquals(201, harness.submit(without(job, "accepted_ms")).status());
         assertJson(
-                with(job, "\"accepted_ms\":" + acceptedAt),
+                with(job, "\"accepted_ms\":" + acceptedAtMs),
                 harness.stored("open/" + json(job).path("id").asText()));
     }
 
@@ -330,7 +330,7 @@
     @Test
     void followerNotifiesLeaderOfAcceptedJobAtOnce() {
         startAsFollower(harness);
-        long acceptedAt = harness.wallClockMs();
+        long acceptedAtMs = harness.wallClockMs();
         assertEquals(201, harness.submit(without(GANG, "accepted_ms")).status());
         ObjectNode message = harness.lastPeerMessage();
         JsonNode notice = message.path("notice");
@@ -338,7 +338,7 @@
                 && notice.path("revision").asLong() > 0);
         long revision = notice.path("revision").asLong();
         assertJson(
-                "{\"revision\":" + revision + ",\"accepted\":" + with(GANG, "\"accepted_ms\":" + acceptedAt) + "}",
+                "{\"revision\":" + revision + ",\"accepted\":" + with(GANG, "\"accepted_ms\":" + acceptedAtMs) + "}",
                 notice);
         assertEquals(
                 Set.of("notice"), difference(message, peerMessage("\"member\":\"rig-0\",\"process\":17,\"term\":41")));
@@ -571,9 +571,9 @@
     @Test
     void processMetricsIncludeTimings() {
         ProcessMetrics metrics = new ProcessMetrics();
-        metrics.served(200, 1_000_000);
-        metrics.batch(1_000_000);
-        metrics.refused();
+        metrics.recordRequest(200, 1_000_000);
+        metrics.recordBatch(1_000_000);
+        metrics.recordRefusedRequest();
         JsonNode process = metrics.snapshot();
         assertEquals(
                 Set.of(
--- a/src/test/java/io/quartzgw/app/UnfencedStartsTest.java
+++ b/src/test/java/io/quartzgw/app/UnfencedStartsTest.java
@@ -57,15 +57,15 @@
         run(simulation, seed, Fault.LEADER_CRASH);
     }
 
-    static LongStream seedsWithHeldUpCalls() {
+    static LongStream seedsWithDelayedCalls() {
         return SeedRanges.range("unfencedHeldUp", 1, 20);
     }
 
     @ParameterizedTest
-    @MethodSource("seedsWithHeldUpCalls")
+    @MethodSource("seedsWithDelayedCalls")
     void invariantsHoldWhileCallsAreDelayedForMinutes(long seed) {
         ClusterSimulation simulation = newSimulation(seed, CONTROLLERS);
-        HeldUpCalls.scheduleAll(simulation, seed, FAULTS_END_MS);
+        DelayedCallBursts.scheduleAll(simulation, seed, FAULTS_END_MS);
         run(simulation, seed, Fault.LEADER_CRASH);
     }
 
@@ -78,7 +78,7 @@
     @MethodSource("seedsWithCrashes")
     void invariantsHoldWhenLeadersCrashWithDelayedStarts(long seed) {
         ClusterSimulation simulation = newSimulation(seed, CONTROLLERS);
-        CrashesWithHeldUpStarts.scheduleAll(simulation, seed, FAULTS_END_MS);
+        LeaderCrashesWithDelayedCalls.scheduleAll(simulation, seed, FAULTS_END_MS);
         run(simulation, seed, Fault.REBOOT);
     }
 
@@ -93,7 +93,7 @@
     @MethodSource("seedsWithTotalLoss")
     void invariantsHoldWhenAllControllersCrashWithDelayedStarts(long seed) {
         ClusterSimulation simulation = newSimulation(seed, CONTROLLERS);
-        CrashesOfAllControllers.scheduleAll(simulation, seed, ClusterFixtures.CANCEL_MS, FAULTS_END_MS);
+        ControllerCrashes.scheduleAll(simulation, seed, ClusterFixtures.CANCEL_LIMIT_MS, FAULTS_END_MS);
         run(simulation, seed, Fault.REBOOT);
     }
 
--- a/src/test/java/io/quartzgw/cancellation/CancellationWatermarkTest.java
+++ b/src/test/java/io/quartzgw/cancellation/CancellationWatermarkTest.java
@@ -33,7 +33,7 @@
 
     private void recordResponsesOfAllPeers(CancellationWatermark watermark, long nowMs, long process, long uptimeMs) {
         advanceTo(nowMs);
-        PEERS.forEach(name -> watermark.recordPeerAnswer(name, process, uptimeMs, nowMs - 5, true));
+        PEERS.forEach(name -> watermark.recordPeerResponse(name, process, uptimeMs, nowMs - 5, true));
     }
 
     @Test
@@ -67,7 +67,7 @@
         CancellationWatermark watermark = newWatermarkAt(0);
         recordResponsesOfAllPeers(watermark, 50_000, 7, 50_000);
         advanceTo(52_000);
-        watermark.recordPeerAnswer("controller-1", 8, 100, 51_990, true);
+        watermark.recordPeerResponse("controller-1", 8, 100, 51_990, true);
         recordResponsesOfAllPeers(watermark, 52_000, 8, 100);
         assertEquals(49_995, watermark.knownUntilMs(0));
         recordResponsesOfAllPeers(watermark, 53_000, 9, 100);
@@ -94,8 +94,8 @@
         CancellationWatermark watermark = newWatermarkAt(0);
         recordResponsesOfAllPeers(watermark, 50_000, 7, 50_000);
         advanceTo(51_000);
-        watermark.recordPeerAnswer("controller-1", 7, 51_000, 50_990, false);
-        watermark.recordPeerAnswer("controller-2", 7, 51_000, 50_990, true);
+        watermark.recordPeerResponse("controller-1", 7, 51_000, 50_990, false);
+        watermark.recordPeerResponse("controller-2", 7, 51_000, 50_990, true);
         assertEquals(49_995, watermark.knownUntilMs(0));
     }
 
@@ -166,7 +166,7 @@
             acknowledged.stream()
                     .filter(cancellation -> cancellation.peer() == peer && cancellation.process() == process[peer])
                     .forEach(announced::add);
-            watermark.recordPeerAnswer(PEERS.get(peer), process[peer], nowMs - startedAtMs[peer], nowMs, true);
+            watermark.recordPeerResponse(PEERS.get(peer), process[peer], nowMs - startedAtMs[peer], nowMs, true);
         }
 
         /** The cancellations that this controller has not received and whose cancel limit has not passed. */
--- a/src/test/java/io/quartzgw/fleet/DeletionBudgetTest.java
+++ b/src/test/java/io/quartzgw/fleet/DeletionBudgetTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.quartzgw.eventloop.ClockReading;
-import io.quartzgw.eventloop.Command;
 import io.quartzgw.eventloop.Effect;
 import io.quartzgw.eventloop.EventLoop;
+import io.quartzgw.eventloop.LoopEvent;
 import io.quartzgw.http.Endpoint;
 import io.quartzgw.http.Json;
 import io.quartzgw.http.Reply;
@@ -24,7 +24,7 @@
 import io.quartzgw.scheduling.TaskLauncher;
 import io.quartzgw.scheduling.UnplacedTasks;
 import io.quartzgw.simulation.Elections;
-import io.quartzgw.simulation.JobSpecs;
+import io.quartzgw.simulation.JobSpecBuilder;
 import io.quartzgw.simulation.SimulatedStore;
 import io.quartzgw.store.StoreClient;
 import io.quartzgw.store.StoreLimits;
@@ -43,7 +43,7 @@
     private static final Endpoint STATE = new Endpoint("10.2.0.1", 1);
     private static final Endpoint CLOUD = new Endpoint("10.2.0.2", 1);
     private static final long RESERVATION_MS = 17_000;
-    private static final long CANCEL_MS = 36_000;
+    private static final long CANCEL_LIMIT_MS = 36_000;
     private static final long SCALE_INTERVAL_MS = 250;
     private static final long RENTAL_WARM_UP_MS = 5_000;
     private static final int CLOUD_REQUESTS_PER_S = 4;
@@ -87,10 +87,10 @@
 
     private static final class IgnoringListener implements FleetManager.Listener {
         @Override
-        public void failed(Machine machine) {}
+        public void machineFailed(Machine machine) {}
 
         @Override
-        public void removed(Machine machine) {}
+        public void machineRemoved(Machine machine) {}
     }
 
     private void advance(long ms) {
@@ -101,15 +101,15 @@
     private void deliver(List<Effect> initial) {
         List<Effect> effects = initial;
         while (!effects.isEmpty()) {
-            List<Command> replies = new ArrayList<>();
+            List<LoopEvent> replies = new ArrayList<>();
             for (Effect effect : effects) {
                 Effect.Send send = (Effect.Send) effect;
                 if (send.request().path().startsWith("/rentals")) {
-                    replies.add(new Command.CallEnded(
+                    replies.add(new LoopEvent.CallEnded(
                             send.call(), cloudReply(send.request().path())));
                 } else {
                     stateService.handle(
-                            send.request(), now, reply -> replies.add(new Command.CallEnded(send.call(), reply)));
+                            send.request(), now, reply -> replies.add(new LoopEvent.CallEnded(send.call(), reply)));
                 }
             }
             effects = replies.isEmpty() ? List.of() : eventLoop.processBatch(replies, new ClockReading(now, now));
@@ -149,7 +149,7 @@
         ClusterState cluster = new ClusterState(eventLoop, 1);
         CloudClient cloud = new CloudClient(eventLoop, CLOUD, new CloudLimits(CLOUD_REQUESTS_PER_S, 5_000));
         FleetContext context = new FleetContext(
-                eventLoop, cloud, term, cluster, new FleetManager.Policy(0, RESERVATION_MS, CANCEL_MS, 5_000));
+                eventLoop, cloud, term, cluster, new FleetManager.Policy(0, RESERVATION_MS, CANCEL_LIMIT_MS, 5_000));
         FleetManager fleet = new FleetManager(
                 context,
                 new OneType(),
@@ -160,10 +160,16 @@
         advance(1_000);
         Machine fenced = cluster.findMachine(FENCED_ID).orElseThrow();
         Job job = cluster.add(new OpenJob(
-                JobSpecs.named("j-1").team("team").tasks(TASKS).demand(16, 0, 8).spec(), 1, 0));
+                JobSpecBuilder.named("j-1")
+                        .team("team")
+                        .tasks(TASKS)
+                        .demand(16, 0, 8)
+                        .build(),
+                1,
+                0));
         rentFor(RENTAL_WARM_UP_MS, fleet, job);
         fenced.fencing().addCancelledStart(new Attempt("j-3", 0, 1), now);
-        rentFor(CANCEL_MS, fleet, job);
+        rentFor(CANCEL_LIMIT_MS, fleet, job);
         assertTrue(cluster.contains(fenced) || deletionSent);
         assertTrue(deletionSent, "deletion is sent; machines rented meanwhile: " + rented);
     }
