--- a/src/test/java/io/quartzgw/fleet/FencingPolicyTest.java
+++ b/src/test/java/io/quartzgw/fleet/FencingPolicyTest.java
@@ -14,7 +14,7 @@
 import io.quartzgw.scheduling.ClusterState;
 import io.quartzgw.scheduling.Job;
 import io.quartzgw.scheduling.Machine;
-import io.quartzgw.simulation.JobSpecs;
+import io.quartzgw.simulation.JobSpecBuilder;
 import io.quartzgw.submission.OpenJob;
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
@@ -26,7 +26,7 @@
  */
 class FencingPolicyTest {
     private static final long RESERVATION_MS = 17_000;
-    private static final long CANCEL_MS = 36_000;
+    private static final long CANCEL_LIMIT_MS = 36_000;
     private static final int MACHINES = 100;
     private static final MachineType TYPE =
             new MachineType("t", new Resources(16, 0, 64), 40, 1, 1, 0.3, 20, List.of("a"));
@@ -34,7 +34,7 @@
     private final EventLoop eventLoop = new EventLoop(1);
     private final ClusterState cluster = new ClusterState(eventLoop, 1);
     private final FencingPolicy fencingPolicy =
-            new FencingPolicy(eventLoop, cluster, new FleetManager.Policy(0, RESERVATION_MS, CANCEL_MS, 5_000));
+            new FencingPolicy(eventLoop, cluster, new FleetManager.Policy(0, RESERVATION_MS, CANCEL_LIMIT_MS, 5_000));
     private Job job;
 
     @BeforeEach
@@ -46,11 +46,11 @@
             cluster.add(machine);
         }
         job = cluster.add(new OpenJob(
-                JobSpecs.named("j-1")
+                JobSpecBuilder.named("j-1")
                         .team("team")
                         .tasks(2 * MACHINES)
                         .demand(4, 0, 8)
-                        .spec(),
+                        .build(),
                 1,
                 0));
     }
@@ -66,7 +66,7 @@
     }
 
     private void addUnfencedAttempt(Machine machine) {
-        cluster.retainUnfenced(runTask(machine));
+        cluster.retainUnfencedAllocation(runTask(machine));
     }
 
     private void advanceTo(long ms) {
@@ -121,17 +121,17 @@
     @Test
     void limitsEvacuationsAndPrefersOpenJobs() {
         Job cancelled = cluster.add(new OpenJob(
-                JobSpecs.named("j-2")
+                JobSpecBuilder.named("j-2")
                         .team("team")
                         .tasks(MACHINES)
                         .demand(4, 0, 8)
-                        .spec(),
+                        .build(),
                 1,
                 0));
         for (int i = 0; i < MACHINES; i++) {
             runTask(machine(i));
             if (i < MACHINES - 1) {
-                cluster.retainUnfenced(
+                cluster.retainUnfencedAllocation(
                         cluster.allocate(cancelled, cancelled.nextPending(), machine(i), cluster.nextAttempt()));
             }
         }
@@ -180,10 +180,10 @@
         Job other = addJob("j-2");
         cluster.machines().forEach(machine -> runTaskOf(other, machine));
         cluster.terminate(job);
-        for (long ms = 0; ms < CANCEL_MS; ms += 500) {
+        for (long ms = 0; ms < CANCEL_LIMIT_MS; ms += 500) {
             advanceTo(ms);
             fencingPolicy.fenceMachines(false);
-            if (ms == CANCEL_MS / 4) {
+            if (ms == CANCEL_LIMIT_MS / 4) {
                 assertEquals(5, fencedMachines(), "evacuation limit applies at first");
             }
         }
@@ -192,11 +192,11 @@
 
     private Job addJob(String id) {
         return cluster.add(new OpenJob(
-                JobSpecs.named(id)
+                JobSpecBuilder.named(id)
                         .team("team")
                         .tasks(2 * MACHINES)
                         .demand(4, 0, 8)
-                        .spec(),
+                        .build(),
                 1,
                 0));
     }
@@ -213,7 +213,7 @@
         advanceTo(RESERVATION_MS / 2);
         fencingPolicy.fenceMachines(false);
         long deadline = machine(0).fencing().deadline();
-        machine(0).fencing().addCancelledStart(new Attempt("j-3", 0, 1), RESERVATION_MS / 2 - CANCEL_MS / 2);
+        machine(0).fencing().addCancelledStart(new Attempt("j-3", 0, 1), RESERVATION_MS / 2 - CANCEL_LIMIT_MS / 2);
         fencingPolicy.fenceMachines(false);
         assertTrue(machine(0).fencing().deadline() < deadline);
         assertEquals(1, eventLoop.counters().get("fencing.machines"), "machine is counted once");
@@ -247,11 +247,11 @@
         Machine unverified = new Machine("i-silent", TYPE, "a", false, 0, 0);
         unverified.markHasRunTasks();
         cluster.add(unverified);
-        unverified.fencing().addCancelledStart(new Attempt("j-3", 0, 1), -CANCEL_MS / 2);
+        unverified.fencing().addCancelledStart(new Attempt("j-3", 0, 1), -CANCEL_LIMIT_MS / 2);
         fencingPolicy.fenceMachines(false);
         assertTrue(unverified.fencing().isBegun());
         assertFalse(isDeletable(unverified), "machine is evacuated first");
-        advanceTo(CANCEL_MS / 2);
+        advanceTo(CANCEL_LIMIT_MS / 2);
         assertTrue(isDeletable(unverified));
     }
 
@@ -260,7 +260,7 @@
     void limitsEvacuationsForUnknownStarts() {
         cluster.machines().forEach(machine -> {
             runTask(machine);
-            machine.fencing().expectUnknownStarts();
+            machine.fencing().markUnknownStartsPossible();
         });
         fencingPolicy.fenceMachines(false);
         assertEquals(5, fencedMachines());
@@ -272,9 +272,9 @@
     void treatsUnverifiedMachinesAsInUse() {
         for (int i = 0; i < MACHINES; i++) {
             Machine unverified = new Machine("u-" + i, TYPE, "a", false, 0, 0);
-            unverified.liveness().boundPreviousLeader(RESERVATION_MS);
+            unverified.liveness().boundPreviousLeaderActivity(RESERVATION_MS);
             unverified.markHasRunTasks();
-            unverified.fencing().expectUnknownStarts();
+            unverified.fencing().markUnknownStartsPossible();
             cluster.add(unverified);
         }
         fencingPolicy.fenceMachines(false);
--- a/src/test/java/io/quartzgw/fleet/ScaleInPolicyTest.java
+++ b/src/test/java/io/quartzgw/fleet/ScaleInPolicyTest.java
@@ -15,7 +15,7 @@
 import io.quartzgw.scheduling.Machine;
 import io.quartzgw.scheduling.StopReason;
 import io.quartzgw.scheduling.TaskLauncher;
-import io.quartzgw.simulation.JobSpecs;
+import io.quartzgw.simulation.JobSpecBuilder;
 import io.quartzgw.submission.OpenJob;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -26,7 +26,7 @@
  */
 class ScaleInPolicyTest {
     private static final long RESERVATION_MS = 17_000;
-    private static final long CANCEL_MS = 36_000;
+    private static final long CANCEL_LIMIT_MS = 36_000;
     private static final MachineType TYPE =
             new MachineType("t", new Resources(16, 2, 64), 40, 1, 1, 0.3, 20, List.of("a"));
 
@@ -36,7 +36,7 @@
             eventLoop,
             cluster,
             new Consolidation(cluster, machine -> true, new IgnoringLauncher(), 16_000),
-            new FleetManager.Policy(0, RESERVATION_MS, CANCEL_MS, 5_000));
+            new FleetManager.Policy(0, RESERVATION_MS, CANCEL_LIMIT_MS, 5_000));
 
     private static final class IgnoringLauncher implements TaskLauncher {
         @Override
@@ -59,12 +59,12 @@
     }
 
     private Job addSingleGpuTasksJob(int tasks) {
-        JobSpec spec = JobSpecs.named("j-1")
+        JobSpec spec = JobSpecBuilder.named("j-1")
                 .team("team")
                 .tasks(tasks)
                 .demand(4, 1, 8)
                 .spot(true)
-                .spec();
+                .build();
         return cluster.add(new OpenJob(spec, 1, 0));
     }
 
--- a/src/test/java/io/quartzgw/http/HttpClientTest.java
+++ b/src/test/java/io/quartzgw/http/HttpClientTest.java
@@ -51,7 +51,7 @@
                         reply::complete);
             }
             for (CompletableFuture<Reply> reply : replies) {
-                assertEquals(Reply.LOST, reply.get(60, TimeUnit.SECONDS).status());
+                assertEquals(Reply.NO_RESPONSE, reply.get(60, TimeUnit.SECONDS).status());
             }
             long leakedSockets = Long.MAX_VALUE;
             for (int i = 0; i < 100 && leakedSockets > 2; i++) {
@@ -77,12 +77,12 @@
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = server.getLocalPort();
             Reply unanswered = call(client, port);
-            assertEquals(Reply.LOST, unanswered.status());
+            assertEquals(Reply.NO_RESPONSE, unanswered.status());
             assertTrue(unanswered.sent(), "a call without a response on an open connection may have been sent");
         }
         Reply refused = call(client, port);
         worker.shutdownNow();
-        assertEquals(Reply.LOST, refused.status());
+        assertEquals(Reply.NO_RESPONSE, refused.status());
         assertFalse(refused.sent(), "a call whose connection was refused is unsent");
     }
 
@@ -94,7 +94,7 @@
         HttpClient client = new HttpClient(worker, new DefaultByteBufferPool(true, 8 * 1024), 4);
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             Reply expired = call(client, server.getLocalPort(), System.nanoTime() / 1_000_000);
-            assertEquals(Reply.LOST, expired.status());
+            assertEquals(Reply.NO_RESPONSE, expired.status());
             assertFalse(expired.sent());
         } finally {
             worker.shutdownNow();
--- a/src/test/java/io/quartzgw/leadership/LeadershipTest.java
+++ b/src/test/java/io/quartzgw/leadership/LeadershipTest.java
@@ -54,14 +54,14 @@
 
     private void advance(long durationMs) {
         for (long elapsedMs = 0; elapsedMs < durationMs; elapsedMs += STEP_MS) {
-            link.pass(STEP_MS, false);
+            link.advance(STEP_MS, false);
         }
     }
 
     @Test
     void acquiresVacantLeadership() {
         assertEquals(List.of("elected 4096"), events);
-        assertTrue(leadership.leading() && leadership.isConfirmed());
+        assertTrue(leadership.isLeading() && leadership.isConfirmed());
         assertEquals(Optional.of("rig-0"), leadership.leader());
         assertEquals(4096, leadership.term());
     }
@@ -77,7 +77,7 @@
     void losesConfirmationButKeepsTermDuringStoreOutage() {
         storeServer.setOutage(true);
         advance(TIMING.leaseMs() + STEP_MS);
-        assertTrue(leadership.leading());
+        assertTrue(leadership.isLeading());
         assertFalse(leadership.isConfirmed());
         storeServer.setOutage(false);
         advance(TIMING.leaseMs());
@@ -88,7 +88,7 @@
     @Test
     void stepsDownOnHigherTermAndTakesTermAboveIt() {
         leadership.observeTerm(4097);
-        assertFalse(leadership.leading());
+        assertFalse(leadership.isLeading());
         assertEquals(4097, leadership.highestTerm());
         advance(1_000);
         assertEquals(List.of("elected 4096", "lost", "elected 8193"), events);
--- a/src/test/java/io/quartzgw/leadership/PeerExchangeTest.java
+++ b/src/test/java/io/quartzgw/leadership/PeerExchangeTest.java
@@ -7,9 +7,9 @@
 import io.quartzgw.cancellation.CancellationRegistry;
 import io.quartzgw.cancellation.CancellationWatermark;
 import io.quartzgw.eventloop.ClockReading;
-import io.quartzgw.eventloop.Command;
 import io.quartzgw.eventloop.Effect;
 import io.quartzgw.eventloop.EventLoop;
+import io.quartzgw.eventloop.LoopEvent;
 import io.quartzgw.http.Endpoint;
 import io.quartzgw.http.Json;
 import io.quartzgw.http.ListenerKind;
@@ -52,7 +52,7 @@
 
     private void serve(ObjectNode message) {
         eventLoop.processBatch(
-                List.of(new Command.Arrived(
+                List.of(new LoopEvent.RequestReceived(
                         new Request(1, ListenerKind.PEER, "POST", PeerExchange.PATH, "", Json.writeCbor(message)))),
                 new ClockReading(2, 2));
     }
@@ -67,7 +67,7 @@
         Effect.Send heartbeat = (Effect.Send)
                 eventLoop.processBatch(List.of(), new ClockReading(1, 1)).get(0);
         eventLoop.processBatch(
-                List.of(new Command.CallEnded(heartbeat.call(), new Reply(200, Json.writeCbor(message(7, 11))))),
+                List.of(new LoopEvent.CallEnded(heartbeat.call(), new Reply(200, Json.writeCbor(message(7, 11))))),
                 new ClockReading(2, 2));
         JsonNode newest = Json.object().set("j-1", Json.array().add(1).add(2));
         serve(message(7, 10).set("counts", newest));
--- a/src/test/java/io/quartzgw/leadership/RedirectedAgentsTest.java
+++ b/src/test/java/io/quartzgw/leadership/RedirectedAgentsTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.quartzgw.eventloop.ClockReading;
-import io.quartzgw.eventloop.Command;
 import io.quartzgw.eventloop.Effect;
 import io.quartzgw.eventloop.EventLoop;
+import io.quartzgw.eventloop.LoopEvent;
 import io.quartzgw.http.Endpoint;
 import io.quartzgw.http.Reply;
 import java.util.ArrayList;
@@ -22,9 +22,9 @@
     /** Records a heartbeat of an agent, probes it one heartbeat interval later and delivers its response. */
     private int countAfterHeartbeatAndProbe(long nowMs) {
         runAt(nowMs, () -> redirectedAgents.add("i-000001", AGENT));
-        List<Command> responses = new ArrayList<>();
+        List<LoopEvent> responses = new ArrayList<>();
         for (Effect effect : runAt(nowMs + HEARTBEAT_MS, redirectedAgents::probe)) {
-            responses.add(new Command.CallEnded(((Effect.Send) effect).call(), new Reply(200, new byte[0])));
+            responses.add(new LoopEvent.CallEnded(((Effect.Send) effect).call(), new Reply(200, new byte[0])));
         }
         eventLoop.processBatch(responses, new ClockReading(nowMs + HEARTBEAT_MS, 0));
         return redirectedAgents.count();
--- a/src/test/java/io/quartzgw/leadership/UnresponsiveLeaderTest.java
+++ b/src/test/java/io/quartzgw/leadership/UnresponsiveLeaderTest.java
@@ -59,7 +59,7 @@
             @Override
             public void leadershipLost() {}
         });
-        link.pass(1, false);
+        link.advance(1, false);
     }
 
     private void post(String path, String body) {
@@ -69,7 +69,7 @@
 
     private void checkPeriodicallyFor(long durationMs) {
         for (long elapsedMs = 0; elapsedMs < durationMs; elapsedMs += TIMING.heartbeatMs()) {
-            link.pass(TIMING.heartbeatMs(), false);
+            link.advance(TIMING.heartbeatMs(), false);
             detector.check();
         }
     }
@@ -87,7 +87,7 @@
     void restartsObservationAfterControllerPause() {
         detector.check();
         checkPeriodicallyFor(TIMING.leaseMs());
-        link.pass(10 * TIMING.leaseMs(), false);
+        link.advance(10 * TIMING.leaseMs(), false);
         detector.check();
         assertFalse(detector.isLeaderUnresponsive(), "no message could be received during the pause");
         checkPeriodicallyFor(2 * TIMING.leaseMs());
@@ -98,12 +98,12 @@
     @Test
     void doesNotDeposeNextLeaderDuringCooldown() {
         leadership.deposeUnresponsiveLeader();
-        link.pass(TIMING.heartbeatMs(), false);
+        link.advance(TIMING.heartbeatMs(), false);
         assertEquals("{\"term\":4}", storeServer.value(Leadership.DEPOSED_KEY).toString());
-        link.pass(6 * TIMING.leaseMs(), false);
+        link.advance(6 * TIMING.leaseMs(), false);
         assertEquals(LEADER, leadership.leaderRecord().orElseThrow());
         leadership.deposeUnresponsiveLeader();
-        link.pass(1, false);
+        link.advance(1, false);
         assertEquals("{\"term\":5}", storeServer.value(Leadership.DEPOSED_KEY).toString());
         assertNull(storeServer.value(Leadership.LEADER_KEY), "the leader's lease is revoked");
     }
--- a/src/test/java/io/quartzgw/liveness/AgentLivenessTest.java
+++ b/src/test/java/io/quartzgw/liveness/AgentLivenessTest.java
@@ -15,7 +15,7 @@
     // A new leader has no earlier heartbeat sequence by which it could detect a delayed duplicate.
     @Test
     void heartbeatWithoutLeaderTokenIsUnverified() {
-        liveness.boundPreviousLeader(30_000);
+        liveness.boundPreviousLeaderActivity(30_000);
         assertEquals(Freshness.UNVERIFIED, liveness.classify(new HeartbeatId(1, 70), false, Origin.AGENT));
         liveness.recordResponse(1_000);
         assertFalse(liveness.verified());
@@ -39,7 +39,7 @@
     @Test
     void onlyDirectCallRepliesAreCurrentAfterAgentReplacement() {
         liveness.recordHeartbeat(new HeartbeatId(1, 80), 1_000);
-        liveness.agentReplaced(new HeartbeatId(1, 2));
+        liveness.recordAgentReplacement(new HeartbeatId(1, 2));
         assertEquals(Freshness.CURRENT, liveness.classify(new HeartbeatId(1, 2), true, Origin.DIRECT_CALL));
         liveness.recordHeartbeat(new HeartbeatId(1, 2), 1_500);
         assertEquals(
--- a/src/test/java/io/quartzgw/progress/ProgressRecorderTest.java
+++ b/src/test/java/io/quartzgw/progress/ProgressRecorderTest.java
@@ -10,7 +10,7 @@
 import io.quartzgw.scheduling.ClusterState;
 import io.quartzgw.scheduling.Job;
 import io.quartzgw.simulation.Elections;
-import io.quartzgw.simulation.JobSpecs;
+import io.quartzgw.simulation.JobSpecBuilder;
 import io.quartzgw.simulation.LossyLink;
 import io.quartzgw.simulation.SimulatedStore;
 import io.quartzgw.store.ListResult;
@@ -37,28 +37,29 @@
         return new ProgressRecorder(
                 eventLoop, store, new LeaderTerm(leadership), HEARTBEAT_MS, new ProgressRecorder.Listener() {
                     @Override
-                    public void startsRecorded(Job job) {}
+                    public void startLimitRaised(Job job) {}
 
                     @Override
-                    public void finishesRecorded(Job job) {}
+                    public void completedTasksRecorded(Job job) {}
 
                     @Override
                     public void jobCompleted(Job job, TerminalState terminalState) {}
 
                     @Override
-                    public void jobTerminatedElsewhere(Job job) {}
+                    public void jobNoLongerOpen(Job job) {}
                 });
     }
 
     private static OpenJob openJob(int number) {
-        return new OpenJob(JobSpecs.named("j-" + number).tasks(TASKS).spot(true).spec(), number, 0);
+        return new OpenJob(
+                JobSpecBuilder.named("j-" + number).tasks(TASKS).spot(true).build(), number, 0);
     }
 
     // Guards against a recorded start limit that is too low: after a failover, tasks at or above it are placed again
     // even if they are running. This happened when more starts were requested while a write of the limit was in flight.
     @Test
     void keepsRecordedProgressWhenWritesAreLostOrDelayed() {
-        Elections.elect(leadership, ms -> link.pass(ms, false));
+        Elections.elect(leadership, ms -> link.advance(ms, false));
         ClusterState cluster = new ClusterState(eventLoop, 1);
         ProgressRecorder progress = newRecorder();
         for (int i = 0; i < 3; i++) {
@@ -68,18 +69,18 @@
             for (Job job : cluster.jobs()) {
                 int index = Math.min(TASKS - 1, round / 2 + random.nextInt(20));
                 if (index >= job.recordedStartLimit()) {
-                    progress.recordStart(job, index);
+                    progress.requestStartLimitAbove(job, index);
                     progress.flush();
-                    progress.recordStart(job, Math.max(job.recordedStartLimit(), index - 10));
-                } else if (!job.isDone(index) && job.doneCount() < TASKS - 1) {
+                    progress.requestStartLimitAbove(job, Math.max(job.recordedStartLimit(), index - 10));
+                } else if (!job.isDone(index) && job.completedCount() < TASKS - 1) {
                     cluster.markDone(job, index);
-                    progress.recordFinish(job, index);
+                    progress.recordCompletedTask(job, index);
                 }
             }
             progress.flush();
-            link.pass(100, true);
+            link.advance(100, true);
             if (random.nextInt(4) == 0) {
-                link.applyOneLate();
+                link.applyLostTransaction();
             }
             ClusterState successor = new ClusterState(eventLoop, 2);
             cluster.jobs().forEach(job -> successor.add(job.open()));
@@ -88,7 +89,7 @@
                     ProgressBitmaps.PREFIX,
                     result -> successorProgress.load(
                             ((ListResult.Listed) result).listing().entries(), successor));
-            link.pass(1, false);
+            link.advance(1, false);
             for (Job job : cluster.jobs()) {
                 Job found = successor.findJob(job.id()).orElseThrow();
                 assertTrue(
--- a/src/test/java/io/quartzgw/scheduling/SchedulerTest.java
+++ b/src/test/java/io/quartzgw/scheduling/SchedulerTest.java
@@ -13,7 +13,7 @@
 import io.quartzgw.model.Priority;
 import io.quartzgw.model.Resources;
 import io.quartzgw.model.TeamQuota;
-import io.quartzgw.simulation.JobSpecs;
+import io.quartzgw.simulation.JobSpecBuilder;
 import io.quartzgw.submission.OpenJob;
 import java.util.ArrayList;
 import java.util.List;
@@ -73,30 +73,30 @@
         return machine;
     }
 
-    private static JobSpecs array(int number) {
-        return JobSpecs.named("j-" + number).shape(JobShape.ARRAY).image("img-" + number % 3);
+    private static JobSpecBuilder array(int number) {
+        return JobSpecBuilder.named("j-" + number).shape(JobShape.ARRAY).image("img-" + number % 3);
     }
 
-    private static JobSpecs gang(int number) {
+    private static JobSpecBuilder gang(int number) {
         return array(number).shape(JobShape.GANG);
     }
 
-    private static JobSpecs service(int number) {
+    private static JobSpecBuilder service(int number) {
         return array(number).shape(JobShape.SERVICE);
     }
 
-    private static JobSpecs productionService(int number) {
+    private static JobSpecBuilder productionService(int number) {
         return service(number).priority(Priority.PRODUCTION);
     }
 
-    private Job submit(JobSpecs specs, int tasks, double cpusPerTask) {
-        JobSpec spec = specs.tasks(tasks).demand(cpusPerTask, 0, 1).spec();
+    private Job submit(JobSpecBuilder specs, int tasks, double cpusPerTask) {
+        JobSpec spec = specs.tasks(tasks).demand(cpusPerTask, 0, 1).build();
         return cluster.add(new OpenJob(spec, 1, 0));
     }
 
     private Job submitRandomJob(int number, SplittableRandom random) {
         boolean service = random.nextBoolean();
-        JobSpecs specs = service ? productionService(number) : array(number);
+        JobSpecBuilder specs = service ? productionService(number) : array(number);
         specs.team(random.nextBoolean() ? "limited" : "free");
         int tasks = 1 + random.nextInt(5);
         int cpusPerTask = 1 + random.nextInt(4);
@@ -218,7 +218,7 @@
         }
         for (Job job : largest) {
             assertTrue(
-                    job.doneCount() + job.possiblyRunningCount() > 0,
+                    job.completedCount() + job.possiblyRunningCount() > 0,
                     job.id() + " of " + job.spec().team() + " has not started");
         }
     }
@@ -288,7 +288,8 @@
     @Test
     void objectiveIsReachableUntilLargestDeadlineMultiple() {
         ServiceLevelObjectives objectives = new ServiceLevelObjectives(Map.of(), Map.of("w", 2.0), Map.of());
-        Job job = cluster.add(new OpenJob(JobSpecs.named("j-2").deadlineS(20).spec(), 2, 0));
+        Job job = cluster.add(
+                new OpenJob(JobSpecBuilder.named("j-2").deadlineS(20).build(), 2, 0));
         assertTrue(objectives.isObjectiveReachable(job, 30_000));
         assertTrue(!objectives.isObjectiveReachable(job, 31_000));
     }
--- a/src/test/java/io/quartzgw/simulation/AgentTask.java
+++ b/src/test/java/io/quartzgw/simulation/AgentTask.java
@@ -6,13 +6,13 @@
 final class AgentTask {
     final String name;
     final long attempt;
-    final SimulatedAgent.Description job;
+    final SimulatedAgent.TaskProfile job;
     long startsAt;
     long endsAt;
     boolean running;
     Optional<String> exitCause = Optional.empty();
 
-    AgentTask(String name, long attempt, SimulatedAgent.Description job) {
+    AgentTask(String name, long attempt, SimulatedAgent.TaskProfile job) {
         this.name = name;
         this.attempt = attempt;
         this.job = job;
--- a/src/test/java/io/quartzgw/simulation/ClassArchive.java
+++ b/src/test/java/io/quartzgw/simulation/ClassArchive.java
@@ -35,7 +35,7 @@
                     "-jar",
                     args[0],
                     "--config",
-                    cluster.settings(0, directory).toString()));
+                    cluster.writeSettings(0, directory).toString()));
             Process process = new ProcessBuilder(command)
                     .redirectErrorStream(true)
                     .redirectOutput(ProcessBuilder.Redirect.DISCARD)
@@ -71,7 +71,7 @@
                 .put("snapshot_every_s", 0.0)
                 .put("snapshot_cost_s", 0.0);
         while (cluster.submit(0, spec).status() / 100 != 2 && System.currentTimeMillis() < deadline) {
-            LoopbackCluster.pause(200);
+            LoopbackCluster.sleep(200);
         }
         cluster.request(0, "GET", "/ready");
         while (!cluster.request(0, "GET", "/submissions/j-000001")
@@ -80,11 +80,11 @@
                         .asText()
                         .equals("done")
                 && System.currentTimeMillis() < deadline) {
-            LoopbackCluster.pause(200);
+            LoopbackCluster.sleep(200);
         }
         cluster.submit(0, spec.put("id", "j-000002").put("shape", "daemon"));
-        LoopbackCluster.pause(500);
+        LoopbackCluster.sleep(500);
         cluster.request(0, "POST", "/submissions/j-000002/abort", Json.object());
-        LoopbackCluster.pause(300);
+        LoopbackCluster.sleep(300);
     }
 }
--- a/src/test/java/io/quartzgw/simulation/ClusterSimulation.java
+++ b/src/test/java/io/quartzgw/simulation/ClusterSimulation.java
@@ -104,7 +104,7 @@
         store = builder.store;
         storeRejections = new StoreRejections(store);
         cloud = new SimulatedCloud(MACHINE_LIST_LAG_MS, MACHINE_BOOT_MS, builder.machines, Hosts::machineAddress);
-        invariants = new ProtocolInvariants(builder.timing.cancelMs(), SimulationSettings.CPU_LIMITS, events::now);
+        invariants = new ProtocolInvariants(builder.timing.cancelLimitMs(), SimulationSettings.CPU_LIMITS, events::now);
         network = new SimulatedNetwork(context, this::handle);
         SimulationSettings settings = new SimulationSettings(builder.timing, store.limits());
         controllers = new SimulatedControllers(
@@ -239,7 +239,7 @@
     }
 
     /** Makes controllers collect what they receive into batches for a random time of less than {@code maxMs}. */
-    public void batchCommandsUpTo(long maxMs) {
+    public void setMaxBatchDelay(long maxMs) {
         controllers.setMaxBatchDelay(maxMs);
     }
 
@@ -272,8 +272,8 @@
     }
 
     /** The number of event loop commands that failed in the running controllers since their starts. */
-    public long failedCommands() {
-        return controllers.failedCommands();
+    public long failedEvents() {
+        return controllers.failedEvents();
     }
 
     /** The counters of the running controllers since their starts, summed by name. */
@@ -297,7 +297,7 @@
      * Makes the state service available only intermittently until {@code end}. Each outage is shorter than the agents'
      * lease; each time of availability is shorter than the leader's lease.
      */
-    public void letStoreComeAndGo(long end) {
+    public void makeStoreIntermittent(long end) {
         if (now() >= end) {
             store.setOutage(false);
             return;
@@ -305,7 +305,7 @@
         store.setOutage(true);
         events.scheduleAfter(STORE_OUTAGE_MS, () -> {
             store.setOutage(false);
-            events.scheduleAfter(STORE_AVAILABLE_MS, () -> letStoreComeAndGo(end));
+            events.scheduleAfter(STORE_AVAILABLE_MS, () -> makeStoreIntermittent(end));
         });
     }
 
--- a/src/test/java/io/quartzgw/simulation/Elections.java
+++ b/src/test/java/io/quartzgw/simulation/Elections.java
@@ -41,7 +41,7 @@
             @Override
             public void leadershipLost() {}
         });
-        while (!leadership.leading()) {
+        while (!leadership.isLeading()) {
             advance.accept(STEP_MS);
         }
     }
--- a/src/test/java/io/quartzgw/simulation/JobRecord.java
+++ b/src/test/java/io/quartzgw/simulation/JobRecord.java
@@ -6,21 +6,21 @@
 final class JobRecord {
     private static final long NEVER = Long.MAX_VALUE;
 
-    private final long acceptedAt;
+    private final long acceptedAtMs;
     private long lastResponseAt;
     private Optional<String> terminalState = Optional.empty();
     private long terminalSince = NEVER;
     private long cancellationAcknowledgedAt = NEVER;
 
     /** Creates the record on the first successful response for a job. */
-    JobRecord(long acceptedAt) {
-        this.acceptedAt = acceptedAt;
-        this.lastResponseAt = acceptedAt;
+    JobRecord(long acceptedAtMs) {
+        this.acceptedAtMs = acceptedAtMs;
+        this.lastResponseAt = acceptedAtMs;
     }
 
     /** When a user first received a successful response for the job. */
-    long acceptedAt() {
-        return acceptedAt;
+    long acceptedAtMs() {
+        return acceptedAtMs;
     }
 
     /** When a user last received a successful response for the job. */
--- a/src/test/java/io/quartzgw/simulation/JobSpecs.java
+++ b/src/test/java/io/quartzgw/simulation/JobSpecBuilder.java
@@ -6,7 +6,7 @@
 import io.quartzgw.model.Resources;
 
 /** Builder of job specs for tests, with defaults for the values that a test does not depend on. */
-public final class JobSpecs {
+public final class JobSpecBuilder {
     private static final double IMAGE_GB = 1;
     private static final double ESTIMATE_S = 10;
 
@@ -22,68 +22,68 @@
     private boolean spot;
     private Double deadlineS;
 
-    private JobSpecs(String id) {
+    private JobSpecBuilder(String id) {
         this.id = id;
     }
 
     /** An array job of one small task, of class {@code w} and team {@code free}, for any machine but spot machines. */
-    public static JobSpecs named(String id) {
-        return new JobSpecs(id);
+    public static JobSpecBuilder named(String id) {
+        return new JobSpecBuilder(id);
     }
 
-    public JobSpecs team(String name) {
+    public JobSpecBuilder team(String name) {
         this.team = name;
         return this;
     }
 
-    public JobSpecs shape(JobShape value) {
+    public JobSpecBuilder shape(JobShape value) {
         this.shape = value;
         return this;
     }
 
-    public JobSpecs priority(Priority value) {
+    public JobSpecBuilder priority(Priority value) {
         this.priority = value;
         return this;
     }
 
-    public JobSpecs tasks(int count) {
+    public JobSpecBuilder tasks(int count) {
         this.tasks = count;
         return this;
     }
 
     /** Sets the resources that each task needs. */
-    public JobSpecs demand(double cpus, double gpus, double memoryGb) {
+    public JobSpecBuilder demand(double cpus, double gpus, double memoryGb) {
         this.demand = new Resources(cpus, gpus, memoryGb);
         return this;
     }
 
-    public JobSpecs image(String name) {
+    public JobSpecBuilder image(String name) {
         this.image = name;
         return this;
     }
 
-    public JobSpecs oneZone(boolean on) {
+    public JobSpecBuilder oneZone(boolean on) {
         this.oneZone = on;
         return this;
     }
 
-    public JobSpecs spread(boolean on) {
+    public JobSpecBuilder spread(boolean on) {
         this.spread = on;
         return this;
     }
 
-    public JobSpecs spot(boolean on) {
+    public JobSpecBuilder spot(boolean on) {
         this.spot = on;
         return this;
     }
 
-    public JobSpecs deadlineS(double seconds) {
+    public JobSpecBuilder deadlineS(double seconds) {
         this.deadlineS = seconds;
         return this;
     }
 
     /** Builds the spec. */
-    public JobSpec spec() {
+    public JobSpec build() {
         return new JobSpec(
                 id,
                 "w",
--- a/src/test/java/io/quartzgw/simulation/LoopbackCluster.java
+++ b/src/test/java/io/quartzgw/simulation/LoopbackCluster.java
@@ -41,7 +41,7 @@
     private static final int FIRST_EPHEMERAL_PORT = 32_768;
 
     private static final long HEARTBEAT_INTERVAL_MS = 1_000;
-    private static final long LEASE_MS = 8_000;
+    private static final long AGENT_LEASE_MS = 8_000;
 
     private final SimulatedStore store = new SimulatedStore();
     private final SimulatedCloud cloud = new SimulatedCloud(200, 300, 4, this::addressOf);
@@ -158,16 +158,24 @@
 
     private void boot(String id, String type, String zone, boolean spot) {
         SimulatedAgent agent = new SimulatedAgent(
-                id, addressOf(id), type, zone, spot, LEASE_MS, now(), this::describe, new SimulatedAgent.Watcher() {});
+                id,
+                addressOf(id),
+                type,
+                zone,
+                spot,
+                AGENT_LEASE_MS,
+                now(),
+                this::taskProfile,
+                new SimulatedAgent.TaskListener() {});
         agents.put(id, agent);
         executor.execute(() -> sendHeartbeats(agent));
     }
 
-    private SimulatedAgent.Description describe(String job) {
+    private SimulatedAgent.TaskProfile taskProfile(String job) {
         JsonNode spec = jobs.get(job);
         return spec == null
                 ? null
-                : new SimulatedAgent.Description(
+                : new SimulatedAgent.TaskProfile(
                         spec.path("cpus").asDouble(),
                         spec.path("runtime_guess_s").asDouble(),
                         0,
@@ -196,12 +204,12 @@
             synchronized (this) {
                 agent.receiveHeartbeatResponse(reply, epoch, sentAt, now());
             }
-            pause(HEARTBEAT_INTERVAL_MS);
+            sleep(HEARTBEAT_INTERVAL_MS);
         }
     }
 
     /** Sleeps for a duration of real time. */
-    public static void pause(long ms) {
+    public static void sleep(long ms) {
         try {
             Thread.sleep(ms);
         } catch (InterruptedException e) {
@@ -215,16 +223,16 @@
      * Sends a request without a body to a controller's client listener; returns a lost reply if none arrives in time.
      */
     public Reply request(int controller, String method, String path) {
-        return raw(controller, method, path, HttpRequest.BodyPublishers.noBody());
+        return requestWithRawBody(controller, method, path, HttpRequest.BodyPublishers.noBody());
     }
 
     /** Sends a request with a JSON body to a controller's client listener. */
     public Reply request(int controller, String method, String path, JsonNode body) {
-        return raw(controller, method, path, HttpRequest.BodyPublishers.ofByteArray(Json.write(body)));
+        return requestWithRawBody(controller, method, path, HttpRequest.BodyPublishers.ofByteArray(Json.write(body)));
     }
 
     /** Sends a request with an arbitrary body to a controller's client listener. */
-    public Reply raw(int controller, String method, String path, HttpRequest.BodyPublisher body) {
+    public Reply requestWithRawBody(int controller, String method, String path, HttpRequest.BodyPublisher body) {
         return send(clientPorts[controller], method, path, body);
     }
 
@@ -234,12 +242,12 @@
     }
 
     /** Begins or ends an outage of the state service. */
-    public synchronized void storeOutage(boolean on) {
+    public synchronized void setStoreOutage(boolean on) {
         store.setOutage(on);
     }
 
     /** Sends a GET request to a controller's peer listener, which also serves operators. */
-    public Reply peer(int controller, String path) {
+    public Reply getFromPeerListener(int controller, String path) {
         return send(peerPorts[controller], "GET", path, HttpRequest.BodyPublishers.noBody());
     }
 
@@ -252,10 +260,10 @@
             HttpResponse<byte[]> response = http.send(request, HttpResponse.BodyHandlers.ofByteArray());
             return new Reply(response.statusCode(), response.body());
         } catch (IOException e) {
-            return Reply.lost();
+            return Reply.unanswered();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            return Reply.lost();
+            return Reply.unanswered();
         }
     }
 
@@ -268,7 +276,7 @@
     // ---- settings
 
     /** Writes the settings file of a controller and returns its path. */
-    public Path settings(int controller, Path directory) throws IOException {
+    public Path writeSettings(int controller, Path directory) throws IOException {
         StringBuilder toml = new StringBuilder();
         toml.append("member = \"rig-")
                 .append(controller)
--- a/src/test/java/io/quartzgw/simulation/LossyLink.java
+++ b/src/test/java/io/quartzgw/simulation/LossyLink.java
@@ -1,9 +1,9 @@
 package io.quartzgw.simulation;
 
 import io.quartzgw.eventloop.ClockReading;
-import io.quartzgw.eventloop.Command;
 import io.quartzgw.eventloop.Effect;
 import io.quartzgw.eventloop.EventLoop;
+import io.quartzgw.eventloop.LoopEvent;
 import io.quartzgw.http.Call;
 import io.quartzgw.http.Reply;
 import java.util.ArrayList;
@@ -12,7 +12,7 @@
 
 /**
  * Transmits an event loop's requests to the simulated state service. In lossy mode a transaction may be lost, to be
- * applied later by {@link #applyOneLate}, or its response may be lost.
+ * applied later by {@link #applyLostTransaction}, or its response may be lost.
  */
 public final class LossyLink {
     private final EventLoop eventLoop;
@@ -30,11 +30,11 @@
     }
 
     /** Advances the clock, and transmits requests until the event loop sends no more. */
-    public void pass(long ms, boolean lossy) {
+    public void advance(long ms, boolean lossy) {
         now += ms;
         List<Effect> effects = eventLoop.processBatch(List.of(), new ClockReading(now, now));
         while (!effects.isEmpty()) {
-            List<Command> endedCalls = new ArrayList<>();
+            List<LoopEvent> endedCalls = new ArrayList<>();
             for (Effect effect : effects) {
                 if (effect instanceof Effect.Send send) {
                     transmit(send, lossy, endedCalls);
@@ -45,22 +45,22 @@
         }
     }
 
-    private void transmit(Effect.Send send, boolean lossy, List<Command> endedCalls) {
+    private void transmit(Effect.Send send, boolean lossy, List<LoopEvent> endedCalls) {
         int fault = lossy && send.request().path().equals("/multi") ? random.nextInt(4) : 0;
         if (fault == 1) {
             lostTransactions.add(send.request());
-            endedCalls.add(new Command.CallEnded(send.call(), Reply.lost()));
+            endedCalls.add(new LoopEvent.CallEnded(send.call(), Reply.unanswered()));
             return;
         }
         // A watch gets its response after a change; one that comes after this batch is ignored.
         store.handle(
                 send.request(),
                 now,
-                reply -> endedCalls.add(new Command.CallEnded(send.call(), fault == 2 ? Reply.lost() : reply)));
+                reply -> endedCalls.add(new LoopEvent.CallEnded(send.call(), fault == 2 ? Reply.unanswered() : reply)));
     }
 
     /** Applies one of the lost transactions, if there is any. */
-    public void applyOneLate() {
+    public void applyLostTransaction() {
         if (!lostTransactions.isEmpty()) {
             store.handle(lostTransactions.remove(random.nextInt(lostTransactions.size())), now, reply -> {});
         }
--- a/src/test/java/io/quartzgw/simulation/ProtocolInvariants.java
+++ b/src/test/java/io/quartzgw/simulation/ProtocolInvariants.java
@@ -19,7 +19,7 @@
  * {@link LeaderActionChecks} asks the sender of a start whether it has recorded the job's cancellation. Each violation
  * is recorded with its time and the name of the invariant.
  */
-public final class ProtocolInvariants implements SimulatedAgent.Watcher {
+public final class ProtocolInvariants implements SimulatedAgent.TaskListener {
     /** After the faults have ended, each accepted job must have a successful request within this time. */
     private static final long RESPONSE_LIMIT_MS = 75_000;
     /**
@@ -41,7 +41,7 @@
     private final Set<String> cancellationRequested = new HashSet<>();
     private final Map<String, Long> waitingSince = new HashMap<>();
     private int startsAfterCancellation;
-    private Consumer<String> onLastTaskEnded = job -> {};
+    private Consumer<String> onLastTaskCompleted = job -> {};
     private long faultsEndedAt = Long.MAX_VALUE;
 
     /**
@@ -93,17 +93,17 @@
     }
 
     /** The first terminal state of a job that a user received; empty while users have received none. */
-    public Optional<String> finalPhase(String job) {
+    public Optional<String> terminalState(String job) {
         return Optional.ofNullable(acceptedJobs.get(job)).flatMap(JobRecord::terminalState);
     }
 
     /** Whether the first terminal state that a user received for a job is {@code phase}. */
     public boolean hasEndedIn(String phase, String job) {
-        return finalPhase(job).filter(phase::equals).isPresent();
+        return terminalState(job).filter(phase::equals).isPresent();
     }
 
     private boolean hasEnded(String job) {
-        return finalPhase(job).isPresent();
+        return terminalState(job).isPresent();
     }
 
     /** The replicas that are not running, of accepted services that users have not seen ended. */
@@ -123,8 +123,8 @@
     }
 
     /** Sets the action that is called with the ID of a job when its last task has completed. */
-    void onLastTaskEnded(Consumer<String> action) {
-        this.onLastTaskEnded = action;
+    void onLastTaskCompleted(Consumer<String> action) {
+        this.onLastTaskCompleted = action;
     }
 
     private void recordViolation(String invariant, String details) {
@@ -214,7 +214,7 @@
         boolean isFirst =
                 completedTasks.computeIfAbsent(job, id -> new HashSet<>()).add(index);
         if (isFirst && completedCount(job) == placement.taskCount(job)) {
-            onLastTaskEnded.accept(job);
+            onLastTaskCompleted.accept(job);
         }
     }
 
@@ -263,7 +263,7 @@
      */
     void recordResponse(String job, Reply reply, long sentAt, long now) {
         JobRecord earlier = acceptedJobs.get(job);
-        if (reply.status() == 404 && earlier != null && sentAt > earlier.acceptedAt()) {
+        if (reply.status() == 404 && earlier != null && sentAt > earlier.acceptedAtMs()) {
             recordViolation("forgotten", job + " receives status 404");
         }
         if (!reply.ok() && reply.status() != CREATED) {
@@ -301,7 +301,7 @@
     // ---- deadlines
 
     /** Marks the end of all faults. From now on, requests for each accepted job must succeed within a time limit. */
-    public void faultsOver(long now) {
+    public void endFaults(long now) {
         faultsEndedAt = now;
     }
 
--- a/src/test/java/io/quartzgw/simulation/SimulatedAgent.java
+++ b/src/test/java/io/quartzgw/simulation/SimulatedAgent.java
@@ -30,11 +30,11 @@
      * @param service whether tasks run until they are stopped
      * @param faulty whether tasks end with an error
      */
-    public record Description(
+    public record TaskProfile(
             double cpus, double runS, double runIncrementS, double imagePullS, boolean service, boolean faulty) {}
 
     /** Receives the starts and ends of tasks on a machine. */
-    public interface Watcher {
+    public interface TaskListener {
         /** A start command is executed, whether or not the task then runs, and however briefly. */
         default void startExecuted(SimulatedAgent on, String task) {}
 
@@ -54,8 +54,8 @@
     public final String zone;
     public final boolean spot;
     private final long leaseMs;
-    private final Function<String, Description> jobs;
-    private final Watcher watcher;
+    private final Function<String, TaskProfile> jobs;
+    private final TaskListener taskListener;
     private final Map<String, AgentTask> tasks = new LinkedHashMap<>();
     private long epoch = 1;
     private long heartbeatCount;
@@ -67,7 +67,7 @@
     /**
      * Creates the agent of a machine, in its first epoch.
      *
-     * @param jobs maps a job ID to the description of how its tasks run; returns null for a job that was not submitted
+     * @param jobs maps a job ID to the profile of its tasks; returns null for a job that was not submitted
      */
     public SimulatedAgent(
             String id,
@@ -77,8 +77,8 @@
             boolean spot,
             long leaseMs,
             long now,
-            Function<String, Description> jobs,
-            Watcher watcher) {
+            Function<String, TaskProfile> jobs,
+            TaskListener taskListener) {
         this.id = id;
         this.address = address;
         this.type = type;
@@ -87,7 +87,7 @@
         this.leaseMs = leaseMs;
         this.leaseRenewedAt = now;
         this.jobs = jobs;
-        this.watcher = watcher;
+        this.taskListener = taskListener;
     }
 
     /**
@@ -96,7 +96,7 @@
      * @param epochKept whether its epoch is the next after the present one, instead of the first
      */
     SimulatedAgent replacement(long now, boolean epochKept) {
-        SimulatedAgent rebooted = new SimulatedAgent(id, address, type, zone, spot, leaseMs, now, jobs, watcher);
+        SimulatedAgent rebooted = new SimulatedAgent(id, address, type, zone, spot, leaseMs, now, jobs, taskListener);
         rebooted.epoch = epochKept ? epoch + 1 : 1;
         return rebooted;
     }
@@ -159,7 +159,7 @@
             }
             if (task.exitCause.isEmpty() && task.running && !task.job.service() && now >= task.endsAt) {
                 if (!task.job.faulty()) {
-                    watcher.completed(task.name);
+                    taskListener.completed(task.name);
                 }
                 endTask(task, task.job.faulty() ? "error" : "done");
             }
@@ -179,18 +179,18 @@
     private void startTask(AgentTask task) {
         task.running = true;
         changed = true;
-        watcher.started(this, task.name);
+        taskListener.started(this, task.name);
     }
 
     private void dropTasks() {
-        tasks.values().stream().filter(task -> task.running).forEach(task -> watcher.ended(this, task.name));
+        tasks.values().stream().filter(task -> task.running).forEach(task -> taskListener.ended(this, task.name));
         tasks.clear();
     }
 
     private void endTask(AgentTask task, String cause) {
         if (task.running) {
             task.running = false;
-            watcher.ended(this, task.name);
+            taskListener.ended(this, task.name);
         }
         task.exitCause = Optional.of(cause);
         changed = true;
@@ -278,8 +278,8 @@
     }
 
     private void executeStart(String name, long attempt, long now) {
-        watcher.startExecuted(this, name);
-        Description job = jobs.apply(name.substring(0, name.indexOf('/')));
+        taskListener.startExecuted(this, name);
+        TaskProfile job = jobs.apply(name.substring(0, name.indexOf('/')));
         AgentTask task = new AgentTask(name, attempt, job);
         boolean hasOtherAttempt = tasks.values().stream().anyMatch(other -> other.name.equals(name));
         if (job == null) {
--- a/src/test/java/io/quartzgw/simulation/SimulatedAgents.java
+++ b/src/test/java/io/quartzgw/simulation/SimulatedAgents.java
@@ -42,9 +42,9 @@
      *
      * @param stepMs the interval at which an agent advances its tasks
      * @param jobs the submitted jobs, which describe how tasks run
-     * @param watcher receives the starts and ends of tasks
+     * @param taskListener receives the starts and ends of tasks
      */
-    record AgentSetup(long stepMs, SubmittedJobs jobs, SimulatedAgent.Watcher watcher) {}
+    record AgentSetup(long stepMs, SubmittedJobs jobs, SimulatedAgent.TaskListener taskListener) {}
 
     /** A machine that is up, with its agent and the agent's connection to the controllers. */
     private static final class Host {
@@ -87,13 +87,13 @@
                 spot,
                 context.timing().leaseMs(),
                 events.now(),
-                job -> setup.jobs.description(job).orElse(null),
-                setup.watcher);
+                job -> setup.jobs.taskProfile(job).orElse(null),
+                setup.taskListener);
         addHost(agent);
     }
 
     private void addHost(SimulatedAgent agent) {
-        Host host = new Host(agent, controllers.anyIndex());
+        Host host = new Host(agent, controllers.randomIndex());
         hosts.put(agent.id, host);
         advanceHost(host);
     }
@@ -148,7 +148,7 @@
     }
 
     /** The IDs of the machines with at least the given number of free CPUs. */
-    public List<String> machinesWithRoom(double cpus) {
+    public List<String> machinesWithFreeCpus(double cpus) {
         return all().stream()
                 .filter(agent -> agent.freeCpus() >= cpus)
                 .map(agent -> agent.id)
@@ -217,7 +217,7 @@
                 host.agent.heartbeat(sentAt),
                 HEARTBEAT_TIMEOUT_MS);
         SingleReply firstReply = new SingleReply(reply -> receiveResponse(host, reply, epoch, sentAt));
-        events.scheduleAfter(HEARTBEAT_TIMEOUT_MS, () -> firstReply.accept(Reply.lost()));
+        events.scheduleAfter(HEARTBEAT_TIMEOUT_MS, () -> firstReply.accept(Reply.unanswered()));
         transmit(host.agent.id, host.targetController, call, firstReply);
     }
 
@@ -234,7 +234,7 @@
             }
         });
         if (blocked || (!partitioned && !controllers.isUp(target))) {
-            events.scheduleAfter(1, () -> firstReply.accept(Reply.lost()));
+            events.scheduleAfter(1, () -> firstReply.accept(Reply.unanswered()));
         } else if (partitioned) {
             network.delayUntilHealed(id, NetworkPartitions.ANY_CONTROLLER, arrival);
         } else {
--- a/src/test/java/io/quartzgw/simulation/SimulatedController.java
+++ b/src/test/java/io/quartzgw/simulation/SimulatedController.java
@@ -2,9 +2,9 @@
 
 import io.quartzgw.app.Controller;
 import io.quartzgw.app.Settings;
-import io.quartzgw.eventloop.Command;
 import io.quartzgw.eventloop.Effect;
 import io.quartzgw.eventloop.EventLoop;
+import io.quartzgw.eventloop.LoopEvent;
 import io.quartzgw.http.Call;
 import io.quartzgw.http.Json;
 import io.quartzgw.http.ListenerKind;
@@ -32,13 +32,13 @@
     private final SentMessagesDigest messagesDigest;
     private final LeaderActionChecks leaderActionChecks;
     private final Map<Long, Consumer<Response>> unansweredRequests = new HashMap<>();
-    private final List<Command> receivedWhilePaused = new ArrayList<>();
+    private final List<LoopEvent> receivedWhilePaused = new ArrayList<>();
     /** The effects of the batch in which the process was paused; they are executed when it resumes. */
     private final List<Effect> unsentEffects = new ArrayList<>();
     /** The deadlines of calls that have not ended, by call number. */
     private final Map<Long, Long> callDeadlines = new HashMap<>();
 
-    private final List<Command> pendingBatch = new ArrayList<>();
+    private final List<LoopEvent> pendingBatch = new ArrayList<>();
     private Optional<Controller> controller = Optional.empty();
     private ConfirmedLease lease = new ConfirmedLease();
     private EventLoop eventLoop;
@@ -134,12 +134,12 @@
         List<Effect> unsent = List.copyOf(unsentEffects);
         unsentEffects.clear();
         unsent.forEach(this::execute);
-        List<Command> endedCalls = receivedWhilePaused.stream()
-                .filter(Command.CallEnded.class::isInstance)
-                .map(ended -> withTimeoutApplied((Command.CallEnded) ended))
+        List<LoopEvent> endedCalls = receivedWhilePaused.stream()
+                .filter(LoopEvent.CallEnded.class::isInstance)
+                .map(ended -> withTimeoutApplied((LoopEvent.CallEnded) ended))
                 .toList();
-        List<Command> requests = receivedWhilePaused.stream()
-                .filter(Command.Arrived.class::isInstance)
+        List<LoopEvent> requests = receivedWhilePaused.stream()
+                .filter(LoopEvent.RequestReceived.class::isInstance)
                 .toList();
         receivedWhilePaused.clear();
         process(endedCalls);
@@ -147,10 +147,10 @@
     }
 
     /** Replaces the reply of a call that timed out while the process was paused by a lost one. */
-    private Command withTimeoutApplied(Command.CallEnded ended) {
+    private LoopEvent withTimeoutApplied(LoopEvent.CallEnded ended) {
         boolean timedOut = callDeadlines.getOrDefault(ended.call(), Long.MAX_VALUE)
                 <= context.events().now();
-        return timedOut ? new Command.CallEnded(ended.call(), Reply.lost()) : ended;
+        return timedOut ? new LoopEvent.CallEnded(ended.call(), Reply.unanswered()) : ended;
     }
 
     /** Sets the bound of the time for which commands are collected into a batch; with 0 each is processed at once. */
@@ -172,8 +172,8 @@
     }
 
     /** The number of event loop commands that failed in the running process. */
-    long failedCommands() {
-        return eventLoop.failures();
+    long failedEvents() {
+        return eventLoop.failedEvents();
     }
 
     /** The counters of the running process, by name. */
@@ -189,10 +189,10 @@
         long id = ++requestCount;
         unansweredRequests.put(id, response -> onReply.accept(new Reply(response.status(), response.body())));
         byte[] body = call.body() == null ? new byte[0] : call.body();
-        receive(new Command.Arrived(new Request(id, listener, call.method(), call.path(), "", body)));
+        receive(new LoopEvent.RequestReceived(new Request(id, listener, call.method(), call.path(), "", body)));
     }
 
-    private void receive(Command command) {
+    private void receive(LoopEvent command) {
         if (maxBatchDelayMs == 0) {
             process(List.of(command));
             return;
@@ -200,14 +200,14 @@
         pendingBatch.add(command);
         if (pendingBatch.size() == 1) {
             scheduleForThisProcess(context.random().nextLong(maxBatchDelayMs), () -> {
-                List<Command> batch = List.copyOf(pendingBatch);
+                List<LoopEvent> batch = List.copyOf(pendingBatch);
                 pendingBatch.clear();
                 process(batch);
             });
         }
     }
 
-    private void process(List<Command> batch) {
+    private void process(List<LoopEvent> batch) {
         if (paused) {
             receivedWhilePaused.addAll(batch);
             return;
@@ -226,8 +226,8 @@
         scheduleWakeUp();
     }
 
-    private void removeCallDeadline(Command command) {
-        if (command instanceof Command.CallEnded ended) {
+    private void removeCallDeadline(LoopEvent command) {
+        if (command instanceof LoopEvent.CallEnded ended) {
             callDeadlines.remove(ended.call());
         }
     }
@@ -256,7 +256,7 @@
             execute(new Effect.Answer(
                     answer.exchange(), Response.unavailable("late", RETRY_AFTER_S), Effect.ALWAYS_VALID));
         } else if (effect instanceof Effect.Send send) {
-            receive(new Command.CallEnded(send.call(), Reply.unsent()));
+            receive(new LoopEvent.CallEnded(send.call(), Reply.unsent()));
         }
     }
 
@@ -268,7 +268,7 @@
         network.send(name, send.request(), reply -> {
             if (incarnation == senderIncarnation && isUp()) {
                 lease.recordReply(send.request(), sentAt, reply);
-                receive(new Command.CallEnded(send.call(), reply));
+                receive(new LoopEvent.CallEnded(send.call(), reply));
             }
         });
     }
--- a/src/test/java/io/quartzgw/simulation/SimulatedControllers.java
+++ b/src/test/java/io/quartzgw/simulation/SimulatedControllers.java
@@ -37,7 +37,7 @@
     }
 
     /** The index of a controller, drawn at random. */
-    int anyIndex() {
+    int randomIndex() {
         return context.random().nextInt(controllers.size());
     }
 
@@ -97,10 +97,10 @@
         controllers.get(index).deliver(listener, call, onReply);
     }
 
-    long failedCommands() {
+    long failedEvents() {
         return controllers.stream()
                 .filter(SimulatedController::isUp)
-                .mapToLong(SimulatedController::failedCommands)
+                .mapToLong(SimulatedController::failedEvents)
                 .sum();
     }
 
--- a/src/test/java/io/quartzgw/simulation/SimulatedNetwork.java
+++ b/src/test/java/io/quartzgw/simulation/SimulatedNetwork.java
@@ -116,7 +116,7 @@
     }
 
     /** Delays a share of the direct calls by up to the given time, which may be minutes. */
-    public void holdUpCommandShare(double share, long maxMs) {
+    public void delayCommandShareUpTo(double share, long maxMs) {
         commandDelays.setLongDelays(share, maxMs);
     }
 
@@ -144,23 +144,23 @@
         }
     }
 
-    /** Delays direct calls to a machine until {@link #deliverHeldCommands}; heartbeats and their responses pass. */
-    public void holdCommands(String machine) {
+    /** Delays direct calls to a machine until {@link #deliverDelayedCommands}; heartbeats and their responses pass. */
+    public void delayCommandsTo(String machine) {
         delayedCalls.putIfAbsent(machine, new ArrayList<>());
     }
 
     /** Whether direct calls to a machine are delayed. */
-    public boolean holdsCommands(String machine) {
+    public boolean isDelayingCommandsTo(String machine) {
         return delayedCalls.containsKey(machine);
     }
 
     /** Delivers the delayed direct calls to a machine in the order sent, and delays none from now on. */
-    public void deliverHeldCommands(String machine) {
+    public void deliverDelayedCommands(String machine) {
         delayedCalls.remove(machine).forEach(delayed -> delayed.arrival.run());
     }
 
     /** The tasks of a job whose start command is in a delayed direct call, by the machine that the call is sent to. */
-    public Map<String, Set<String>> heldStarts(String job) {
+    public Map<String, Set<String>> delayedStarts(String job) {
         Map<String, Set<String>> starts = new TreeMap<>();
         delayedCalls.forEach((machine, calls) -> {
             Set<String> tasks = new TreeSet<>();
@@ -191,7 +191,7 @@
     void send(String from, Call call, Consumer<Reply> onReply) {
         String to = Hosts.nameOf(call.endpoint());
         SingleReply firstReply = new SingleReply(onReply);
-        events.scheduleAfter(call.timeoutMs(), () -> firstReply.accept(Reply.lost()));
+        events.scheduleAfter(call.timeoutMs(), () -> firstReply.accept(Reply.unanswered()));
         Transit transit = drawTransit(to, call);
         if (Hosts.isController(to)) {
             maybeDuplicate(() -> handler.handle(from, to, call, reply -> {}));
--- a/src/test/java/io/quartzgw/simulation/SimulatedUsers.java
+++ b/src/test/java/io/quartzgw/simulation/SimulatedUsers.java
@@ -48,7 +48,7 @@
         this.controllers = controllers;
         this.jobs = jobs;
         this.invariants = invariants;
-        invariants.onLastTaskEnded(this::maybeCancelAtEnd);
+        invariants.onLastTaskCompleted(this::maybeCancelAtEnd);
     }
 
     // ---- single requests
@@ -65,7 +65,7 @@
 
     private void send(int controller, String method, Call call, Consumer<Reply> onReply) {
         SingleReply firstReply = new SingleReply(onReply);
-        events.scheduleAfter(TIMEOUT_MS, () -> firstReply.accept(Reply.lost()));
+        events.scheduleAfter(TIMEOUT_MS, () -> firstReply.accept(Reply.unanswered()));
         Call request = new Call(call.endpoint(), method, call.path(), call.type(), call.body(), TIMEOUT_MS);
         events.scheduleAfter(
                 1,
@@ -145,7 +145,7 @@
 
     private void retrySubmission(String job, JsonNode spec) {
         network.maybeDuplicate(() -> repeatSubmission(job, spec));
-        postForJob(controllers.anyIndex(), job, JOBS_PATH, spec, reply -> {
+        postForJob(controllers.randomIndex(), job, JOBS_PATH, spec, reply -> {
             if (isSuccess(reply)) {
                 queryRepeatedly(job);
             } else {
@@ -157,20 +157,24 @@
 
     private void repeatSubmission(String job, JsonNode spec) {
         postForJob(
-                controllers.anyIndex(), job, JOBS_PATH, spec, reply -> invariants.recordRejection(job, reply.status()));
+                controllers.randomIndex(),
+                job,
+                JOBS_PATH,
+                spec,
+                reply -> invariants.recordRejection(job, reply.status()));
     }
 
     private void queryRepeatedly(String job) {
         events.scheduleAfter(
                 MIN_QUERY_DELAY_MS + random.nextInt(QUERY_DELAY_SPREAD_MS),
-                () -> queryJob(controllers.anyIndex(), job, reply -> queryRepeatedly(job)));
+                () -> queryJob(controllers.randomIndex(), job, reply -> queryRepeatedly(job)));
     }
 
     private void retryCancellation(String job) {
         invariants.recordCancellationRequest(job);
         network.maybeDuplicate(
-                () -> postForJob(controllers.anyIndex(), job, cancelPath(job), Json.object(), reply -> {}));
-        postForJob(controllers.anyIndex(), job, cancelPath(job), Json.object(), reply -> {
+                () -> postForJob(controllers.randomIndex(), job, cancelPath(job), Json.object(), reply -> {}));
+        postForJob(controllers.randomIndex(), job, cancelPath(job), Json.object(), reply -> {
             if (!reply.ok()) {
                 events.scheduleAfter(RETRY_DELAY_MS, () -> retryCancellation(job));
             }
@@ -211,13 +215,13 @@
         String unknown = "j-9" + events.now();
         InvalidJobs.of(unknown)
                 .forEach(spec -> sendRequest(
-                        controllers.anyIndex(),
+                        controllers.randomIndex(),
                         "POST",
                         JOBS_PATH,
                         spec,
                         reply -> invariants.recordResponseToInvalidJob(spec.toString(), reply.status())));
         Consumer<Reply> onReply = reply -> invariants.recordResponseForUnknownJob(unknown, reply.status());
-        sendRequest(controllers.anyIndex(), "GET", jobPath(unknown), onReply);
-        sendRequest(controllers.anyIndex(), "POST", cancelPath(unknown), Json.object(), onReply);
+        sendRequest(controllers.randomIndex(), "GET", jobPath(unknown), onReply);
+        sendRequest(controllers.randomIndex(), "POST", cancelPath(unknown), Json.object(), onReply);
     }
 }
--- a/src/test/java/io/quartzgw/simulation/SimulationSettings.java
+++ b/src/test/java/io/quartzgw/simulation/SimulationSettings.java
@@ -44,7 +44,7 @@
                 Map.of("red", teamQuota("red", 0), "blue", teamQuota("blue", 0), "green", teamQuota("green", 8)),
                 List.of(),
                 timing,
-                timing.cancelMs() / 1000.0,
+                timing.cancelLimitMs() / 1000.0,
                 storeLimits,
                 new CloudLimits(4, 5_000),
                 1000);
--- a/src/test/java/io/quartzgw/simulation/SubmittedJobs.java
+++ b/src/test/java/io/quartzgw/simulation/SubmittedJobs.java
@@ -25,9 +25,9 @@
     }
 
     /** How the tasks of a job run; empty when the job was not submitted. */
-    Optional<SimulatedAgent.Description> description(String job) {
+    Optional<SimulatedAgent.TaskProfile> taskProfile(String job) {
         return find(job)
-                .map(spec -> new SimulatedAgent.Description(
+                .map(spec -> new SimulatedAgent.TaskProfile(
                         spec.path("cpus").asDouble(),
                         spec.path("runtime_guess_s").asDouble(),
                         spec.path("each_longer_s").asDouble(),
--- a/src/test/java/io/quartzgw/startlog/StartLogFixture.java
+++ b/src/test/java/io/quartzgw/startlog/StartLogFixture.java
@@ -1,9 +1,9 @@
 package io.quartzgw.startlog;
 
 import io.quartzgw.eventloop.ClockReading;
-import io.quartzgw.eventloop.Command;
 import io.quartzgw.eventloop.Effect;
 import io.quartzgw.eventloop.EventLoop;
+import io.quartzgw.eventloop.LoopEvent;
 import io.quartzgw.http.Call;
 import io.quartzgw.http.Endpoint;
 import io.quartzgw.http.Reply;
@@ -52,7 +52,7 @@
         private final StoreClient store;
         private final Leadership leadership;
         private StartLog log;
-        private FormerStarts loadedStarts;
+        private LoadedStarts loadedStarts;
 
         Leader(StoreLimits limits) {
             store = new StoreClient(eventLoop, STATE_SERVICE, limits);
@@ -69,7 +69,7 @@
     }
 
     /** Kills the leader's process, elects a new leader and returns the starts that it loads from the log. */
-    FormerStarts replaceLeader() {
+    LoadedStarts replaceLeader() {
         nowMs += AFTER_LEASE_EXPIRY_MS;
         stateService.advanceTo(nowMs);
         leader = new Leader(limits);
@@ -122,7 +122,7 @@
 
     /** Runs an action as part of an event loop batch and delivers the requests that it sends. */
     void runInBatch(Runnable action) {
-        leader.eventLoop.afterCommands(action);
+        leader.eventLoop.afterEvents(action);
         processEffects(leader.eventLoop.processBatch(List.of(), clockReading()));
     }
 
@@ -133,10 +133,10 @@
     private void processEffects(List<Effect> initial) {
         List<Effect> effects = initial;
         while (!effects.isEmpty()) {
-            List<Command> replies = new ArrayList<>();
+            List<LoopEvent> replies = new ArrayList<>();
             for (Effect effect : effects) {
                 Effect.Send send = (Effect.Send) effect;
-                handleCall(send.request(), reply -> replies.add(new Command.CallEnded(send.call(), reply)));
+                handleCall(send.request(), reply -> replies.add(new LoopEvent.CallEnded(send.call(), reply)));
             }
             effects = replies.isEmpty() ? List.of() : leader.eventLoop.processBatch(replies, clockReading());
         }
@@ -147,14 +147,14 @@
         transactionCount += call.path().equals("/multi") ? 1 : 0;
         switch (delivery) {
             case ANSWERED -> stateService.handle(call, nowMs, onReply);
-            case LOST -> onReply.accept(Reply.lost());
+            case LOST -> onReply.accept(Reply.unanswered());
             case ANSWER_LOST -> {
                 stateService.handle(call, nowMs, reply -> {});
-                onReply.accept(Reply.lost());
+                onReply.accept(Reply.unanswered());
             }
             default -> {
                 delayedCalls.add(call);
-                onReply.accept(Reply.lost());
+                onReply.accept(Reply.unanswered());
             }
         }
     }
--- a/src/test/java/io/quartzgw/startlog/StartLogTest.java
+++ b/src/test/java/io/quartzgw/startlog/StartLogTest.java
@@ -43,16 +43,16 @@
         fixture.log().onStored(machinesWithStoredStarts::add);
     }
 
-    private void announce(Attempt... starts) {
-        fixture.runInBatch(() -> fixture.log().announce(MACHINE, new LinkedHashSet<>(List.of(starts))));
+    private void setStarts(Attempt... starts) {
+        fixture.runInBatch(() -> fixture.log().setStarts(MACHINE, new LinkedHashSet<>(List.of(starts))));
     }
 
     private boolean isStored(Attempt start) {
         return fixture.log().isStored(MACHINE, start);
     }
 
-    private static Set<Attempt> startsOf(String machine, FormerStarts formerStarts) {
-        return formerStarts.machines().stream()
+    private static Set<Attempt> startsOf(String machine, LoadedStarts loadedStarts) {
+        return loadedStarts.machines().stream()
                 .filter(starts -> starts.machine().equals(machine))
                 .findFirst()
                 .map(MachineStarts::starts)
@@ -68,7 +68,7 @@
     @Test
     void startIsStoredOnlyAfterWriteIsAcknowledged() {
         fixture.setDeliveryPolicy(call -> writesLog(call) ? Delivery.ANSWER_LOST : Delivery.ANSWERED);
-        announce(START);
+        setStarts(START);
         assertFalse(isStored(START), "the response was lost");
         assertEquals(List.of(), machinesWithStoredStarts);
         fixture.setDeliveryPolicy(call -> Delivery.ANSWERED);
@@ -80,7 +80,7 @@
 
     @Test
     void unannouncedStartIsNotStored() {
-        announce(START);
+        setStarts(START);
         assertTrue(isStored(START));
         assertFalse(isStored(OTHER_START));
         assertFalse(fixture.log().isStored("i-2", START));
@@ -90,7 +90,7 @@
     void writesAllWaitingStartsInOneTransaction() {
         int countBefore = fixture.transactionCount();
         fixture.runInBatch(() -> IntStream.range(0, 100)
-                .forEach(i -> fixture.log().announce("i-" + i, Set.of(new Attempt("j-000002", i, 9)))));
+                .forEach(i -> fixture.log().setStarts("i-" + i, Set.of(new Attempt("j-000002", i, 9)))));
         assertTrue(fixture.log().isStored("i-99", new Attempt("j-000002", 99, 9)));
         assertEquals(countBefore + 1, fixture.transactionCount());
     }
@@ -98,8 +98,8 @@
     // Dropped starts must be removed eventually, so that neither the pages nor later leaders keep them.
     @Test
     void removesDroppedStartWithoutFurtherStarts() {
-        announce(START, OTHER_START);
-        announce(OTHER_START);
+        setStarts(START, OTHER_START);
+        setStarts(OTHER_START);
         assertFalse(isStored(START));
         fixture.advance(SETTLE_MS);
         assertEquals(Set.of(OTHER_START), startsOf(MACHINE, fixture.replaceLeader()));
@@ -109,9 +109,9 @@
     @Test
     void reannouncedStartRequiresNewWrite() {
         fixture.setDeliveryPolicy(call -> writesLog(call) ? Delivery.LATE : Delivery.ANSWERED);
-        announce(START);
-        announce();
-        announce(START);
+        setStarts(START);
+        setStarts();
+        setStarts(START);
         fixture.applyDelayedTransactions();
         assertFalse(isStored(START));
         fixture.setDeliveryPolicy(call -> Delivery.ANSWERED);
@@ -123,10 +123,10 @@
     @Test
     void rejectsDelayedWriteOfDeposedLeader() {
         fixture.setDeliveryPolicy(call -> writesLog(call) ? Delivery.LATE : Delivery.ANSWERED);
-        announce(START);
+        setStarts(START);
         fixture.setDeliveryPolicy(call -> Delivery.ANSWERED);
         assertEquals(List.of(), fixture.replaceLeader().machines());
-        announce(OTHER_START);
+        setStarts(OTHER_START);
         fixture.applyDelayedTransactions();
         assertEquals(Set.of(OTHER_START), startsOf(MACHINE, fixture.replaceLeader()));
     }
@@ -135,10 +135,10 @@
     @Test
     void rejectsDelayedEarlierWriteOfSameLeader() {
         fixture.setDeliveryPolicy(call -> writesLog(call) ? Delivery.LATE : Delivery.ANSWERED);
-        announce(START);
+        setStarts(START);
         fixture.setDeliveryPolicy(call -> Delivery.ANSWERED);
         fixture.advance(SETTLE_MS);
-        announce(START, OTHER_START);
+        setStarts(START, OTHER_START);
         fixture.advance(SETTLE_MS);
         fixture.applyDelayedTransactions();
         assertEquals(Set.of(START, OTHER_START), startsOf(MACHINE, fixture.replaceLeader()));
@@ -147,7 +147,7 @@
     @Test
     void startsWaitAndAreCountedDuringStateServiceOutage() {
         fixture.stateService.setOutage(true);
-        announce(START);
+        setStarts(START);
         fixture.advance(1_000);
         fixture.runInBatch(() -> fixture.log().report());
         assertFalse(isStored(START));
@@ -168,7 +168,7 @@
         int countBefore = fixture.transactionCount();
         for (int i = 0; i < 100 * seconds; i++) {
             Attempt start = new Attempt("j-000001", i, i + 1);
-            fixture.runInBatch(() -> fixture.log().announce(MACHINE, Set.of(start)));
+            fixture.runInBatch(() -> fixture.log().setStarts(MACHINE, Set.of(start)));
             fixture.advance(10);
         }
         int writes = fixture.transactionCount() - countBefore;
@@ -182,7 +182,7 @@
         fixture = new StartLogFixture(TIGHT_LIMITS);
         fixture.replaceLeader();
         fixture.runInBatch(() -> IntStream.range(0, 400)
-                .forEach(i -> fixture.log().announce("i-" + i, Set.of(new Attempt("j-000412", i, (1L << 44) + i)))));
+                .forEach(i -> fixture.log().setStarts("i-" + i, Set.of(new Attempt("j-000412", i, (1L << 44) + i)))));
         fixture.advance(2 * SETTLE_MS);
         assertEquals(400, fixture.counter("startlog.starts"));
         assertEquals(400, fixture.replaceLeader().count());
@@ -192,12 +192,12 @@
     @Test
     void storesAtMostMaxStarts() {
         fixture.runInBatch(() -> IntStream.range(0, 30_000)
-                .forEach(i -> fixture.log().announce("i-" + i, Set.of(new Attempt("j-000412", i, i + 1)))));
+                .forEach(i -> fixture.log().setStarts("i-" + i, Set.of(new Attempt("j-000412", i, i + 1)))));
         fixture.advance(SETTLE_MS);
         assertEquals(20_000, fixture.counter("startlog.starts"));
         assertFalse(fixture.log().isStored("i-29999", new Attempt("j-000412", 29_999, 30_000)));
-        fixture.runInBatch(() -> fixture.log().announce("i-1", Set.of()));
-        fixture.runInBatch(() -> fixture.log().announce("i-29999", Set.of(new Attempt("j-000412", 29_999, 30_000))));
+        fixture.runInBatch(() -> fixture.log().setStarts("i-1", Set.of()));
+        fixture.runInBatch(() -> fixture.log().setStarts("i-29999", Set.of(new Attempt("j-000412", 29_999, 30_000))));
         fixture.advance(SETTLE_MS);
         assertTrue(fixture.log().isStored("i-29999", new Attempt("j-000412", 29_999, 30_000)));
     }
@@ -205,18 +205,18 @@
     // Guards against treating an unreadable page as empty: it may contain any start.
     @Test
     void reportsAndKeepsUnreadablePageUntilDropped() {
-        announce(START);
+        setStarts(START);
         JsonNode damaged = Json.object().put("j-000001/0", MACHINE);
         fixture.stateService.setValue(PAGE, damaged);
         assertEquals(1, fixture.replaceLeader().unreadablePages());
         assertEquals(1, fixture.counter("startlog.unreadable_pages"));
-        announce(OTHER_START);
+        setStarts(OTHER_START);
         fixture.advance(SETTLE_MS);
         assertEquals(damaged, fixture.stateService.value(PAGE), "the next leader still finds the damaged page");
-        FormerStarts loaded = fixture.replaceLeader();
+        LoadedStarts loaded = fixture.replaceLeader();
         assertEquals(1, loaded.unreadablePages());
         assertEquals(Set.of(OTHER_START), startsOf(MACHINE, loaded));
-        fixture.runInBatch(() -> fixture.log().dropUnreadablePages());
+        fixture.runInBatch(() -> fixture.log().resetUnreadablePages());
         fixture.advance(SETTLE_MS);
         assertEquals(0, fixture.replaceLeader().unreadablePages());
     }
@@ -225,7 +225,7 @@
     void reportsAndDropsNonPageKey() {
         fixture.stateService.setValue(StartLog.PREFIX + "x", Json.object());
         assertEquals(1, fixture.replaceLeader().unreadablePages());
-        fixture.runInBatch(() -> fixture.log().dropUnreadablePages());
+        fixture.runInBatch(() -> fixture.log().resetUnreadablePages());
         assertEquals(0, fixture.replaceLeader().unreadablePages());
     }
 
@@ -235,7 +235,7 @@
         fixture.setDeliveryPolicy(call ->
                 Json.readOrNull(call.body()).toString().contains("starts/insync") ? Delivery.LOST : Delivery.ANSWERED);
         fixture.replaceLeader();
-        announce(START);
+        setStarts(START);
         fixture.advance(SETTLE_MS);
         assertFalse(isStored(START));
         fixture.setDeliveryPolicy(call -> Delivery.ANSWERED);
@@ -263,7 +263,7 @@
             String machine = "i-" + random.nextInt(12);
             Set<Attempt> starts = randomStarts(random, step, announced.getOrDefault(machine, Set.of()));
             announced.put(machine, starts);
-            fixture.runInBatch(() -> fixture.log().announce(machine, starts));
+            fixture.runInBatch(() -> fixture.log().setStarts(machine, starts));
             fixture.advance(random.nextInt(200));
             if (random.nextInt(10) == 0) {
                 fixture.applyDelayedTransactions();
@@ -274,14 +274,14 @@
         }
         fixture.setDeliveryPolicy(call -> Delivery.ANSWERED);
         fixture.advance(4 * SETTLE_MS);
-        FormerStarts loaded = fixture.replaceLeader();
+        LoadedStarts loaded = fixture.replaceLeader();
         announced.forEach((machine, starts) -> assertEquals(starts, startsOf(machine, loaded)));
     }
 
     /** Replaces the leader; the test continues with the starts that the new leader loads. */
     private void assertNextLeaderLoads(Map<String, Set<Attempt>> announced) {
         StartLog previousLog = fixture.log();
-        FormerStarts loaded = fixture.replaceLeader();
+        LoadedStarts loaded = fixture.replaceLeader();
         announced.forEach((machine, starts) -> starts.stream()
                 .filter(start -> previousLog.isStored(machine, start))
                 .forEach(start -> assertTrue(startsOf(machine, loaded).contains(start), machine + " " + start)));
--- a/src/test/java/io/quartzgw/store/PackedRecordsTest.java
+++ b/src/test/java/io/quartzgw/store/PackedRecordsTest.java
@@ -35,7 +35,7 @@
                     .properties()
                     .forEach(field -> stored.put(field.getKey(), field.getValue())));
         });
-        link.pass(1, false);
+        link.advance(1, false);
         return stored;
     }
 
@@ -57,11 +57,11 @@
             boolean[] written = new boolean[1];
             while (!written[0]) {
                 records.write(RequestUrgency.NORMAL, success -> written[0] = success);
-                link.pass(1, true);
+                link.advance(1, true);
             }
             assertEquals(expected, storedRecords(), "round " + round);
             if (random.nextInt(3) == 0) {
-                link.applyOneLate();
+                link.applyLostTransaction();
                 assertEquals(expected, storedRecords(), "after a delayed duplicate was applied");
             }
         }
@@ -82,7 +82,7 @@
         records.put("i-first", Json.array().add(1), 0);
         int[] changesAtCompletion = {-1};
         records.write(RequestUrgency.NORMAL, written -> changesAtCompletion[0] = written ? changes[0] : -1);
-        link.pass(1, false);
+        link.advance(1, false);
         assertTrue(changesAtCompletion[0] >= 0, "the write completes");
         assertTrue(
                 changesAtCompletion[0] < 10,
--- a/src/test/java/io/quartzgw/store/StoreCodecTest.java
+++ b/src/test/java/io/quartzgw/store/StoreCodecTest.java
@@ -56,7 +56,7 @@
                 StoreCodec.decodeOutcome(reply(400, "{\"error\":\"no such lease\"}")));
         assertEquals(new TransactionOutcome.Refused(), StoreCodec.decodeOutcome(reply(429, "{}")));
         assertEquals(new TransactionOutcome.Refused(), StoreCodec.decodeOutcome(reply(503, "{}")));
-        assertEquals(new TransactionOutcome.Unknown(), StoreCodec.decodeOutcome(Reply.lost()));
+        assertEquals(new TransactionOutcome.Unknown(), StoreCodec.decodeOutcome(Reply.unanswered()));
     }
 
     @Test
@@ -65,7 +65,7 @@
         assertEquals(new ReadResult.Found(new KeyValue("a", Json.object().put("x", 1), 4)), found);
         assertEquals(new ReadResult.Absent(), StoreCodec.decodeRead(reply(404, "{}")));
         assertEquals(new ReadResult.Unavailable(), StoreCodec.decodeRead(reply(503, "{}")));
-        assertEquals(new ReadResult.Unavailable(), StoreCodec.decodeRead(Reply.lost()));
+        assertEquals(new ReadResult.Unavailable(), StoreCodec.decodeRead(Reply.unanswered()));
     }
 
     @Test
@@ -84,7 +84,7 @@
         assertEquals(new LeaseGrant.Unavailable(), StoreCodec.decodeLease(reply(503, "{}")));
         assertEquals(LeaseRenewal.RENEWED, StoreCodec.decodeRenewal(reply(200, "{}")));
         assertEquals(LeaseRenewal.EXPIRED, StoreCodec.decodeRenewal(reply(404, "{}")));
-        assertEquals(LeaseRenewal.UNKNOWN, StoreCodec.decodeRenewal(Reply.lost()));
+        assertEquals(LeaseRenewal.UNKNOWN, StoreCodec.decodeRenewal(Reply.unanswered()));
     }
 
     @Test
@@ -99,6 +99,6 @@
         assertEquals(List.of(new KeyChange("a", Json.object(), 7), new KeyChange("b", null, 8)), response.changes());
         assertEquals(Optional.empty(), response.changes().get(1).newValue());
         assertInstanceOf(StoreCodec.WatchResponse.Compacted.class, StoreCodec.decodeWatch(reply(410, "{}")));
-        assertInstanceOf(StoreCodec.WatchResponse.Unavailable.class, StoreCodec.decodeWatch(Reply.lost()));
+        assertInstanceOf(StoreCodec.WatchResponse.Unavailable.class, StoreCodec.decodeWatch(Reply.unanswered()));
     }
 }
