--- a/src/main/java/io/quartzgw/liveness/AgentTiming.java
+++ b/src/main/java/io/quartzgw/liveness/AgentTiming.java
@@ -8,7 +8,10 @@
  * @param cancelLimitMs how long a task may run after the cancellation of its job was acknowledged to a user
  */
 public record AgentTiming(long heartbeatMs, long leaseMs, long cancelLimitMs) {
-    /** Steady clocks drift by up to 0.05% in either direction, so those of two machines drift apart by up to 0.1%. */
+    /**
+     * Steady clocks of two machines drift apart by at most 0.05% in either direction. The constant is twice that as a
+     * margin.
+     */
     private static final double MAX_CLOCK_DRIFT = 0.001;
 
     /** Returns the longest duration of an agent's lease as measured by the clock of another machine. */
--- a/src/test/java/io/quartzgw/cancellation/CancellationWatermarkTest.java
+++ b/src/test/java/io/quartzgw/cancellation/CancellationWatermarkTest.java
@@ -18,7 +18,7 @@
  */
 class CancellationWatermarkTest {
     private static final long CANCEL_LIMIT_MS = 36_000;
-    private static final List<String> PEERS = List.of("controller-1", "controller-2");
+    private static final List<String> PEERS = List.of("rig-1", "rig-2");
 
     private final EventLoop eventLoop = new EventLoop(1);
 
@@ -67,7 +67,7 @@
         CancellationWatermark watermark = newWatermarkAt(0);
         recordResponsesOfAllPeers(watermark, 50_000, 7, 50_000);
         advanceTo(52_000);
-        watermark.recordPeerResponse("controller-1", 8, 100, 51_990, true);
+        watermark.recordPeerResponse("rig-1", 8, 100, 51_990, true);
         recordResponsesOfAllPeers(watermark, 52_000, 8, 100);
         assertEquals(49_995, watermark.knownUntilMs(0));
         recordResponsesOfAllPeers(watermark, 53_000, 9, 100);
@@ -94,8 +94,8 @@
         CancellationWatermark watermark = newWatermarkAt(0);
         recordResponsesOfAllPeers(watermark, 50_000, 7, 50_000);
         advanceTo(51_000);
-        watermark.recordPeerResponse("controller-1", 7, 51_000, 50_990, false);
-        watermark.recordPeerResponse("controller-2", 7, 51_000, 50_990, true);
+        watermark.recordPeerResponse("rig-1", 7, 51_000, 50_990, false);
+        watermark.recordPeerResponse("rig-2", 7, 51_000, 50_990, true);
         assertEquals(49_995, watermark.knownUntilMs(0));
     }
 
