--- a/src/main/java/io/quartzgw/agent/AgentManager.java
+++ b/src/main/java/io/quartzgw/agent/AgentManager.java
@@ -192,8 +192,8 @@
     }
 
     /** Returns whether a direct call may still start an allocation's attempt, even if its machine is unreachable. */
-    public boolean isStartOutstanding(Allocation allocation) {
-        return allocationRelease.isStartOutstanding(allocation);
+    public boolean mayDirectCallStart(Allocation allocation) {
+        return allocationRelease.mayDirectCallStart(allocation);
     }
 
     /**
@@ -211,7 +211,7 @@
 
     /** Reports the unfenced attempts and warns of cancelled attempts that may still be started; called regularly. */
     public void reportUnfencedAttempts() {
-        inheritedStarts.dropObsolete();
+        inheritedStarts.stopTrackingObsolete();
         endedJobStarts.update();
         unfencedAttempts.check();
     }
--- a/src/main/java/io/quartzgw/agent/AllocationRelease.java
+++ b/src/main/java/io/quartzgw/agent/AllocationRelease.java
@@ -40,7 +40,7 @@
     }
 
     /** Returns whether a direct call may still start the attempt of an allocation. */
-    boolean isStartOutstanding(Allocation allocation) {
+    boolean mayDirectCallStart(Allocation allocation) {
         boolean mayHaveUnknownStart = allocation.machine().fencing().mayReceiveUnknownStarts()
                 && cluster.isOfPreviousLeader(allocation.attempt());
         return mayHaveUnknownStart
@@ -51,7 +51,7 @@
 
     private boolean isSafeToRelease(Allocation allocation) {
         // A completed task is not started again, so a late start needs no protection.
-        return allocation.job().isDone(allocation.index()) || !isStartOutstanding(allocation);
+        return allocation.job().isDone(allocation.index()) || !mayDirectCallStart(allocation);
     }
 
     /**
@@ -73,7 +73,7 @@
         if (isSafeToRelease(allocation)) {
             cluster.release(allocation);
         } else {
-            logUnfenced(allocation, end);
+            logAllocationKept(allocation, end);
             cluster.retainUnfencedAllocation(allocation);
         }
     }
@@ -86,7 +86,7 @@
         if (isSafeToRelease(allocation) && !isResponseAwaited(allocation)) {
             cluster.release(allocation);
         } else if (!allocation.isLost()) {
-            logUnfenced(allocation, End.LOST);
+            logAllocationKept(allocation, End.LOST);
             allocation.markLost(eventLoop.nowMs());
         }
     }
@@ -103,21 +103,21 @@
      * <p>Called after every current heartbeat of an agent. The heartbeat lists the attempts that previously answered
      * direct calls started, and shows that the responses to earlier heartbeats were executed or lost.
      */
-    void settleUnstarted(AgentState agent) {
+    void releaseUnstartable(AgentState agent) {
         Machine machine = agent.machine();
         OutstandingStarts outstanding = agent.outstandingStarts();
         if (machine.fencing().hasUnfenced()) {
             machine.fencing().unfenced().stream()
-                    .filter(allocation -> !isStartOutstanding(allocation))
+                    .filter(allocation -> !mayDirectCallStart(allocation))
                     .forEach(cluster::release);
         }
         machine.allocations().stream()
                 .filter(allocation -> allocation.stopping() && !allocation.observed())
                 .toList()
-                .forEach(allocation -> settleStopping(allocation, outstanding));
+                .forEach(allocation -> releaseOrRetainStopping(allocation, outstanding));
     }
 
-    private void settleStopping(Allocation allocation, OutstandingStarts outstanding) {
+    private void releaseOrRetainStopping(Allocation allocation, OutstandingStarts outstanding) {
         Attempt attempt = Attempts.of(allocation);
         if (!outstanding.isOutstanding(attempt)) {
             cluster.release(allocation);
@@ -126,7 +126,7 @@
         }
     }
 
-    private void logUnfenced(Allocation allocation, End end) {
+    private void logAllocationKept(Allocation allocation, End end) {
         eventLoop.increment("fencing.attempts", 1);
         LOG.atInfo()
                 .addKeyValue("task", allocation.task())
--- a/src/main/java/io/quartzgw/agent/HeartbeatProcessor.java
+++ b/src/main/java/io/quartzgw/agent/HeartbeatProcessor.java
@@ -162,7 +162,7 @@
                     .log("task list changed");
             reconciler.apply(agent, tasks);
         }
-        allocationRelease.settleUnstarted(agent);
+        allocationRelease.releaseUnstartable(agent);
         reconciler.updateRefusedJobs(agent);
     }
 
--- a/src/main/java/io/quartzgw/agent/InheritedStarts.java
+++ b/src/main/java/io/quartzgw/agent/InheritedStarts.java
@@ -155,7 +155,7 @@
      * done, and starts of tasks with a later attempt. A leader begins a later attempt only once the earlier start can
      * no longer be executed. Called regularly.
      */
-    void dropObsolete() {
+    void stopTrackingObsolete() {
         for (OutstandingStart start : List.copyOf(newestByTask.values())) {
             boolean superseded = hasLaterAttempt(start);
             if (superseded) {
--- a/src/main/java/io/quartzgw/agent/StartLogUpdater.java
+++ b/src/main/java/io/quartzgw/agent/StartLogUpdater.java
@@ -38,6 +38,6 @@
 
     /** Returns whether a start may be sent in a direct call, which requires that the log has stored it. */
     boolean maySendDirectly(AgentState agent, Attempt attempt) {
-        return log.isStored(agent.machine().id(), attempt);
+        return log.maySendDirectly(agent.machine().id(), attempt);
     }
 }
--- a/src/main/java/io/quartzgw/agent/UnfencedAttemptsMonitor.java
+++ b/src/main/java/io/quartzgw/agent/UnfencedAttemptsMonitor.java
@@ -88,7 +88,7 @@
                 .addKeyValue("attempt", allocation.attempt())
                 .addKeyValue("machine", machine.id())
                 .addKeyValue("unfenced_ms", allocation.lostForMs(eventLoop.nowMs()))
-                .addKeyValue("deletion_begun", machine.fencing().isBegun())
+                .addKeyValue("deletion_begun", machine.fencing().isInProgress())
                 .log("cancelled attempt may be started");
     }
 }
--- a/src/main/java/io/quartzgw/app/AgentTaskLauncher.java
+++ b/src/main/java/io/quartzgw/app/AgentTaskLauncher.java
@@ -25,6 +25,6 @@
 
     @Override
     public boolean isRelocatable(Allocation allocation) {
-        return !agents.isStartOutstanding(allocation);
+        return !agents.mayDirectCallStart(allocation);
     }
 }
--- a/src/main/java/io/quartzgw/app/Controller.java
+++ b/src/main/java/io/quartzgw/app/Controller.java
@@ -159,8 +159,8 @@
         public void elected(long term, long termRevision) {
             // A previous leader responds to agents for its grace period after the time up to which it knows every
             // cancellation. This controller has announced no cancellation to it since the election.
-            long previousLeaderActiveUntil = eventLoop.nowMs() + timing.graceMs();
-            LeaderRuntime runtime = new LeaderRuntime(services(), previousLeaderActiveUntil);
+            long previousLeaderActiveUntilMs = eventLoop.nowMs() + timing.graceMs();
+            LeaderRuntime runtime = new LeaderRuntime(services(), previousLeaderActiveUntilMs);
             leader = Optional.of(runtime);
             runtime.start();
             peers.broadcast();
--- a/src/main/java/io/quartzgw/app/FleetScaling.java
+++ b/src/main/java/io/quartzgw/app/FleetScalingThrottle.java
@@ -9,7 +9,7 @@
  * Limits how often the fleet is scaled. A run examines every machine and waiting job, and renting a machine takes far
  * longer than the cooldown between two runs.
  */
-final class FleetScaling {
+final class FleetScalingThrottle {
     private static final double COOLDOWN_HEARTBEATS = 0.1;
 
     private final EventLoop eventLoop;
@@ -20,7 +20,7 @@
     private boolean coolingDown;
 
     /** @param heartbeatMs the agents' heartbeat interval */
-    FleetScaling(EventLoop eventLoop, FleetManager fleet, long heartbeatMs) {
+    FleetScalingThrottle(EventLoop eventLoop, FleetManager fleet, long heartbeatMs) {
         this.eventLoop = eventLoop;
         this.fleet = fleet;
         this.cooldownMs = (long) (COOLDOWN_HEARTBEATS * heartbeatMs);
@@ -42,14 +42,14 @@
     /**
      * Scales the fleet if a run is due and the cooldown is over.
      *
-     * @param recoveryWindowClosed whether recovery no longer waits for heartbeats that report allocations
+     * @param allocationsKnown whether recovery no longer waits for heartbeats that report allocations
      */
-    void runIfDue(List<UnplacedTasks> unplaced, boolean recoveryWindowClosed) {
+    void runIfDue(List<UnplacedTasks> unplaced, boolean allocationsKnown) {
         if (!runDue || coolingDown) {
             return;
         }
         coolingDown = true;
-        runDue = fleet.scale(unplaced, recoveryWindowClosed);
+        runDue = fleet.scale(unplaced, allocationsKnown);
         eventLoop.after(cooldownMs, () -> coolingDown = false);
     }
 }
--- a/src/main/java/io/quartzgw/app/LeaderRuntime.java
+++ b/src/main/java/io/quartzgw/app/LeaderRuntime.java
@@ -57,7 +57,7 @@
     private final Scheduler scheduler;
     private final MachineRecords machineRecords;
     private final FleetManager fleet;
-    private final FleetScaling fleetScaling;
+    private final FleetScalingThrottle fleetScaling;
     private final OpenJobWatcher openJobWatcher;
     private final TaskCountPager taskCountPager;
     private final AgentReachability reachability;
@@ -94,7 +94,7 @@
                 LeaderPolicies.maxClockSkewMs(settings),
                 agents::requestStarts);
         this.fleet = newFleet(services, recoveryTiming);
-        this.fleetScaling = new FleetScaling(eventLoop, fleet, agentTiming.heartbeatMs());
+        this.fleetScaling = new FleetScalingThrottle(eventLoop, fleet, agentTiming.heartbeatMs());
         this.openJobWatcher = newOpenJobWatcher(services);
         this.taskCountPager = new TaskCountPager(cluster);
         this.reachability = new AgentReachability(eventLoop, cluster, services.peers(), agentTiming.heartbeatMs());
--- a/src/main/java/io/quartzgw/fleet/FencingPolicy.java
+++ b/src/main/java/io/quartzgw/fleet/FencingPolicy.java
@@ -31,9 +31,9 @@
     /** How long a machine in use is evacuated before it is deleted, in reservations. */
     private static final double EVACUATION_RESERVATIONS = 1.5;
     /** From this fraction of a cancellation's time limit on, the limit of machines being evacuated is ignored. */
-    private static final double IGNORE_EVACUATION_LIMIT_CANCEL_FRACTION = 0.5;
+    private static final double UNLIMITED_EVACUATION_AFTER = 0.5;
     /** At this fraction of a cancellation's time limit the machine is deleted; the rest is for the cloud's response. */
-    private static final double DELETION_CANCEL_FRACTION = 0.8;
+    private static final double DELETE_AFTER = 0.8;
     /** The maximum fraction of the machines that is evacuated for fencing at a time. */
     private static final double MAX_EVACUATED_FRACTION = 0.05;
     /** In small fleets, at least this many machines may be evacuated at a time. */
@@ -55,8 +55,8 @@
         this.unreachableGraceMs = (long) (UNREACHABLE_GRACE_RESERVATIONS * policy.reservationMs());
         this.evacuationMs = (long) (EVACUATION_RESERVATIONS * policy.reservationMs());
         this.lostAttemptGraceMs = (long) (LOST_ATTEMPT_GRACE_RESERVATIONS * policy.reservationMs());
-        this.ignoreEvacuationLimitMs = (long) (IGNORE_EVACUATION_LIMIT_CANCEL_FRACTION * policy.cancelMs());
-        this.cancelDeletionMs = (long) (DELETION_CANCEL_FRACTION * policy.cancelMs());
+        this.ignoreEvacuationLimitMs = (long) (UNLIMITED_EVACUATION_AFTER * policy.cancelMs());
+        this.cancelDeletionMs = (long) (DELETE_AFTER * policy.cancelMs());
     }
 
     /**
@@ -67,7 +67,7 @@
      */
     void fenceMachines(boolean confirmationEnding) {
         List<Machine> needed = cluster.machines().stream()
-                .filter(machine -> !machine.fencing().isBegun() && isFencingNeeded(machine))
+                .filter(machine -> !machine.fencing().isInProgress() && isFencingNeeded(machine))
                 .toList();
         if (!needed.isEmpty()) {
             needed.stream().filter(machine -> !machine.isInUse()).forEach(this::fence);
@@ -84,7 +84,7 @@
         return hasOverdueUnfencedAttempt(machine)
                 || hasUnreachableLostAttempt(machine)
                 || hasOverdueLostAttempt(machine)
-                || machine.fencing().cancelledStarts() > 0
+                || machine.fencing().cancelledStartCount() > 0
                 || machine.fencing().mayReceiveUnknownStarts();
     }
 
@@ -117,10 +117,10 @@
         if (cancelledAtMs.isEmpty() || eventLoop.nowMs() < cancelledAtMs.getAsLong() + ignoreEvacuationLimitMs) {
             return;
         }
-        long deadline = cancelledAtMs.getAsLong() + cancelDeletionMs;
-        if (deadline < machine.fencing().deadline()) {
+        long deadlineMs = cancelledAtMs.getAsLong() + cancelDeletionMs;
+        if (deadlineMs < machine.fencing().deletionDeadlineMs()) {
             eventLoop.increment("fencing.out_of_turn", 1);
-            fence(machine, deadline);
+            fence(machine, deadlineMs);
         }
     }
 
@@ -144,7 +144,7 @@
 
     private long evacuatingMachines() {
         return cluster.machines().stream()
-                .filter(machine -> machine.fencing().isBegun() && machine.isInUse())
+                .filter(machine -> machine.fencing().isInProgress() && machine.isInUse())
                 .count();
     }
 
@@ -156,23 +156,23 @@
         fence(machine, eventLoop.nowMs() + evacuationMs);
     }
 
-    private void fence(Machine machine, long deadline) {
-        if (!machine.fencing().isBegun()) {
-            logFencing(machine, deadline);
+    private void fence(Machine machine, long deadlineMs) {
+        if (!machine.fencing().isInProgress()) {
+            logFencing(machine, deadlineMs);
         }
-        machine.fence(deadline);
+        machine.fence(deadlineMs);
     }
 
-    private void logFencing(Machine machine, long deadline) {
+    private void logFencing(Machine machine, long deadlineMs) {
         eventLoop.increment("fencing.machines", 1);
         LOG.atInfo()
                 .addKeyValue("machine", machine.id())
                 .addKeyValue("reason", "fenced")
                 .addKeyValue("unfenced_attempts", machine.fencing().unfenced().size())
                 .addKeyValue("holds_back_open_job", blocksOpenJob(machine))
-                .addKeyValue("cancelled_starts", machine.fencing().cancelledStarts())
+                .addKeyValue("cancelled_starts", machine.fencing().cancelledStartCount())
                 .addKeyValue("in_use", machine.isInUse())
-                .addKeyValue("evacuation_ms", Math.max(0, deadline - eventLoop.nowMs()))
+                .addKeyValue("evacuation_ms", Math.max(0, deadlineMs - eventLoop.nowMs()))
                 .log("machine drained");
     }
 }
--- a/src/main/java/io/quartzgw/leadership/Candidacy.java
+++ b/src/main/java/io/quartzgw/leadership/Candidacy.java
@@ -16,14 +16,14 @@
 final class Candidacy {
     private static final Logger LOG = LoggerFactory.getLogger(Candidacy.class);
 
-    private static final long NO_HOLD_BACK = Long.MIN_VALUE;
+    private static final long NOT_DELAYED = Long.MIN_VALUE;
 
     private static final int RETRY_DELAY_MS = 250;
     /** Spreads the attempts of the candidates, so that usually one transaction succeeds without a conflict. */
     private static final int MAX_JITTER_MS = 60;
 
     /** The role that a candidacy queries and notifies. */
-    interface Owner {
+    interface LeadershipState {
         boolean leading();
 
         /** Returns the highest term that this controller has observed, apart from the stored term. */
@@ -59,7 +59,7 @@
     private final LeadershipTiming timing;
     private final ControllerIdentity identity;
     private final ElectionState state;
-    private final Owner owner;
+    private final LeadershipState leadership;
     private final Set<Long> terminatedProcesses = new HashSet<>();
     private Optional<Status> loggedStatus = Optional.empty();
     private Optional<Attempt> lastAttempt = Optional.empty();
@@ -72,13 +72,13 @@
             LeadershipTiming timing,
             ControllerIdentity identity,
             ElectionState state,
-            Owner owner) {
+            LeadershipState leadership) {
         this.eventLoop = eventLoop;
         this.store = store;
         this.timing = timing;
         this.identity = identity;
         this.state = state;
-        this.owner = owner;
+        this.leadership = leadership;
     }
 
     /** Suspends the attempts for some time, so that another controller is elected. */
@@ -117,7 +117,7 @@
 
     private Status currentStatus() {
         CandidacyReason reason;
-        if (owner.leading()) {
+        if (leadership.leading()) {
             reason = CandidacyReason.LEADING;
         } else if (!isLeadershipVacant()) {
             reason = CandidacyReason.LED;
@@ -147,12 +147,12 @@
     }
 
     private long nextTerm() {
-        return FencingTokens.termAfter(Math.max(state.term(), owner.highestTerm()));
+        return FencingTokens.termAfter(Math.max(state.term(), leadership.highestTerm()));
     }
 
     private void beginAttempt() {
         // Another candidate may have won since this attempt was scheduled.
-        if (owner.leading() || !isLeadershipVacant() || isBackingOff()) {
+        if (leadership.leading() || !isLeadershipVacant() || isBackingOff()) {
             attemptInProgress = false;
             return;
         }
@@ -169,7 +169,7 @@
 
     private long holdBackUntilMs() {
         boolean previousLeaderDeposed = state.deposedTerm() > 0 && state.deposedTerm() == state.term();
-        return previousLeaderDeposed ? eventLoop.nowMs() + timing.leaseMs() : NO_HOLD_BACK;
+        return previousLeaderDeposed ? eventLoop.nowMs() + timing.leaseMs() : NOT_DELAYED;
     }
 
     /**
@@ -208,7 +208,7 @@
     private void onOutcome(Attempt attempt, long leaseId, TransactionOutcome outcome) {
         if (outcome instanceof TransactionOutcome.Committed committed) {
             attemptInProgress = false;
-            owner.electionWon(new WonElection(
+            leadership.electionWon(new WonElection(
                     attempt.term(), committed.revision(), leaseId, attempt.requestedAtMs(), attempt.holdBackUntilMs()));
             return;
         }
@@ -230,7 +230,7 @@
     private void scheduleRetry() {
         eventLoop.after(RETRY_DELAY_MS, () -> {
             attemptInProgress = false;
-            if (!owner.leading()) {
+            if (!leadership.leading()) {
                 state.reload();
             }
         });
--- a/src/main/java/io/quartzgw/leadership/Leadership.java
+++ b/src/main/java/io/quartzgw/leadership/Leadership.java
@@ -67,7 +67,7 @@
         this.identity = identity;
         this.watermark = watermark;
         this.state = new ElectionState(eventLoop, store, this::evaluateRole);
-        this.candidacy = new Candidacy(eventLoop, store, timing, identity, state, new CandidacyOwner());
+        this.candidacy = new Candidacy(eventLoop, store, timing, identity, state, new CurrentLeadershipState());
         this.deposition = new LeaderDeposition(eventLoop, store, state, timing);
     }
 
@@ -226,7 +226,7 @@
     }
 
     /** Connects the candidacy to this controller's role. */
-    private final class CandidacyOwner implements Candidacy.Owner {
+    private final class CurrentLeadershipState implements Candidacy.LeadershipState {
         @Override
         public boolean leading() {
             return Leadership.this.isLeading();
--- a/src/main/java/io/quartzgw/recovery/ReservationExpiry.java
+++ b/src/main/java/io/quartzgw/recovery/ReservationExpiry.java
@@ -26,11 +26,11 @@
     /** Releases the reservations that have expired. */
     void releaseExpired() {
         List.copyOf(leader.cluster().machines()).stream()
-                .filter(this::isExpired)
+                .filter(this::isExpiryDue)
                 .forEach(this::release);
     }
 
-    private boolean isExpired(Machine machine) {
+    private boolean isExpiryDue(Machine machine) {
         ClusterState cluster = leader.cluster();
         boolean reserved = !machine.reservationExpired()
                 && (!machine.hasNoAllocations() || UnverifiedMachines.isUnverified(machine, cluster));
--- a/src/main/java/io/quartzgw/scheduling/Machine.java
+++ b/src/main/java/io/quartzgw/scheduling/Machine.java
@@ -135,7 +135,7 @@
 
     /** Whether the machine is being fenced and can be deleted now. */
     public boolean isFencingDue(long now) {
-        return fencing.isBegun() && (now >= fencing.deadline() || !isInUse());
+        return fencing.isInProgress() && (now >= fencing.deletionDeadlineMs() || !isInUse());
     }
 
     /** Whether its stored record says that tasks may have been started on it. */
@@ -186,7 +186,7 @@
 
     /** When the cloud reclaims the machine or it is deleted at the latest, or {@code Long.MAX_VALUE} if neither. */
     public long expectedRemovalAt() {
-        return Math.min(reclaimAt, fencing.deadline());
+        return Math.min(reclaimAt, fencing.deletionDeadlineMs());
     }
 
     /** Since when the machine has had no allocation; meaningful only while it has none. */
--- a/src/main/java/io/quartzgw/scheduling/MachineFencing.java
+++ b/src/main/java/io/quartzgw/scheduling/MachineFencing.java
@@ -28,7 +28,7 @@
      */
     private final Map<Attempt, Long> cancelledStarts = new HashMap<>();
 
-    private long deadline = NOT_FENCED;
+    private long deletionDeadlineMs = NOT_FENCED;
     private boolean unknownStarts;
 
     void add(Allocation allocation) {
@@ -74,7 +74,7 @@
     }
 
     /** The number of starts that were added with {@link #addCancelledStart}. */
-    public int cancelledStarts() {
+    public int cancelledStartCount() {
         return cancelledStarts.size();
     }
 
@@ -98,21 +98,21 @@
     /**
      * Begins to fence the machine.
      *
-     * @param deadline when the machine is deleted, even if tasks still run there
+     * @param deadlineMs when the machine is deleted, even if tasks still run there
      */
-    void begin(long deadline) {
-        this.deadline = Math.min(this.deadline, deadline);
+    void begin(long deadlineMs) {
+        this.deletionDeadlineMs = Math.min(this.deletionDeadlineMs, deadlineMs);
     }
 
     /** Whether the machine is being fenced. */
-    public boolean isBegun() {
-        return deadline != NOT_FENCED;
+    public boolean isInProgress() {
+        return deletionDeadlineMs != NOT_FENCED;
     }
 
     /**
      * When the machine is deleted even if tasks still run there, or {@code Long.MAX_VALUE} if it is not being fenced.
      */
-    public long deadline() {
-        return deadline;
+    public long deletionDeadlineMs() {
+        return deletionDeadlineMs;
     }
 }
--- a/src/main/java/io/quartzgw/startlog/StartLog.java
+++ b/src/main/java/io/quartzgw/startlog/StartLog.java
@@ -58,7 +58,7 @@
     private final PackedRecords records;
     private final LegacyReplicas legacyReplicas;
     private final LogWriteMonitor writeMonitor;
-    private final CoalescedTask flushLater;
+    private final CoalescedTask delayedFlush;
     private final long cleanupDelayMs;
     private final long retryDelayMs;
     /** Keys that have the log's prefix but are not page keys. */
@@ -88,7 +88,7 @@
         this.records = new PackedRecords(store, PREFIX, this::fencedTransaction);
         this.legacyReplicas = new LegacyReplicas(eventLoop, store, term);
         this.writeMonitor = new LogWriteMonitor(eventLoop, term);
-        this.flushLater = new CoalescedTask(eventLoop, this::flush);
+        this.delayedFlush = new CoalescedTask(eventLoop, this::flush);
         this.cleanupDelayMs = (long) (CLEANUP_DELAY_HEARTBEATS * heartbeatMs);
         this.retryDelayMs = (long) (RETRY_DELAY_HEARTBEATS * heartbeatMs);
     }
@@ -208,7 +208,7 @@
     }
 
     /** Returns whether an announced start is stored, so that a direct call may carry it. */
-    public boolean isStored(String machine, Attempt start) {
+    public boolean maySendDirectly(String machine, Attempt start) {
         LogEntry entry = entriesByMachine.getOrDefault(machine, Map.of()).get(start);
         return entry != null && entry.isStored() && legacyReplicas.areInvalidated();
     }
@@ -226,9 +226,9 @@
         }
         boolean cleanupDue = cleanupAtMs.isPresent() && eventLoop.nowMs() >= cleanupAtMs.get();
         if (waiting.isEmpty() && !cleanupDue) {
-            cleanupAtMs.ifPresent(atMs -> flushLater.schedule(atMs - eventLoop.nowMs()));
+            cleanupAtMs.ifPresent(atMs -> delayedFlush.schedule(atMs - eventLoop.nowMs()));
         } else if (eventLoop.nowMs() < nextWriteAtMs) {
-            flushLater.schedule(nextWriteAtMs - eventLoop.nowMs());
+            delayedFlush.schedule(nextWriteAtMs - eventLoop.nowMs());
         } else {
             write(cleanupDue);
         }
--- a/src/test/java/io/quartzgw/agent/AgentManagerTest.java
+++ b/src/test/java/io/quartzgw/agent/AgentManagerTest.java
@@ -280,13 +280,13 @@
     // outstanding start.
     @Test
     void startIsOutstandingUntilItsCallIsAnswered() {
-        assertTrue(agents.isStartOutstanding(allocation), "in flight");
+        assertTrue(agents.mayDirectCallStart(allocation), "in flight");
         endCall(rejected());
-        assertFalse(agents.isStartOutstanding(allocation), "rejected");
+        assertFalse(agents.mayDirectCallStart(allocation), "rejected");
         agents.requestStart(allocation);
         sendPendingCommands();
         endCall(Reply.unanswered());
-        assertTrue(agents.isStartOutstanding(allocation), "unanswered");
+        assertTrue(agents.mayDirectCallStart(allocation), "unanswered");
     }
 
     // The unanswered call may reach the agent of the rebooted machine, so the task must not be placed elsewhere.
--- a/src/test/java/io/quartzgw/agent/InheritedStartsTest.java
+++ b/src/test/java/io/quartzgw/agent/InheritedStartsTest.java
@@ -226,7 +226,7 @@
         Allocation allocation = job.allocation(0);
         assertEquals(PREVIOUS_LEADER_ATTEMPT, allocation.attempt());
         assertTrue(allocation.isLost());
-        assertTrue(agents.isStartOutstanding(allocation));
+        assertTrue(agents.mayDirectCallStart(allocation));
         assertEquals("{1, 2}", job.pending().toString());
     }
 
@@ -302,7 +302,7 @@
         cluster.release(job.allocation(0));
         Allocation reallocated =
                 cluster.allocate(job, 0, cluster.findMachine(OTHER_MACHINE).orElseThrow(), PREVIOUS_LEADER_ATTEMPT);
-        assertFalse(agents.isStartOutstanding(reallocated));
+        assertFalse(agents.mayDirectCallStart(reallocated));
     }
 
     // Guards against ran_twice by a start that the log does not show, and that may be executed after its attempt ended.
@@ -408,9 +408,9 @@
     void fencesMachineAndKeepsStartOfCancelledJobInLog() {
         inheritStartOfEndedJob();
         assertTrue(isInLogAfterCleanup(START_OF_ENDED_JOB), "terminal state of the job is not looked up yet");
-        assertEquals(0, machine.fencing().cancelledStarts());
+        assertEquals(0, machine.fencing().cancelledStartCount());
         pendingLookUps.remove(START_OF_ENDED_JOB.job()).accept(CANCELLED);
-        assertEquals(1, machine.fencing().cancelledStarts());
+        assertEquals(1, machine.fencing().cancelledStartCount());
         assertTrue(isInLogAfterCleanup(START_OF_ENDED_JOB), "next leader must inherit the start");
     }
 
@@ -419,7 +419,7 @@
     void dropsStartOfCompletedJob() {
         inheritStartOfEndedJob();
         pendingLookUps.remove(START_OF_ENDED_JOB.job()).accept(new EndedJobs.Outcome.Completed());
-        assertEquals(0, machine.fencing().cancelledStarts());
+        assertEquals(0, machine.fencing().cancelledStartCount());
         assertFalse(isInLogAfterCleanup(START_OF_ENDED_JOB));
     }
 
@@ -430,7 +430,7 @@
         cluster.terminate(job);
         agents.reportUnfencedAttempts();
         pendingLookUps.remove(JOB).accept(CANCELLED);
-        assertEquals(1, machine.fencing().cancelledStarts());
+        assertEquals(1, machine.fencing().cancelledStartCount());
     }
 
     @Test
--- a/src/test/java/io/quartzgw/fleet/FencingPolicyTest.java
+++ b/src/test/java/io/quartzgw/fleet/FencingPolicyTest.java
@@ -75,7 +75,7 @@
 
     private long fencedMachines() {
         return cluster.machines().stream()
-                .filter(machine -> machine.fencing().isBegun())
+                .filter(machine -> machine.fencing().isInProgress())
                 .count();
     }
 
@@ -140,7 +140,7 @@
         advanceTo(RESERVATION_MS / 4);
         fencingPolicy.fenceMachines(false);
         assertEquals(5, fencedMachines(), "one machine in twenty is evacuated");
-        assertTrue(machine(MACHINES - 1).fencing().isBegun(), "machine that blocks an open job comes first");
+        assertTrue(machine(MACHINES - 1).fencing().isInProgress(), "machine that blocks an open job comes first");
         fencingPolicy.fenceMachines(false);
         assertEquals(5, fencedMachines(), "other machines wait");
     }
@@ -212,10 +212,10 @@
         runTaskOf(addJob("j-2"), machine(0));
         advanceTo(RESERVATION_MS / 2);
         fencingPolicy.fenceMachines(false);
-        long deadline = machine(0).fencing().deadline();
+        long deadline = machine(0).fencing().deletionDeadlineMs();
         machine(0).fencing().addCancelledStart(new Attempt("j-3", 0, 1), RESERVATION_MS / 2 - CANCEL_LIMIT_MS / 2);
         fencingPolicy.fenceMachines(false);
-        assertTrue(machine(0).fencing().deadline() < deadline);
+        assertTrue(machine(0).fencing().deletionDeadlineMs() < deadline);
         assertEquals(1, eventLoop.counters().get("fencing.machines"), "machine is counted once");
     }
 
@@ -249,7 +249,7 @@
         cluster.add(unverified);
         unverified.fencing().addCancelledStart(new Attempt("j-3", 0, 1), -CANCEL_LIMIT_MS / 2);
         fencingPolicy.fenceMachines(false);
-        assertTrue(unverified.fencing().isBegun());
+        assertTrue(unverified.fencing().isInProgress());
         assertFalse(isDeletable(unverified), "machine is evacuated first");
         advanceTo(CANCEL_LIMIT_MS / 2);
         assertTrue(isDeletable(unverified));
--- a/src/test/java/io/quartzgw/startlog/StartLogTest.java
+++ b/src/test/java/io/quartzgw/startlog/StartLogTest.java
@@ -48,7 +48,7 @@
     }
 
     private boolean isStored(Attempt start) {
-        return fixture.log().isStored(MACHINE, start);
+        return fixture.log().maySendDirectly(MACHINE, start);
     }
 
     private static Set<Attempt> startsOf(String machine, LoadedStarts loadedStarts) {
@@ -83,7 +83,7 @@
         setStarts(START);
         assertTrue(isStored(START));
         assertFalse(isStored(OTHER_START));
-        assertFalse(fixture.log().isStored("i-2", START));
+        assertFalse(fixture.log().maySendDirectly("i-2", START));
     }
 
     @Test
@@ -91,7 +91,7 @@
         int countBefore = fixture.transactionCount();
         fixture.runInBatch(() -> IntStream.range(0, 100)
                 .forEach(i -> fixture.log().setStarts("i-" + i, Set.of(new Attempt("j-000002", i, 9)))));
-        assertTrue(fixture.log().isStored("i-99", new Attempt("j-000002", 99, 9)));
+        assertTrue(fixture.log().maySendDirectly("i-99", new Attempt("j-000002", 99, 9)));
         assertEquals(countBefore + 1, fixture.transactionCount());
     }
 
@@ -195,11 +195,11 @@
                 .forEach(i -> fixture.log().setStarts("i-" + i, Set.of(new Attempt("j-000412", i, i + 1)))));
         fixture.advance(SETTLE_MS);
         assertEquals(20_000, fixture.counter("startlog.starts"));
-        assertFalse(fixture.log().isStored("i-29999", new Attempt("j-000412", 29_999, 30_000)));
+        assertFalse(fixture.log().maySendDirectly("i-29999", new Attempt("j-000412", 29_999, 30_000)));
         fixture.runInBatch(() -> fixture.log().setStarts("i-1", Set.of()));
         fixture.runInBatch(() -> fixture.log().setStarts("i-29999", Set.of(new Attempt("j-000412", 29_999, 30_000))));
         fixture.advance(SETTLE_MS);
-        assertTrue(fixture.log().isStored("i-29999", new Attempt("j-000412", 29_999, 30_000)));
+        assertTrue(fixture.log().maySendDirectly("i-29999", new Attempt("j-000412", 29_999, 30_000)));
     }
 
     // Guards against treating an unreadable page as empty: it may contain any start.
@@ -283,7 +283,7 @@
         StartLog previousLog = fixture.log();
         LoadedStarts loaded = fixture.replaceLeader();
         announced.forEach((machine, starts) -> starts.stream()
-                .filter(start -> previousLog.isStored(machine, start))
+                .filter(start -> previousLog.maySendDirectly(machine, start))
                 .forEach(start -> assertTrue(startsOf(machine, loaded).contains(start), machine + " " + start)));
         announced.clear();
         loaded.machines().forEach(machine -> announced.put(machine.machine(), machine.starts()));
--- a/src/test/java/io/quartzgw/store/RequestQueueTest.java
+++ b/src/test/java/io/quartzgw/store/RequestQueueTest.java
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void sendsUrgentWriteFirstAndRejectsOverdueNormalWrite() {
+    void sendsUrgentWriteBeforeEarlierNormalWriteAndRejectsOverdueWrite() {
         RequestQueue queue = new RequestQueue(eventLoop, LIMITS, reply -> {});
         submit(queue, "/first", 2, RequestUrgency.NORMAL);
         submit(queue, "/normal", 2, RequestUrgency.NORMAL);
--- a/src/test/java/io/quartzgw/store/WriteBudgetAllocatorTest.java
+++ b/src/test/java/io/quartzgw/store/WriteBudgetAllocatorTest.java
@@ -25,13 +25,13 @@
     private final SplittableRandom random = new SplittableRandom(3);
 
     /** A controller that is granted writes; responses may reach it late. */
-    private static final class Controller {
+    private static final class SimulatedController {
         private final String name;
         private double demandWritesPerS;
         private double grantedWritesPerS;
         private long grantedUntilMs;
 
-        Controller(int number) {
+        SimulatedController(int number) {
             this.name = "rig-" + number;
         }
 
@@ -46,17 +46,17 @@
     }
 
     private record DelayedResponse(
-            Controller controller, double grantedWritesPerS, long requestedAtMs, long arrivesAtMs) {}
+            SimulatedController controller, double grantedWritesPerS, long requestedAtMs, long arrivesAtMs) {}
 
-    private static List<Controller> createControllers() {
-        List<Controller> controllers = new ArrayList<>();
+    private static List<SimulatedController> createControllers() {
+        List<SimulatedController> controllers = new ArrayList<>();
         for (int i = 0; i < CONTROLLERS; i++) {
-            controllers.add(new Controller(i));
+            controllers.add(new SimulatedController(i));
         }
         return controllers;
     }
 
-    private static double totalWritesPerS(List<Controller> controllers, long nowMs) {
+    private static double totalWritesPerS(List<SimulatedController> controllers, long nowMs) {
         return controllers.stream()
                 .mapToDouble(controller -> controller.writesPerS(nowMs))
                 .sum();
@@ -64,7 +64,10 @@
 
     /** Randomly changes a controller's demand and sends its request. The response may be lost or delayed. */
     private void step(
-            WriteBudgetAllocator allocator, Controller controller, List<DelayedResponse> responses, long nowMs) {
+            WriteBudgetAllocator allocator,
+            SimulatedController controller,
+            List<DelayedResponse> responses,
+            long nowMs) {
         if (random.nextInt(40) == 0) {
             controller.demandWritesPerS = random.nextInt(3) == 0 ? random.nextInt(30) : 0;
         }
@@ -91,7 +94,7 @@
     // request and response, and after leader changes in quick succession.
     @Test
     void keepsTotalWithinLimitDespiteDelaysAndLeaderChanges() {
-        List<Controller> controllers = createControllers();
+        List<SimulatedController> controllers = createControllers();
         List<DelayedResponse> responses = new ArrayList<>();
         WriteBudgetAllocator allocator = new WriteBudgetAllocator(LIMITS, CONTROLLERS, GRANT_MS, 0);
         double maxTotalPerS = 0;
@@ -99,7 +102,7 @@
             if (random.nextInt(100) == 0) {
                 allocator = new WriteBudgetAllocator(LIMITS, CONTROLLERS, GRANT_MS, nowMs);
             }
-            for (Controller controller : controllers) {
+            for (SimulatedController controller : controllers) {
                 step(allocator, controller, responses, nowMs);
             }
             deliverDueResponses(responses, nowMs);
@@ -110,9 +113,10 @@
         assertTrue(maxTotalPerS > 0.95 * MAX_PER_S, "the limit is nearly reached: " + maxTotalPerS);
     }
 
-    private static void exchangeGrantsUntilStable(WriteBudgetAllocator allocator, List<Controller> controllers) {
+    private static void exchangeGrantsUntilStable(
+            WriteBudgetAllocator allocator, List<SimulatedController> controllers) {
         for (long nowMs = 0; nowMs <= 5 * GRANT_MS; nowMs += HEARTBEAT_MS) {
-            for (Controller controller : controllers) {
+            for (SimulatedController controller : controllers) {
                 controller.applyGrant(
                         allocator
                                 .grant(controller.name, controller.demandWritesPerS, nowMs)
@@ -126,7 +130,7 @@
     // controllers leave unused, and vice versa.
     @Test
     void grantsUnusedBudgetToControllersWithDemand() {
-        List<Controller> controllers = createControllers();
+        List<SimulatedController> controllers = createControllers();
         controllers.get(2).demandWritesPerS = 50;
         exchangeGrantsUntilStable(new WriteBudgetAllocator(LIMITS, CONTROLLERS, GRANT_MS, 0), controllers);
         assertEquals(
