--- a/src/main/java/io/quartzgw/agent/AllocationRelease.java
+++ b/src/main/java/io/quartzgw/agent/AllocationRelease.java
@@ -13,8 +13,8 @@
  *
  * <p>One rule holds for all of them: while a direct call may still start the attempt on its machine, the task stays
  * bound to that machine. The fencing token and the epoch do not rule out such a late start, because the agent of a
- * rebooted machine has seen no token and counts its epochs from the first. The call can no longer be executed once it
- * is answered or the machine is deleted.
+ * rebooted machine has received no token and restarts its epoch count. The call can no longer be executed once it is
+ * answered or the machine is deleted.
  */
 final class AllocationRelease {
     private static final Logger LOG = LoggerFactory.getLogger(AllocationRelease.class);
@@ -39,7 +39,10 @@
         this.registry = registry;
     }
 
-    /** Returns whether a direct call may still start the attempt of an allocation. */
+    /**
+     * Returns whether a direct call may still start the attempt of an allocation. Unlike
+     * {@link OutstandingStarts#isOutstanding}, this ignores starts in heartbeat responses.
+     */
     boolean mayDirectCallStart(Allocation allocation) {
         boolean mayHaveUnknownStart = allocation.machine().fencing().mayReceiveUnknownStarts()
                 && cluster.isOfPreviousLeader(allocation.attempt());
@@ -79,8 +82,8 @@
     }
 
     /**
-     * Handles that an agent no longer has an attempt. If the start is outstanding, the allocation remains, and the same
-     * attempt is started again on the machine if its agent is reachable.
+     * Called when an agent no longer has an attempt. If a direct call or an awaited heartbeat response may still start
+     * it, the allocation remains, and the same attempt is started again on the machine if its agent is reachable.
      */
     void attemptLost(Allocation allocation) {
         if (isSafeToRelease(allocation) && !isResponseAwaited(allocation)) {
@@ -91,17 +94,19 @@
         }
     }
 
-    /** Handles that no attempt runs on a machine any more, because its lease has expired or its agent was replaced. */
+    /** Called when no attempt runs on a machine any more, because its lease has expired or its agent was replaced. */
     void allAttemptsLost(Machine machine) {
         machine.allocationsSnapshot().forEach(this::attemptLost);
     }
 
     /**
-     * Releases allocations of an agent's attempts that do not run, once no command can start them any more. A stopping
-     * attempt that only an unanswered direct call may still start is retained as unfenced.
+     * Releases the agent's unfenced allocations that no direct call can start any more. Also releases the stopping ones
+     * that no heartbeat has listed and that no command can start. A stopping attempt that only an unanswered direct
+     * call may still start is retained as unfenced.
      *
-     * <p>Called after every current heartbeat of an agent. The heartbeat lists the attempts that previously answered
-     * direct calls started, and shows that the responses to earlier heartbeats were executed or lost.
+     * <p>Called after every heartbeat of the agent that counts as current, that is, neither stale nor unverified. A
+     * direct call that was answered earlier has either started its attempts, and then the heartbeat lists them, or
+     * never will. The responses to earlier heartbeats have been executed or lost.
      */
     void releaseUnstartable(AgentState agent) {
         Machine machine = agent.machine();
@@ -126,6 +131,9 @@
         }
     }
 
+    // Logs and counts "unfenced" attempts in the wider sense of the metrics, which includes lost attempts that keep
+    // their
+    // allocation; MachineFencing contains only the retained ones.
     private void logAllocationKept(Allocation allocation, End end) {
         eventLoop.increment("fencing.attempts", 1);
         LOG.atInfo()
--- a/src/main/java/io/quartzgw/agent/InheritedStarts.java
+++ b/src/main/java/io/quartzgw/agent/InheritedStarts.java
@@ -47,12 +47,12 @@
      * Takes over the starts that may have been sent to machines that still exist, and marks them as outstanding. This
      * includes starts of jobs that have ended.
      *
-     * @return the number of tasks with such a start that are not done and whose job is open
+     * @return the number of unfinished tasks of open jobs that have such a start
      */
     int inherit(Collection<MachineStarts> previousStarts) {
         Map<String, OutstandingStart> newest = new HashMap<>();
         for (MachineStarts machineStarts : previousStarts) {
-            // A leader records that a machine runs tasks before it sends a start to the machine.
+            // A leader records that tasks may have been started on a machine before it sends a start there.
             cluster.findMachine(machineStarts.machine())
                     .filter(Machine::hasRunTasks)
                     .ifPresent(machine -> addNewest(machine, machineStarts.starts(), newest));
@@ -74,8 +74,8 @@
     }
 
     /**
-     * Returns whether a start may have been sent. A start enters the log before its task is recorded as one that may be
-     * started, and it is sent only after that record.
+     * Returns whether a start may have been sent. A leader logs a start, then raises the job's recorded start limit
+     * above the task's index, and only then sends the start.
      */
     private boolean mayHaveBeenSent(Attempt start) {
         return cluster.findJob(start.job())
@@ -105,9 +105,9 @@
     }
 
     /**
-     * Allocates the unaccounted tasks of a job that have an inherited start to the machine of that start. The
-     * allocation has the attempt of the start and counts as lost. Called once no unresponsive machine can be running
-     * the tasks.
+     * Allocates each unaccounted task of a job that has an inherited start: to the machine of that start, with its
+     * attempt number. The allocation counts as lost, or is retained as unfenced if the job may no longer use the zone.
+     * Called once no unresponsive machine can be running the tasks.
      */
     void allocateUnaccounted(Job job) {
         job.unaccounted().stream().boxed().toList().forEach(index -> allocateIfInherited(job, index));
@@ -131,8 +131,8 @@
     }
 
     /**
-     * Resends the withheld starts whose jobs are within quota. The previous leader may have logged a start but released
-     * its task without sending it, and then given its share of the quota to another task.
+     * Resends the withheld starts whose jobs are within quota. The previous leader may have logged a start, released
+     * the task without sending the start, and given the task's quota to another task.
      */
     void resendWithinQuota(Predicate<Job> isWithinQuota) {
         withheldAllocations.removeIf(allocation -> !allocation.isLost() || !isAllocated(allocation));
@@ -151,9 +151,9 @@
     }
 
     /**
-     * Drops the starts that no longer bind a task to a machine: starts to removed machines, starts of tasks that are
-     * done, and starts of tasks with a later attempt. A leader begins a later attempt only once the earlier start can
-     * no longer be executed. Called regularly.
+     * Stops tracking starts to removed machines, starts of completed tasks or ended jobs, and starts of tasks with a
+     * later attempt. The last also stop being outstanding, since a leader begins a later attempt only once the earlier
+     * start can no longer be executed. Called regularly.
      */
     void stopTrackingObsolete() {
         for (OutstandingStart start : List.copyOf(newestByTask.values())) {
@@ -175,7 +175,7 @@
                 .isPresent();
     }
 
-    /** Drops a start that can no longer be executed, or whose execution would be harmless. */
+    /** Marks a start as no longer outstanding, because it can't be executed any more or its execution is harmless. */
     void drop(OutstandingStart start) {
         if (cluster.contains(start.machine())) {
             AgentState agent = registry.agentOf(start.machine());
--- a/src/main/java/io/quartzgw/agent/StartLogUpdater.java
+++ b/src/main/java/io/quartzgw/agent/StartLogUpdater.java
@@ -8,8 +8,8 @@
 import java.util.stream.Stream;
 
 /**
- * Keeps the starts that direct calls may carry in the start log, from before a call is sent until the start can no
- * longer be executed. The next leader reads them there and does not place their tasks on other machines.
+ * Keeps in the start log every start that a direct call may carry, from before the call is sent until the start can no
+ * longer be executed. The next leader reads these starts and does not place their tasks on other machines.
  */
 final class StartLogUpdater {
     private final StartLog log;
@@ -36,7 +36,7 @@
         log.setStarts(machine, Set.of());
     }
 
-    /** Returns whether a start may be sent in a direct call, which requires that the log has stored it. */
+    /** Returns whether a start may be sent in a direct call, which requires that it is stored in the log. */
     boolean maySendDirectly(AgentState agent, Attempt attempt) {
         return log.maySendDirectly(agent.machine().id(), attempt);
     }
--- a/src/main/java/io/quartzgw/app/AgentReachability.java
+++ b/src/main/java/io/quartzgw/app/AgentReachability.java
@@ -7,12 +7,16 @@
 
 /**
  * Detects that the leader is partitioned from its agents. During such a partition the agents' leases expire, but the
- * leader's own lease does not. Other controllers notice it, since agents without a response send heartbeats to them.
+ * leader's own lease does not. Other controllers detect the partition, since agents without a response send heartbeats
+ * to them.
  */
 final class AgentReachability {
     /** An agent is unresponsive if this leader has not responded to it for this many heartbeat intervals. */
     private static final int UNRESPONSIVE_HEARTBEATS = 2;
-    /** A short failover costs less than the expiry of more than this fraction of the agents' leases. */
+    /**
+     * If more than this fraction of the agents is unresponsive, a failover is worthwhile: it is short and costs less
+     * than the expiry of their leases.
+     */
     private static final double PARTITIONED_FRACTION = 0.25;
 
     private final EventLoop eventLoop;
@@ -30,7 +34,7 @@
         this.electedAt = eventLoop.nowMs();
     }
 
-    /** Whether many agents are unresponsive, and more than half as many agents reach another controller. */
+    /** Whether many agents are unresponsive and another controller reaches more agents than half their number. */
     boolean isPartitioned() {
         long running = 0;
         long unresponsive = 0;
--- a/src/main/java/io/quartzgw/app/Controller.java
+++ b/src/main/java/io/quartzgw/app/Controller.java
@@ -26,8 +26,8 @@
 import java.util.function.Supplier;
 
 /**
- * The deterministic core of one controller: the components of all packages, wired around one event loop. Owns the
- * components that live as long as the process; a {@link LeaderRuntime} owns those that live for one term of leadership.
+ * Creates and connects the components of one controller, which all run on one event loop. Owns the components that
+ * exist as long as the process; a {@link LeaderRuntime} owns those that exist for one term of leadership.
  */
 public final class Controller {
     private static final int READINESS_RETRY_S = 1;
@@ -87,7 +87,7 @@
         return new PeerExchange.Participants(leadership, store, cancellations, watermark, writeBudget);
     }
 
-    /** Starts all components; must be called within the event loop's first batch. */
+    /** Starts all components; must be called after the event loop's first batch, which sets the clock. */
     public void start() {
         RequestRouter router = new RequestRouter(eventLoop, requestHandlers());
         eventLoop.onRequest(router::route);
@@ -107,7 +107,7 @@
         return leadership.term();
     }
 
-    /** Whether this controller knows that a job is cancelled, so it must not start any of the job's tasks. */
+    /** Whether this controller has recorded that a job is cancelled. It must not start any of the job's tasks then. */
     public boolean isKnownCancelled(String job) {
         return cancellations.contains(job);
     }
@@ -124,9 +124,10 @@
                 new RequestRouter.PeerHandlers(peers::serve, this::serveMetrics));
     }
 
-    // Only failed requests to the state service count: a controller that has sent none for a while stays ready. A
-    // controller that can't reach the state service can't serve users, so it is not ready. The exception is an outage
-    // for all controllers: leaving the load balancer would then only reset every user's connection.
+    // A controller is not ready while its requests to the state service keep failing, because it can't serve users
+    // then.
+    // A controller that has sent no request for a while stays ready. If no other controller reaches the state service
+    // either, it also stays ready: removing all controllers from the load balancer would only reset users' connections.
     private void serveReadiness(Request request) {
         boolean ready = leadership.hasReadElectionState()
                 && catalog.isKnown()
@@ -157,8 +158,8 @@
     private final class LeadershipChanges implements Leadership.Listener {
         @Override
         public void elected(long term, long termRevision) {
-            // A previous leader responds to agents for its grace period after the time up to which it knows every
-            // cancellation. This controller has announced no cancellation to it since the election.
+            // A previous leader stops responding to agents one grace period after the time up to which it knows every
+            // cancellation. This controller has sent it none since the election, so that time is not after now.
             long previousLeaderActiveUntilMs = eventLoop.nowMs() + timing.graceMs();
             LeaderRuntime runtime = new LeaderRuntime(services(), previousLeaderActiveUntilMs);
             leader = Optional.of(runtime);
--- a/src/main/java/io/quartzgw/app/ControllerProcess.java
+++ b/src/main/java/io/quartzgw/app/ControllerProcess.java
@@ -46,9 +46,10 @@
         this.eventLoop = new EventLoop(process);
         this.controller = new Controller(eventLoop, settings, process, metrics::snapshot);
         SocketBudget sockets = SocketBudget.of(settings.maxSockets());
-        // The queue has room for one request per connection, since a client has one request in flight. All clients
-        // may send to a new leader at the same time, and a rejection would only send them to another controller first.
+        // The queue has room for one request per connection, since a client has one request in flight. All clients may
+        // send to a new leader at the same time, and a rejected one would only take a detour by another controller.
         this.eventLoopThread = new EventLoopThread(eventLoop, sockets.clientConnections(), this::performEffect);
+        // The thread named "owner" runs the event loop.
         this.thread = new Thread(null, eventLoopThread, "owner", STACK_BYTES);
         this.ioWorker = Xnio.getInstance()
                 .createWorker(OptionMap.builder()
--- a/src/main/java/io/quartzgw/app/FleetScalingThrottle.java
+++ b/src/main/java/io/quartzgw/app/FleetScalingThrottle.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * Limits how often the fleet is scaled. A run examines every machine and waiting job, and renting a machine takes far
- * longer than the cooldown between two runs.
+ * Limits how often the fleet is scaled. A run is expensive because it examines every machine and waiting job. The
+ * cooldown between two runs delays it by far less than the time that renting a machine takes.
  */
 final class FleetScalingThrottle {
     private static final double COOLDOWN_HEARTBEATS = 0.1;
@@ -49,6 +49,7 @@
             return;
         }
         coolingDown = true;
+        // True if the cloud's request limit was reached.
         runDue = fleet.scale(unplaced, allocationsKnown);
         eventLoop.after(cooldownMs, () -> coolingDown = false);
     }
--- a/src/main/java/io/quartzgw/app/Main.java
+++ b/src/main/java/io/quartzgw/app/Main.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** LoopEvent line entry point. */
+/** Command line entry point. */
 @Command(
         name = "quartzgw",
         mixinStandardHelpOptions = true,
@@ -63,9 +63,10 @@
         return 0;
     }
 
-    // Unique among all processes of the member. Also a random seed: members that start at the same time must draw
-    // different numbers. A member may restart within a fraction of a second while its wall clock drifts, so the
-    // monotonic clock is mixed in as well.
+    // Returns a number that differs, with high probability, for each process of each controller. It also seeds the
+    // random
+    // numbers, which must differ between controllers that start at the same time. A controller may restart within a
+    // fraction of a second while its wall clock is adjusted, so the monotonic clock is mixed in as well.
     private static long newProcessNumber(String member) {
         long mixed = System.currentTimeMillis() * 1_000_003
                 + System.nanoTime() * 31
--- a/src/main/java/io/quartzgw/app/SettingsReader.java
+++ b/src/main/java/io/quartzgw/app/SettingsReader.java
@@ -30,7 +30,7 @@
 
     private SettingsReader() {}
 
-    /** Reads and validates a settings file; the exception names the first invalid field. */
+    /** Reads and validates a settings file. The exception names the first invalid field, if the file can be parsed. */
     public static Settings read(Path file) throws InvalidSettingsException {
         try {
             return read(Files.readString(file));
--- a/src/main/java/io/quartzgw/fleet/FencingPolicy.java
+++ b/src/main/java/io/quartzgw/fleet/FencingPolicy.java
@@ -17,8 +17,14 @@
  *
  * <p>A machine that is not in use is fenced at once. A machine in use is evacuated first, for a limited time. The
  * number of machines evacuated at a time is also limited, so that neither a partition nor a burst of lost direct calls
- * costs most of the fleet. That limit does not apply to machines that may start a task of a cancelled job: all of them
- * are deleted within the time limit of the cancellation.
+ * causes most of the fleet to be deleted.
+ *
+ * <p>For machines that may start a task of a cancelled job, that limit applies only during the first half of the
+ * cancellation's time limit, so that all of them are deleted in time. If the leader may soon be unable to delete
+ * machines, they are deleted at once, even if they are in use.
+ *
+ * <p>Several durations are fractions of a reservation, which is the time for which the capacity of an unresponsive
+ * machine stays reserved.
  */
 final class FencingPolicy {
     private static final Logger LOG = LoggerFactory.getLogger(FencingPolicy.class);
@@ -30,9 +36,11 @@
     private static final double LOST_ATTEMPT_GRACE_RESERVATIONS = 1;
     /** How long a machine in use is evacuated before it is deleted, in reservations. */
     private static final double EVACUATION_RESERVATIONS = 1.5;
-    /** From this fraction of a cancellation's time limit on, the limit of machines being evacuated is ignored. */
+    /** Fraction of a cancellation's time limit after which the limit of machines being evacuated is ignored. */
     private static final double UNLIMITED_EVACUATION_AFTER = 0.5;
-    /** At this fraction of a cancellation's time limit the machine is deleted; the rest is for the cloud's response. */
+    /**
+     * Fraction of a cancellation's time limit after which a machine is deleted; the rest is for the cloud's response.
+     */
     private static final double DELETE_AFTER = 0.8;
     /** The maximum fraction of the machines that is evacuated for fencing at a time. */
     private static final double MAX_EVACUATED_FRACTION = 0.05;
@@ -94,7 +102,8 @@
                         .anyMatch(allocation -> allocation.isLostFor(responseWaitMs, eventLoop.nowMs()));
     }
 
-    // The starts of lost attempts are sent again to a reachable agent.
+    // Considers unreachable agents only, because the starts of lost attempts are sent again to a reachable agent. Once
+    // the reservation has expired, there is no grace time.
     private boolean hasUnreachableLostAttempt(Machine machine) {
         if (!machine.reservationExpired() && !machine.liveness().unreachable()) {
             return false;
@@ -103,15 +112,16 @@
         return machine.allocations().stream().anyMatch(allocation -> allocation.isLostFor(waitMs, eventLoop.nowMs()));
     }
 
-    // Covers reachable agents too: a start is not sent again while its machine lacks free capacity, nor while the
-    // inherited starts of a team together exceed its quota. Such starts would wait for each other.
+    // Applies to reachable agents too. Their starts are not sent again while the machine lacks free capacity or while
+    // the
+    // inherited starts of a team together exceed its quota. Without this limit, such starts could block each other.
     private boolean hasOverdueLostAttempt(Machine machine) {
         return machine.allocations().stream()
                 .anyMatch(allocation -> allocation.isLostFor(lostAttemptGraceMs, eventLoop.nowMs()));
     }
 
-    // The acknowledged cancellation guarantees that none of the job's tasks runs after the time limit. The limit of
-    // machines being evacuated must not delay that.
+    // An acknowledged cancellation guarantees that none of the job's tasks runs after the time limit. The limit of
+    // machines being evacuated must not delay the deletion beyond that.
     private void fenceBeforeCancellationDeadline(Machine machine) {
         OptionalLong cancelledAtMs = LateStartsOfCancelledTasks.firstCancellationMs(machine);
         if (cancelledAtMs.isEmpty() || eventLoop.nowMs() < cancelledAtMs.getAsLong() + ignoreEvacuationLimitMs) {
@@ -119,19 +129,21 @@
         }
         long deadlineMs = cancelledAtMs.getAsLong() + cancelDeletionMs;
         if (deadlineMs < machine.fencing().deletionDeadlineMs()) {
+            // Counts machines that are fenced regardless of the limit of machines being evacuated.
             eventLoop.increment("fencing.out_of_turn", 1);
             fence(machine, deadlineMs);
         }
     }
 
-    // The state service does not renew the leader's lease, and it may recover only after the cancellation's time limit.
+    // Called while the leader's lease is not being renewed. The state service may recover only after the cancellation's
+    // time limit, and an unconfirmed leader can't delete machines. So the machine is deleted at once.
     private void fenceIfCancelledTaskMayStart(Machine machine) {
         if (LateStartsOfCancelledTasks.firstPossibleCancellationMs(machine).isPresent()) {
             fence(machine, eventLoop.nowMs());
         }
     }
 
-    // Machines that block an open job come first: nothing waits for the tasks of a cancelled job.
+    // Machines with an unfenced attempt of an open job come first: nothing waits for the tasks of a cancelled job.
     private void fenceWithinEvacuationLimit(List<Machine> machines) {
         long allowed = Math.max(MIN_EVACUATION_LIMIT, (long)
                         (MAX_EVACUATED_FRACTION * cluster.machines().size()))
@@ -163,6 +175,7 @@
         machine.fence(deadlineMs);
     }
 
+    // The machine is drained and then deleted; evacuation_ms is the time until the deletion deadline.
     private void logFencing(Machine machine, long deadlineMs) {
         eventLoop.increment("fencing.machines", 1);
         LOG.atInfo()
--- a/src/main/java/io/quartzgw/leadership/Candidacy.java
+++ b/src/main/java/io/quartzgw/leadership/Candidacy.java
@@ -12,17 +12,18 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Runs the election attempts of this controller, one at a time, while there is no leader. */
+/** Runs the election attempts of this controller, one at a time, while the leadership is vacant. */
 final class Candidacy {
     private static final Logger LOG = LoggerFactory.getLogger(Candidacy.class);
 
+    /** The value of {@code holdBackUntilMs} if the previous leader was not deposed. */
     private static final long NOT_DELAYED = Long.MIN_VALUE;
 
     private static final int RETRY_DELAY_MS = 250;
     /** Spreads the attempts of the candidates, so that usually one transaction succeeds without a conflict. */
     private static final int MAX_JITTER_MS = 60;
 
-    /** The role that a candidacy queries and notifies. */
+    /** The leadership state of this controller, which a candidacy queries and notifies. */
     interface LeadershipState {
         boolean leading();
 
@@ -37,15 +38,18 @@
      *
      * @param termRevision the revision of the term key that the election wrote
      * @param requestedAtMs when the lease was requested, which is the earliest time at which it can have started
-     * @param holdBackUntilMs the time until which a deposed leader may consider itself confirmed; this leader does not
-     *     count as confirmed before
+     * @param holdBackUntilMs this leader does not count as confirmed before that time, because until then a deposed
+     *     leader ({@link LeaderDeposition}) may still consider itself confirmed
      */
     record WonElection(long term, long termRevision, long leaseId, long requestedAtMs, long holdBackUntilMs) {}
 
     /** The candidacy reason and the controller that the leader record names, or an empty string. */
     private record Status(CandidacyReason reason, String leader) {}
 
-    /** An election attempt: the term to win, and the revisions of the election keys that its transaction requires. */
+    /**
+     * An election attempt (not an attempt of a task): the term to win, and the revisions of the election keys that its
+     * transaction requires. It is logged under the names of its components.
+     */
     private record Attempt(
             long term,
             long requiredLeaderRevision,
@@ -167,6 +171,7 @@
         store.grantLease(timing.leaseMs(), grant -> onLeaseGrant(attempt, grant));
     }
 
+    // For a new attempt: the time before which its leader must not count as confirmed.
     private long holdBackUntilMs() {
         boolean previousLeaderDeposed = state.deposedTerm() > 0 && state.deposedTerm() == state.term();
         return previousLeaderDeposed ? eventLoop.nowMs() + timing.leaseMs() : NOT_DELAYED;
@@ -174,7 +179,8 @@
 
     /**
      * Returns the time before which a leader must not count as confirmed, for a term that this candidacy won without
-     * receiving the outcome.
+     * receiving the outcome. If the attempt is no longer known, assumes that the previous leader was deposed, and waits
+     * for one lease.
      */
     long holdBackUntilMs(long wonTerm) {
         return lastAttempt
--- a/src/main/java/io/quartzgw/recovery/ReservationExpiry.java
+++ b/src/main/java/io/quartzgw/recovery/ReservationExpiry.java
@@ -8,7 +8,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Releases the capacity reserved on machines whose agents have been unresponsive for longer than a lease. */
+/**
+ * Releases the capacity reserved on machines whose agents have been unresponsive for longer than a reservation. By then
+ * the agents' leases have expired ({@link RecoveryTiming}).
+ */
 final class ReservationExpiry {
     private static final Logger LOG = LoggerFactory.getLogger(ReservationExpiry.class);
 
@@ -30,6 +33,7 @@
                 .forEach(this::release);
     }
 
+    // Whether the reservation has lasted long enough but is not yet marked as expired.
     private boolean isExpiryDue(Machine machine) {
         ClusterState cluster = leader.cluster();
         boolean reserved = !machine.reservationExpired()
@@ -44,6 +48,7 @@
                 .addKeyValue("machine", machine.id())
                 .addKeyValue("released_tasks", allocated - machine.allocations().size())
                 .log("reservation expired");
+        // Counts expired reservations.
         leader.eventLoop().increment("machines.given_up", 1);
         machine.expireReservation();
         leader.cluster().markChanged();
--- a/src/main/java/io/quartzgw/scheduling/MachineFencing.java
+++ b/src/main/java/io/quartzgw/scheduling/MachineFencing.java
@@ -15,6 +15,10 @@
  * <p>An attempt is unfenced if it has ended while a direct call that may still start it is unanswered. The agent that
  * ran the attempt ignores a late start of it, but an agent that replaces it on the same machine does not. So the task
  * is not started elsewhere until the call is answered or the machine no longer exists.
+ *
+ * <p>Only attempts whose allocation was retained as unfenced are included. A lost attempt that keeps its allocation on
+ * the machine is not, although the metrics count it as unfenced. Fencing a machine is unrelated to fencing tokens, by
+ * which agents reject calls.
  */
 public final class MachineFencing {
     private static final long NOT_FENCED = Long.MAX_VALUE;
@@ -23,8 +27,8 @@
     private final Map<String, Allocation> unfenced = new LinkedHashMap<>();
 
     /**
-     * Cancellation time of the job by start command. These are starts of cancelled jobs that a direct call may still
-     * carry and that have no allocation.
+     * Starts of cancelled jobs that a direct call may still carry and that have no allocation, with the time when the
+     * job was cancelled.
      */
     private final Map<Attempt, Long> cancelledStarts = new HashMap<>();
 
@@ -84,19 +88,19 @@
     }
 
     /**
-     * Records that direct calls of previous leaders may carry starts to the machine that this leader does not track.
+     * Records that direct calls of previous leaders may carry starts that this leader does not track to the machine.
      */
     public void markUnknownStartsPossible() {
         unknownStarts = true;
     }
 
-    /** Whether direct calls of previous leaders may carry starts to the machine that this leader does not track. */
+    /** Whether direct calls of previous leaders may carry starts that this leader does not track to the machine. */
     public boolean mayReceiveUnknownStarts() {
         return unknownStarts;
     }
 
     /**
-     * Begins to fence the machine.
+     * Begins to fence the machine, or moves the deadline forward if the new one is earlier.
      *
      * @param deadlineMs when the machine is deleted, even if tasks still run there
      */
--- a/src/main/java/io/quartzgw/startlog/StartLog.java
+++ b/src/main/java/io/quartzgw/startlog/StartLog.java
@@ -23,7 +23,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Records in the state service, during one term, the starts that direct calls may carry, by machine.
+ * Stores, for each machine, the starts that direct calls (requests from the leader to an agent) may carry. One instance
+ * serves one term.
  *
  * <p>A start is sent in a direct call only after it is stored here. The next leader can therefore read every
  * outstanding start, even if all controllers crash. One write stores all waiting starts. While the write budget is
@@ -40,9 +41,9 @@
     private static final Logger LOG = LoggerFactory.getLogger(StartLog.class);
     /** Fraction of this controller's write budget that the log may use while starts wait to be stored. */
     private static final double WRITE_FRACTION = 0.5;
-    /** Fraction of the write budget for writes that only remove dropped starts. */
+    /** Fraction of the write budget for writes that only remove starts that were dropped from memory but are stored. */
     private static final double CLEANUP_FRACTION = 0.1;
-    /** Delay before dropped starts are removed if no other start is written, in heartbeat intervals. */
+    /** Delay before a page with dropped starts is written, in heartbeat intervals; a new start may write it earlier. */
     private static final double CLEANUP_DELAY_HEARTBEATS = 2;
     /** Delay after a failed write, in heartbeat intervals. */
     private static final double RETRY_DELAY_HEARTBEATS = 0.1;
@@ -65,7 +66,7 @@
     private final List<String> nonPageKeys = new ArrayList<>();
 
     private final Map<String, Map<Attempt, LogEntry>> entriesByMachine = new HashMap<>();
-    /** Entries that are not stored yet, in the order of their announcement. */
+    /** Entries that are not stored yet, in the order in which they were added. */
     private final Set<LogEntry> waiting = new LinkedHashSet<>();
 
     private Consumer<String> onStored = machine -> {};
@@ -137,6 +138,7 @@
         } else {
             nonPageKeys.add(page.key());
         }
+        // Other keys with the log's prefix count as unreadable pages too.
         eventLoop.increment("startlog.unreadable_pages", 1);
         LOG.atWarn()
                 .addKeyValue("key", page.key())
@@ -164,7 +166,9 @@
 
     // ---- this leader's starts
 
-    /** Sets the complete set of starts that direct calls to a machine may carry, now or from earlier calls. */
+    /**
+     * Replaces the starts of a machine: all that a direct call may carry from now on or that earlier ones may deliver.
+     */
     public void setStarts(String machine, Set<Attempt> starts) {
         Map<Attempt, LogEntry> current = entriesByMachine.getOrDefault(machine, Map.of());
         current.values().stream()
@@ -207,7 +211,10 @@
         }
     }
 
-    /** Returns whether an announced start is stored, so that a direct call may carry it. */
+    /**
+     * Returns whether a direct call may carry a start: it is stored, and the replicas of controllers of an earlier
+     * version are invalidated, so that they do not read them after a failover.
+     */
     public boolean maySendDirectly(String machine, Attempt start) {
         LogEntry entry = entriesByMachine.getOrDefault(machine, Map.of()).get(start);
         return entry != null && entry.isStored() && legacyReplicas.areInvalidated();
@@ -260,12 +267,12 @@
         } else {
             writeMonitor.onWriteFailed(startedAtMs, waiting.size());
             nextWriteAtMs = eventLoop.nowMs() + retryDelayMs;
-            scheduleCleanup();
+            scheduleCleanup(); // the failed write may have included a cleanup
         }
     }
 
     private void markStored(LogEntry entry) {
-        // An entry dropped during the write must not count as stored; announcing its start again creates a new entry.
+        // An entry dropped during the write must not count as stored; adding its start again creates a new entry.
         if (waiting.remove(entry)) {
             entry.markStored();
             eventLoop.increment("startlog.starts", 1);
--- a/src/test/java/io/quartzgw/progress/ProgressRecorderTest.java
+++ b/src/test/java/io/quartzgw/progress/ProgressRecorderTest.java
@@ -94,10 +94,11 @@
                 Job found = successor.findJob(job.id()).orElseThrow();
                 assertTrue(
                         found.recordedStartLimit() >= job.recordedStartLimit(),
-                        "round " + round + ": " + found.recordedStartLimit() + " recorded of "
-                                + job.recordedStartLimit());
+                        "round " + round + ": the successor loaded the start limit " + found.recordedStartLimit()
+                                + ", recorded was " + job.recordedStartLimit());
                 found.done().and(job.recordedDone());
-                assertEquals(job.recordedDone(), found.done(), "tasks that agents no longer report are recorded");
+                assertEquals(
+                        job.recordedDone(), found.done(), "the successor loads every task that is recorded as done");
             }
         }
         assertTrue(
--- a/src/test/java/io/quartzgw/store/RequestQueueTest.java
+++ b/src/test/java/io/quartzgw/store/RequestQueueTest.java
@@ -88,8 +88,9 @@
         assertEquals("/write", sent.get(10));
     }
 
-    // Guards against starvation of submissions by a leader that always has urgent writes, and of its background writes,
-    // on which starts may depend, by submissions.
+    // Guards against two kinds of starvation: urgent writes of a leader must not starve submissions, and submissions
+    // must
+    // not starve the leader's background writes, on which starts may depend.
     @Test
     void sendsLongWaitingWritesBeforeLaterUrgentWrites() {
         RequestQueue queue = new RequestQueue(eventLoop, LIMITS, reply -> {});
--- a/src/test/java/io/quartzgw/store/WriteBudgetAllocatorTest.java
+++ b/src/test/java/io/quartzgw/store/WriteBudgetAllocatorTest.java
@@ -19,7 +19,9 @@
     private static final long HEARTBEAT_MS = 800;
     private static final long STEP_MS = 50;
     private static final StoreLimits LIMITS = new StoreLimits(100, 15, 4096, 12);
+    /** Controllers use nine tenths of the state service's limit ({@link StoreLimits}). */
     private static final double MAX_PER_S = 0.9 * LIMITS.writesPerS();
+
     private static final double EPSILON = 1e-9;
 
     private final SplittableRandom random = new SplittableRandom(3);
@@ -107,7 +109,7 @@
             }
             deliverDueResponses(responses, nowMs);
             double total = totalWritesPerS(controllers, nowMs);
-            assertTrue(total <= MAX_PER_S + EPSILON, "at " + nowMs + ": " + total);
+            assertTrue(total <= MAX_PER_S + EPSILON, "total write rate at " + nowMs + " ms: " + total);
             maxTotalPerS = Math.max(maxTotalPerS, total);
         }
         assertTrue(maxTotalPerS > 0.95 * MAX_PER_S, "the limit is nearly reached: " + maxTotalPerS);
@@ -151,6 +153,7 @@
                 EPSILON);
     }
 
+    // Checks TokenBucket, which adds a grant to the base rate until the grant expires.
     @Test
     void dropsUnusedTokensWhenGrantExpires() {
         TokenBucket budget = new TokenBucket(2, 0);
