--- a/src/main/java/io/quartzgw/agent/AgentManager.java
+++ b/src/main/java/io/quartzgw/agent/AgentManager.java
@@ -160,9 +160,9 @@
     }
 
     /**
-     * Takes over the starts of previous leaders that may still be executed.
+     * Inherits the starts of previous leaders that may still be executed.
      *
-     * @return the number of starts taken over, excluding starts to removed machines and starts of tasks that have ended
+     * @return the number of inherited starts, excluding starts to removed machines and starts of tasks that have ended
      */
     public int inheritStarts(Collection<MachineStarts> previousStarts) {
         int inherited = inheritedStarts.inherit(previousStarts);
@@ -179,11 +179,11 @@
     }
 
     /**
-     * Updates whether a machine runs orphaned attempts. They use capacity that no allocation of an open job accounts
-     * for until they have stopped.
+     * Updates whether a machine runs orphaned attempts. Until these have stopped, they use capacity that belongs to no
+     * allocation of an open job.
      */
-    public void updateUnaccountedCapacity(Machine machine) {
-        reconciler.updateUnaccountedCapacity(machine);
+    public void updateOrphanCapacity(Machine machine) {
+        reconciler.updateOrphanCapacity(machine);
     }
 
     /** Handles that completions of tasks of a job have been recorded: the agents may remove those attempts. */
@@ -197,8 +197,8 @@
     }
 
     /**
-     * Handles that no attempt runs on a machine any more, although the machine may be rebooted. Its tasks become free
-     * to be placed on other machines, except those whose start is outstanding.
+     * Handles that no attempt runs on a machine any longer; the machine may have been rebooted. Its tasks may then be
+     * placed on other machines, except those whose start is outstanding.
      */
     public void allAttemptsLost(Machine machine) {
         allocationRelease.allAttemptsLost(machine);
--- a/src/main/java/io/quartzgw/agent/AgentState.java
+++ b/src/main/java/io/quartzgw/agent/AgentState.java
@@ -28,7 +28,7 @@
     private final Set<Attempt> exited = new HashSet<>();
     /** Exited attempts that the agent may remove, because their outcome is recorded or needs no record. */
     private final Set<Attempt> removable = new HashSet<>();
-    /** Exited attempts whose task is not completed and has to be started again. */
+    /** Exited attempts whose task is not completed and must be started again. */
     private final Set<Attempt> unfinished = new HashSet<>();
     /** Attempts that run without an allocation and must be stopped. */
     private final Set<Attempt> orphans = new HashSet<>();
@@ -87,7 +87,7 @@
         exited.add(attempt);
     }
 
-    /** Records that the task of an exited attempt has to be started again. */
+    /** Records that the task of an exited attempt must be started again. */
     void addUnfinished(Attempt attempt) {
         unfinished.add(attempt);
     }
@@ -138,7 +138,7 @@
         return outstandingStarts.isOutstandingFor(agent, attempt);
     }
 
-    /** Returns whether the start of an allocation still has to be sent. */
+    /** Returns whether the start of an allocation must still be sent. */
     boolean isStartPending(Allocation allocation) {
         return !allocation.observed()
                 && !allocation.stopping()
--- a/src/main/java/io/quartzgw/agent/AllocationRelease.java
+++ b/src/main/java/io/quartzgw/agent/AllocationRelease.java
@@ -51,7 +51,7 @@
 
     private boolean isSafeToRelease(Allocation allocation) {
         // A completed task is not started again, so a late start needs no protection.
-        return allocation.job().isDone(allocation.index()) || !isStartOutstanding(allocation);
+        return allocation.job().isCompleted(allocation.index()) || !isStartOutstanding(allocation);
     }
 
     /**
@@ -59,7 +59,7 @@
      * not done. The agent may be a replacement for the one that lost the attempt.
      */
     private boolean isResponseAwaited(Allocation allocation) {
-        return !allocation.job().isDone(allocation.index())
+        return !allocation.job().isCompleted(allocation.index())
                 && registry.agentOf(allocation.machine())
                         .outstandingStarts()
                         .isResponseAwaited(Attempts.of(allocation), eventLoop.nowMs());
--- a/src/main/java/io/quartzgw/agent/EndedJobStarts.java
+++ b/src/main/java/io/quartzgw/agent/EndedJobStarts.java
@@ -17,8 +17,8 @@
 
 /**
  * Resolves the outstanding starts of jobs that have ended, whether sent by this leader or by a previous one. How a job
- * ended has to be looked up. The start of a cancelled job must not be executed, so its machine is fenced. The start of
- * a completed job is dropped, since its execution would be harmless.
+ * ended must be looked up. The start of a cancelled job must not be executed, so its machine is fenced. The start of a
+ * completed job is dropped, since its execution would be harmless.
  */
 final class EndedJobStarts {
     private static final Logger LOG = LoggerFactory.getLogger(EndedJobStarts.class);
@@ -62,7 +62,7 @@
 
     /**
      * Returns whether a start belongs to an ended job and has no allocation. An allocation already protects its start,
-     * since it is retained until the machine is gone ({@link AllocationRelease}).
+     * since it is retained until the machine is deleted ({@link AllocationRelease}).
      */
     private boolean isOfEndedJob(Machine machine, Attempt start) {
         Allocation allocation = machine.allocation(start.task());
--- a/src/main/java/io/quartzgw/agent/EndedJobs.java
+++ b/src/main/java/io/quartzgw/agent/EndedJobs.java
@@ -14,7 +14,7 @@
         /**
          * The job was cancelled.
          *
-         * @param atMs when the cancellation was acknowledged to a user, if this controller knows the time
+         * @param atMs when the cancellation was acknowledged to a user, if this controller has recorded the time
          */
         record Cancelled(OptionalLong atMs) implements Outcome {}
     }
--- a/src/main/java/io/quartzgw/agent/HeartbeatProcessor.java
+++ b/src/main/java/io/quartzgw/agent/HeartbeatProcessor.java
@@ -177,12 +177,12 @@
                 .addKeyValue("epoch", heartbeat.epoch())
                 .log("agent epoch changed");
         agent.epochChanged();
-        reconciler.updateUnaccountedCapacity(machine);
+        reconciler.updateOrphanCapacity(machine);
         allocationRelease.allAttemptsLost(machine);
         machine.liveness().markUnreachable(eventLoop.nowMs());
     }
 
-    /** Handles a replacement agent on a machine: the tasks of the previous agent are gone. */
+    /** Handles a replacement agent on a machine: the attempts of the previous agent no longer run. */
     private void onAgentReplaced(AgentState agent, Heartbeat heartbeat) {
         Machine machine = agent.machine();
         LOG.atInfo()
@@ -190,7 +190,7 @@
                 .addKeyValue("epoch", heartbeat.epoch())
                 .log("agent replaced");
         agent.agentReplaced();
-        reconciler.updateUnaccountedCapacity(machine);
+        reconciler.updateOrphanCapacity(machine);
         machine.liveness().recordAgentReplacement(heartbeat.id());
         allocationRelease.allAttemptsLost(machine);
     }
--- a/src/main/java/io/quartzgw/agent/InheritedStarts.java
+++ b/src/main/java/io/quartzgw/agent/InheritedStarts.java
@@ -87,7 +87,7 @@
     private boolean isOfUnfinishedTask(OutstandingStart start) {
         Attempt attempt = start.attempt();
         return Attempts.openJob(attempt, cluster)
-                .filter(job -> !job.isDone(attempt.index()))
+                .filter(job -> !job.isCompleted(attempt.index()))
                 .isPresent();
     }
 
--- a/src/main/java/io/quartzgw/agent/OutstandingStarts.java
+++ b/src/main/java/io/quartzgw/agent/OutstandingStarts.java
@@ -67,7 +67,10 @@
         unanswered.computeIfAbsent(start, attempt -> new HashSet<>()).add(fence);
     }
 
-    /** Removes a start that no unanswered direct call can execute any more, or whose execution would be harmless. */
+    /**
+     * Removes a start that can no longer be executed from an unanswered direct call, or whose execution would be
+     * harmless.
+     */
     void removeUnanswered(Attempt start) {
         unanswered.remove(start);
     }
--- a/src/main/java/io/quartzgw/agent/TaskReconciler.java
+++ b/src/main/java/io/quartzgw/agent/TaskReconciler.java
@@ -71,7 +71,7 @@
                 reconcileRunning(agent, task, allocation.or(() -> restoreUnfenced(machine, task.attempt())));
             }
         }
-        updateUnaccountedCapacity(machine);
+        updateOrphanCapacity(machine);
         agent.endTaskList();
         releaseUnreported(machine, reported);
     }
@@ -110,10 +110,10 @@
     }
 
     /**
-     * Updates whether a machine runs orphaned attempts. They use capacity that no allocation of an open job accounts
-     * for until they have stopped.
+     * Updates whether a machine runs orphaned attempts. Until these have stopped, they use capacity that belongs to no
+     * allocation of an open job.
      */
-    void updateUnaccountedCapacity(Machine machine) {
+    void updateOrphanCapacity(Machine machine) {
         cluster.setMayRunOrphans(
                 machine,
                 cluster.contains(machine)
@@ -146,7 +146,7 @@
     }
 
     private static boolean needsAllocation(Job job, Attempt attempt) {
-        return !job.isDone(attempt.index()) && job.allocation(attempt.index()) == null;
+        return !job.isCompleted(attempt.index()) && job.allocation(attempt.index()) == null;
     }
 
     private static Allocation.Phase phaseOf(Heartbeat.TaskState state) {
@@ -183,15 +183,15 @@
         Machine machine = agent.machine();
         machine.exclusions().recordJobSuccess();
         machine.cacheImage(job.spec().image(), job.spec().imageGb());
-        if (!job.isDone(attempt.index())) {
-            cluster.markDone(job, attempt.index());
+        if (!job.isCompleted(attempt.index())) {
+            cluster.markCompleted(job, attempt.index());
             Allocation other = job.allocation(attempt.index());
             if (other != null && other != allocation.orElse(null)) {
                 registry.requestStop(other, 0, StopReason.COMPLETED_ELSEWHERE);
             }
             onTaskCompleted.accept(job, attempt.index());
         }
-        if (job.recordedDone(attempt.index())) {
+        if (job.recordedCompleted(attempt.index())) {
             agent.addRemovable(attempt);
         }
     }
@@ -217,7 +217,7 @@
         agents.removeIf(agent -> agent.exitedAttempts(job.id()).isEmpty());
         for (AgentState agent : agents) {
             agent.exitedAttempts(job.id()).stream()
-                    .filter(attempt -> job.isTerminal() || job.recordedDone(attempt.index()))
+                    .filter(attempt -> job.isTerminal() || job.recordedCompleted(attempt.index()))
                     .forEach(agent::addRemovable);
         }
         if (agents.isEmpty() || job.isTerminal()) {
--- a/src/main/java/io/quartzgw/app/EndedJobLookup.java
+++ b/src/main/java/io/quartzgw/app/EndedJobLookup.java
@@ -45,7 +45,7 @@
         if (result instanceof JobStore.LookupResult.Terminal terminal) {
             callback.accept(terminal.state().cancelled() ? cancelled(job) : new Outcome.Completed());
         } else if (result instanceof JobStore.LookupResult.NotFound) {
-            // No record says that the job completed, so its tasks must not be started.
+            // No record shows that the job completed, so its tasks must not be started.
             callback.accept(cancelled(job));
         } else {
             eventLoop.after(retryDelayMs, () -> lookUp(job, callback));
--- a/src/main/java/io/quartzgw/cancellation/CancellationRegistry.java
+++ b/src/main/java/io/quartzgw/cancellation/CancellationRegistry.java
@@ -10,7 +10,8 @@
 /**
  * The cancelled jobs whose cancellation this or another controller has acknowledged to a user. Every controller records
  * them, not only the leader, and announces them to the others until no task of the job can still run. So a cancellation
- * survives a crash of the controller that acknowledged it, and a new leader has it before it has read the state store.
+ * survives a crash of the controller that acknowledged it, and a new leader has it before it has read the state
+ * service.
  */
 public final class CancellationRegistry {
     /**
--- a/src/main/java/io/quartzgw/cancellation/CancellationWatermark.java
+++ b/src/main/java/io/quartzgw/cancellation/CancellationWatermark.java
@@ -10,12 +10,12 @@
  * Tracks the time before which this controller has recorded every cancellation that any controller has acknowledged to
  * a user.
  *
- * <p>There are two sources. A leader that reads the state store gets all cancellations committed before its request.
- * And a response of a peer announces all cancellations that its process has recorded, so they are known up to the time
- * when the request was sent. Cancellations that a process acknowledged between its last response and its end may have
- * reached no other controller: this is a gap. A gap is closed by a read of the state store after the peer's next
- * process was detected. It also closes once that process is older than the cancel limit, since then no task of a job
- * that was cancelled before can still run. The previous process of this controller leaves a gap, too.
+ * <p>There are two sources. A leader that reads the state service gets all cancellations committed before its request.
+ * And a response of a peer announces all cancellations that its process has recorded, so this controller then has all
+ * of them up to the time when the request was sent. Cancellations that a process acknowledged between its last response
+ * and its end may have reached no other controller: this is a gap. A gap is closed by a read of the state service after
+ * the peer's next process was detected. It also closes once that process is older than the cancel limit, since then no
+ * task of a job that was cancelled before can still run. The previous process of this controller leaves a gap, too.
  */
 public final class CancellationWatermark {
     private static final long NEVER = Long.MIN_VALUE / 2;
@@ -74,7 +74,7 @@
         storeReadAtMs = NEVER;
     }
 
-    /** Records that the leader's cluster state contains everything that was in the state store at the given time. */
+    /** Records that the leader's cluster state contains everything that was in the state service at the given time. */
     public void recordStoreRead(long readAtMs) {
         storeReadAtMs = Math.max(storeReadAtMs, readAtMs);
     }
--- a/src/main/java/io/quartzgw/eventloop/EventLoop.java
+++ b/src/main/java/io/quartzgw/eventloop/EventLoop.java
@@ -139,7 +139,7 @@
         return effects;
     }
 
-    /** The time by which {@link #processBatch} has to be called again, or {@code Long.MAX_VALUE} if no timer is set. */
+    /** The time by which {@link #processBatch} must be called again, or {@code Long.MAX_VALUE} if no timer is set. */
     public long nextTimerAt() {
         while (!timers.isEmpty() && timers.peek().cancelled) {
             timers.poll();
--- a/src/main/java/io/quartzgw/fleet/CloudClient.java
+++ b/src/main/java/io/quartzgw/fleet/CloudClient.java
@@ -61,7 +61,7 @@
         /** The cloud has no capacity for the requested offer. */
         record NoCapacity() implements RentalResult {}
 
-        /** No definite result; the same request has to be sent again. */
+        /** No definite result; the same request must be sent again. */
         record Unknown() implements RentalResult {}
     }
 
--- a/src/main/java/io/quartzgw/leadership/ElectionState.java
+++ b/src/main/java/io/quartzgw/leadership/ElectionState.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** A local copy of the election keys in the state store, kept up to date by a watch. */
+/** A local copy of the election keys in the state service, kept up to date by a watch. */
 final class ElectionState {
     private static final int RETRY_DELAY_MS = 250;
 
--- a/src/main/java/io/quartzgw/leadership/LeaderDeposition.java
+++ b/src/main/java/io/quartzgw/leadership/LeaderDeposition.java
@@ -9,7 +9,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Revokes the lease of an unresponsive leader whose lease does not expire because of outages of the state store. The
+ * Revokes the lease of an unresponsive leader whose lease does not expire because of outages of the state service. The
  * election that follows is an ordinary one.
  *
  * <p>The deposed leader may consider itself confirmed until its lease would have expired, so the next leader must not
@@ -20,7 +20,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(LeaderDeposition.class);
     /** The next leader is not deposed for this many leases after a deposition, even if it is unresponsive. */
     private static final int COOLDOWN_LEASES = 5;
-    /** The delay is short, since the state store may respond only briefly during an outage. */
+    /** The delay is short, since the state service may respond only briefly during an outage. */
     private static final int RETRY_DELAY_MS = 250;
 
     private final EventLoop eventLoop;
--- a/src/main/java/io/quartzgw/leadership/LeaderRecord.java
+++ b/src/main/java/io/quartzgw/leadership/LeaderRecord.java
@@ -6,6 +6,6 @@
  * @param member the name of the leading controller
  * @param process the number of the leader's process, which differs after a restart
  * @param term the term for which the leader was elected
- * @param leaseId the lease in the state store to which the record is attached
+ * @param leaseId the lease in the state service to which the record is attached
  */
 public record LeaderRecord(String member, long process, long term, long leaseId) {}
--- a/src/main/java/io/quartzgw/leadership/LeaderTerm.java
+++ b/src/main/java/io/quartzgw/leadership/LeaderTerm.java
@@ -26,7 +26,7 @@
         return FencingTokens.lowestOf(number);
     }
 
-    /** Returns the revision of the term key, which every write of this leader to the state store requires. */
+    /** Returns the revision of the term key, which every write of this leader to the state service requires. */
     public long termRevision() {
         return termRevision;
     }
@@ -36,7 +36,7 @@
         leadership.observeTerm(token);
     }
 
-    /** Returns whether this controller still leads in this term, as far as it knows. */
+    /** Returns whether this controller still considers itself the leader in this term. */
     public boolean isCurrent() {
         return leadership.isLeading() && leadership.term() == number;
     }
--- a/src/main/java/io/quartzgw/leadership/Leadership.java
+++ b/src/main/java/io/quartzgw/leadership/Leadership.java
@@ -11,8 +11,8 @@
  * The role of this controller. It is a candidate while there is no leader; after a won election it leads until it steps
  * down.
  *
- * <p>Stale leaders are fenced off twice. In the state store, every write of a leader requires the revision of the term
- * key. Agents reject messages whose fencing token, which belongs to the term, is too low. So a leader that can't
+ * <p>Stale leaders are fenced off twice. In the state service, every write of a leader requires the revision of the
+ * term key. Agents reject messages whose fencing token, which belongs to the term, is too low. So a leader that can't
  * confirm its lease may still answer heartbeats for a grace period. In that time it starts and completes no task, and
  * rents and deletes no machine.
  */
@@ -54,7 +54,7 @@
     /** The lease of the current term, present only while this controller leads. */
     private Optional<LeaderLease> lease = Optional.empty();
 
-    /** @param watermark the time up to which this controller knows all cancellations */
+    /** @param watermark the time before which this controller has recorded all cancellations */
     public Leadership(
             EventLoop eventLoop,
             StoreClient store,
@@ -78,7 +78,7 @@
         eventLoop.every(timing.leaseMs() / RENEWALS_PER_LEASE, () -> lease.ifPresent(LeaderLease::renew));
     }
 
-    /** Returns whether this controller leads, as far as it knows; its lease may have expired unnoticed. */
+    /** Returns whether this controller considers itself the leader; its lease may have expired unnoticed. */
     public boolean isLeading() {
         return lease.isPresent();
     }
@@ -115,9 +115,9 @@
 
     /**
      * Returns whether this controller may answer heartbeats and thereby renew the leases of agents. A heartbeat
-     * response carries the commands to stop the tasks of all jobs that this controller knows to be cancelled. The grace
-     * period limits the age of cancellations that it may have missed. This applies from the election on, even while the
-     * stored state is being read.
+     * response carries the commands to stop the tasks of all jobs whose cancellation this controller has recorded. The
+     * grace period limits the age of cancellations that it may have missed. This applies from the election on, even
+     * while the stored state is being read.
      */
     public boolean mayRenewAgentLeases() {
         return lease.map(current ->
@@ -137,7 +137,7 @@
         return Math.max(term, highestObservedTerm);
     }
 
-    /** Returns the name of the leading controller, as far as this controller knows. */
+    /** Returns the name of the leading controller, according to this controller's copy of the election keys. */
     public Optional<String> leader() {
         return isLeading() ? Optional.of(identity.member()) : state.leader().map(LeaderRecord::member);
     }
@@ -166,7 +166,7 @@
         }
     }
 
-    /** Returns the stored leader record, as far as this controller knows. */
+    /** Returns the leader record in this controller's copy of the election keys. */
     Optional<LeaderRecord> leaderRecord() {
         return state.leader();
     }
--- a/src/main/java/io/quartzgw/leadership/LeadershipTiming.java
+++ b/src/main/java/io/quartzgw/leadership/LeadershipTiming.java
@@ -3,8 +3,8 @@
 /**
  * The durations of leadership, derived from those of the agents.
  *
- * @param leaseMs the time to live of the leader's lease in the state store
- * @param graceMs how long a leader still answers heartbeats of agents after the time up to which it knows all
+ * @param leaseMs the time to live of the leader's lease in the state service
+ * @param graceMs how long a leader still answers heartbeats of agents after the time before which it has recorded all
  *     cancellations
  * @param heartbeatMs the interval of messages between controllers
  */
--- a/src/main/java/io/quartzgw/leadership/PeerExchange.java
+++ b/src/main/java/io/quartzgw/leadership/PeerExchange.java
@@ -20,7 +20,7 @@
 
 /**
  * Exchanges messages with the other controllers, once per heartbeat interval and immediately after certain events. A
- * message announces the sender's process, its term, whether the state store responds, the cancelled jobs and the job
+ * message announces the sender's process, its term, whether the state service responds, the cancelled jobs and the job
  * counts.
  */
 public final class PeerExchange {
@@ -241,7 +241,7 @@
         return peers.maxRedirectedAgents();
     }
 
-    /** Returns whether the state store recently responded to any other controller. */
+    /** Returns whether the state service recently responded to any other controller. */
     public boolean anyPeerReachesStore() {
         return peers.anyReachesStore();
     }
--- a/src/main/java/io/quartzgw/leadership/PeerMessage.java
+++ b/src/main/java/io/quartzgw/leadership/PeerMessage.java
@@ -9,7 +9,7 @@
  * A message from one controller to another, or the response to one.
  *
  * @param sequence the sequence number of the message within the sending process
- * @param writeDemandPerS the number of writes per second to the state store that the sender needs
+ * @param writeDemandPerS the number of writes per second to the state service that the sender needs
  */
 record PeerMessage(
         ControllerIdentity sender,
--- a/src/main/java/io/quartzgw/leadership/PeerMessageFactory.java
+++ b/src/main/java/io/quartzgw/leadership/PeerMessageFactory.java
@@ -11,7 +11,7 @@
     private final long staleAfterMs;
     private long lastSequence;
 
-    /** @param staleAfterMs how long the state store counts as reachable after its last response */
+    /** @param staleAfterMs how long the state service counts as reachable after its last response */
     PeerMessageFactory(
             ControllerIdentity identity,
             PeerExchange.Participants participants,
--- a/src/main/java/io/quartzgw/leadership/PeerRegistry.java
+++ b/src/main/java/io/quartzgw/leadership/PeerRegistry.java
@@ -43,7 +43,7 @@
         return recentPeers().mapToInt(PeerState::redirectedAgents).max().orElse(0);
     }
 
-    /** Returns whether the state store recently responded to any peer. */
+    /** Returns whether the state service recently responded to any peer. */
     boolean anyReachesStore() {
         return recentPeers().anyMatch(PeerState::storeReachable);
     }
--- a/src/main/java/io/quartzgw/leadership/StepDownReason.java
+++ b/src/main/java/io/quartzgw/leadership/StepDownReason.java
@@ -6,7 +6,7 @@
 enum StepDownReason {
     /** The lease of the leader record has expired. */
     LEASE_EXPIRED,
-    /** The term key in the state store contains a higher term. */
+    /** The term key in the state service contains a higher term. */
     HIGHER_TERM_STORED,
     /** A message of an agent or a peer contained a higher term. */
     HIGHER_TERM_OBSERVED,
--- a/src/main/java/io/quartzgw/leadership/UnresponsiveLeaderDetector.java
+++ b/src/main/java/io/quartzgw/leadership/UnresponsiveLeaderDetector.java
@@ -4,9 +4,9 @@
 import java.util.Optional;
 
 /**
- * Detects that the leader named in the state store has sent this controller no message for a long time. Times in which
- * this controller was paused do not count. A leader whose lease expires is replaced before it counts as unresponsive,
- * so this matters only when outages of the store keep the lease from expiring.
+ * Detects that the leader named in the state service has sent this controller no message for a long time. Times in
+ * which this controller was paused do not count. A leader whose lease expires is replaced before it counts as
+ * unresponsive, so this matters only when outages of the store keep the lease from expiring.
  */
 final class UnresponsiveLeaderDetector {
     /** A leader is unresponsive after this many lease durations without a message. */
--- a/src/main/java/io/quartzgw/leadership/WriteBudgetExchange.java
+++ b/src/main/java/io/quartzgw/leadership/WriteBudgetExchange.java
@@ -7,9 +7,10 @@
 import java.util.Optional;
 
 /**
- * Distributes the write budget of the state store among the controllers. Every message between controllers contains the
- * sender's demand. While its term is confirmed, the leader grants parts of the budget in its responses. Grants are sent
- * in responses only, since the receiver knows when it sent the request: a delayed response does not extend the grant.
+ * Distributes the write budget of the state service among the controllers. Every message between controllers contains
+ * the sender's demand. While its term is confirmed, the leader grants parts of the budget in its responses. Grants are
+ * sent in responses only, since the receiver knows when it sent the request: a delayed response does not extend the
+ * grant.
  */
 public final class WriteBudgetExchange {
     /** The duration of a grant in heartbeat intervals, so that it outlasts one heartbeat whose message is lost. */
@@ -37,7 +38,7 @@
     private record TermAllocator(long term, WriteBudgetAllocator allocator) {}
 
     /**
-     * @param limits the limits of the state store for all controllers together
+     * @param limits the limits of the state service for all controllers together
      * @param controllerCount the number of controllers
      */
     public WriteBudgetExchange(
--- a/src/main/java/io/quartzgw/model/JobSpec.java
+++ b/src/main/java/io/quartzgw/model/JobSpec.java
@@ -12,7 +12,7 @@
  * @param imageGb size of the image
  * @param machineTypes allowed machine types, or null for any
  * @param zone the only allowed zone, or null for any
- * @param singleZone whether all tasks have to be in one zone
+ * @param singleZone whether all tasks must be in one zone
  * @param spread whether at most half of the tasks, rounded up, may be in one zone
  * @param spotAllowed whether spot machines are allowed
  * @param estimateS the owner's estimate of a task's runtime; 0 for services
--- a/src/main/java/io/quartzgw/progress/ProgressRecorder.java
+++ b/src/main/java/io/quartzgw/progress/ProgressRecorder.java
@@ -129,8 +129,8 @@
         if (key.endsWith(START_LIMIT_KEY)) {
             job.recordedStartLimit(record.asInt());
         } else {
-            bitmaps.decode(key, record, job.recordedDone());
-            job.recordedDone().stream().forEach(index -> cluster.markDone(job, index));
+            bitmaps.decode(key, record, job.recordedCompleted());
+            job.recordedCompleted().stream().forEach(index -> cluster.markCompleted(job, index));
             chunksWithRecord(job.id()).add(ProgressBitmaps.chunkOfKey(key));
         }
     }
@@ -229,7 +229,7 @@
     }
 
     private BitSet putCompletedTasks(Job job, Set<Integer> chunks) {
-        BitSet snapshot = (BitSet) job.done().clone();
+        BitSet snapshot = (BitSet) job.completedTasks().clone();
         int maxLength = bitmaps.maxRecordLength(job.spec().tasks());
         for (int chunk : chunks) {
             records.put(ProgressBitmaps.key(job.id(), chunk), bitmaps.encode(snapshot, chunk), maxLength);
@@ -270,7 +270,7 @@
             listener.startLimitRaised(job);
         });
         batch.completedTasks().forEach((job, snapshot) -> {
-            job.recordedDone().or(snapshot);
+            job.recordedCompleted().or(snapshot);
             listener.completedTasksRecorded(job);
         });
         if (!unwrittenChunks.isEmpty()) {
@@ -284,7 +284,7 @@
         eventLoop.after(retryMs, () -> retryDelayed = false);
         batch.completedTasks().forEach((job, snapshot) -> {
             if (!job.isTerminal() && !job.isComplete()) {
-                snapshot.andNot(job.recordedDone());
+                snapshot.andNot(job.recordedCompleted());
                 unwrittenChunks.computeIfAbsent(job, key -> new LinkedHashSet<>());
                 snapshot.stream().forEach(index -> addUnwrittenChunk(job, bitmaps.chunkOf(index)));
             }
--- a/src/main/java/io/quartzgw/recovery/FailoverRecovery.java
+++ b/src/main/java/io/quartzgw/recovery/FailoverRecovery.java
@@ -159,7 +159,7 @@
     private void inheritStarts(LoadedStarts loadedStarts) {
         if (loadedStarts.unreadablePages() > 0) {
             eventLoop.increment("takeover.starts_unknown", 1);
-            unverifiedMachines.expectUnknownStarts();
+            unverifiedMachines.markUnknownStartsPossible();
             dropUnreadablePagesIfObsolete();
         }
         int inherited = collaborators.agents().inheritStarts(loadedStarts.machines());
@@ -192,7 +192,7 @@
         unverifiedMachines.checkPreviousLeadersStopped();
         List<Machine> verified = unverifiedMachines.removeVerified();
         if (!verified.isEmpty()) {
-            verified.forEach(collaborators.agents()::updateUnaccountedCapacity);
+            verified.forEach(collaborators.agents()::updateOrphanCapacity);
             unaccountedCheckDue = true;
         }
         pruneUnknownStarts();
--- a/src/main/java/io/quartzgw/recovery/UnverifiedMachines.java
+++ b/src/main/java/io/quartzgw/recovery/UnverifiedMachines.java
@@ -55,7 +55,7 @@
         }
     }
 
-    /** Marks the unverified machines as unexplained, and the jobs whose tasks may run there as unaccounted for. */
+    /** Marks the unverified machines as possibly running orphans, and the tasks that may run there as unaccounted. */
     void markUnaccounted() {
         machines.removeIf(machine -> !isUnverified(machine));
         machines.forEach(machine -> cluster.setMayRunOrphans(machine, true));
@@ -67,7 +67,7 @@
      * previous leaders can't be read. Such a start may still reach any of these machines, even if its agent sends
      * heartbeats.
      */
-    void expectUnknownStarts() {
+    void markUnknownStartsPossible() {
         cluster.machines().stream().filter(Machine::hasRunTasks).forEach(machine -> {
             machine.fencing().markUnknownStartsPossible();
             machinesWithUnknownStarts.add(machine);
@@ -98,7 +98,7 @@
     }
 
     /**
-     * Marks jobs as fully accounted for if none of their tasks may run on the remaining machines.
+     * Makes the unaccounted tasks of those jobs pending that can have no task on the remaining machines.
      *
      * @param beforeResolution called for each of these jobs before its unaccounted tasks become pending
      */
@@ -142,7 +142,7 @@
         return machines.size();
     }
 
-    /** Returns whether no machine is tracked as unverified any more. */
+    /** Returns whether no machine is tracked as unverified. */
     boolean isEmpty() {
         return machines.isEmpty();
     }
--- a/src/main/java/io/quartzgw/scheduling/Allocation.java
+++ b/src/main/java/io/quartzgw/scheduling/Allocation.java
@@ -117,7 +117,7 @@
 
     /** Whether the job has ended before this task completed. */
     boolean isOfCancelledTask() {
-        return job.isTerminal() && !job.isDone(index);
+        return job.isTerminal() && !job.isCompleted(index);
     }
 
     /** The time of the allocation, in milliseconds of the steady clock. */
--- a/src/main/java/io/quartzgw/scheduling/ClusterState.java
+++ b/src/main/java/io/quartzgw/scheduling/ClusterState.java
@@ -122,7 +122,7 @@
         }
     }
 
-    /** Makes a job terminal: none of its tasks is started any more. It is removed together with its last allocation. */
+    /** Makes a job terminal: its tasks are no longer started. It is removed together with its last allocation. */
     public void terminate(Job job) {
         terminate(job, eventLoop.nowMs());
     }
@@ -253,8 +253,8 @@
     }
 
     /** Marks a task as completed, so that it is not started again. */
-    public void markDone(Job job, int index) {
-        update(job, updated -> updated.markDone(index));
+    public void markCompleted(Job job, int index) {
+        update(job, updated -> updated.markCompleted(index));
         Allocation allocation = job.allocation(index);
         if (allocation != null && allocation.machine().fencing().isUnfenced(allocation)) {
             release(allocation);
@@ -275,13 +275,13 @@
     }
 
     /** Sets whether a machine may run orphans, which are tasks of jobs that are no longer open. */
-    public void setMayRunOrphans(Machine machine, boolean isUnexplained) {
-        if (isUnexplained ? possibleOrphanMachines.add(machine) : possibleOrphanMachines.remove(machine)) {
+    public void setMayRunOrphans(Machine machine, boolean mayRunOrphans) {
+        if (mayRunOrphans ? possibleOrphanMachines.add(machine) : possibleOrphanMachines.remove(machine)) {
             Resources size = machine.type().size();
             // Updated incrementally: hundreds of machines may change one by one after a failover. Reset when empty.
             possibleOrphanCapacity = possibleOrphanMachines.isEmpty()
                     ? Resources.NONE
-                    : isUnexplained ? possibleOrphanCapacity.plus(size) : possibleOrphanCapacity.minus(size);
+                    : mayRunOrphans ? possibleOrphanCapacity.plus(size) : possibleOrphanCapacity.minus(size);
             changed = true;
         }
     }
--- a/src/main/java/io/quartzgw/scheduling/Job.java
+++ b/src/main/java/io/quartzgw/scheduling/Job.java
@@ -10,15 +10,15 @@
 import java.util.Map;
 
 /**
- * The leader's state of a job. While the job is open, each task is in exactly one state: completed (done), allocated to
- * a machine, unaccounted (it may run on a machine that has been unresponsive since the failover), or pending. All times
+ * The leader's state of a job. While the job is open, each task is in exactly one state: completed, allocated to a
+ * machine, unaccounted (it may run on a machine that has been unresponsive since the failover), or pending. All times
  * are in milliseconds of this controller's steady clock.
  */
 public final class Job {
     private final OpenJob open;
     private final long submittedAt;
-    private final BitSet done = new BitSet();
-    private final BitSet recordedDone = new BitSet();
+    private final BitSet completedTasks = new BitSet();
+    private final BitSet recordedCompleted = new BitSet();
     private final BitSet pending = new BitSet();
     private final BitSet unaccounted = new BitSet();
     private final Map<Integer, Allocation> allocations = new HashMap<>();
@@ -69,23 +69,23 @@
     // ---- tasks
 
     /** Whether the task has completed. */
-    public boolean isDone(int index) {
-        return done.get(index);
+    public boolean isCompleted(int index) {
+        return completedTasks.get(index);
     }
 
     /** The indexes of completed tasks; not to be modified. */
-    public BitSet done() {
-        return done;
+    public BitSet completedTasks() {
+        return completedTasks;
     }
 
     /** The number of completed tasks. */
     public int completedCount() {
-        return done.cardinality();
+        return completedTasks.cardinality();
     }
 
     /** Whether all tasks have completed; always false for a service. */
     public boolean isComplete() {
-        return !spec().service() && done.cardinality() == spec().tasks();
+        return !spec().service() && completedTasks.cardinality() == spec().tasks();
     }
 
     /** The allocation of a task, or null if it has none. */
@@ -135,23 +135,23 @@
     void removeAllocation(Allocation allocation) {
         allocations.remove(allocation.index());
         tasksPerZone.merge(allocation.machine().zone(), -1, Integer::sum);
-        if (!isTerminal && !done.get(allocation.index())) {
+        if (!isTerminal && !completedTasks.get(allocation.index())) {
             pending.set(allocation.index());
         }
     }
 
     /** Whether the state service records the task as completed. */
-    public boolean recordedDone(int index) {
-        return recordedDone.get(index);
+    public boolean recordedCompleted(int index) {
+        return recordedCompleted.get(index);
     }
 
     /** The indexes of tasks that the state service records as completed; not to be modified. */
-    public BitSet recordedDone() {
-        return recordedDone;
+    public BitSet recordedCompleted() {
+        return recordedCompleted;
     }
 
-    void markDone(int index) {
-        done.set(index);
+    void markCompleted(int index) {
+        completedTasks.set(index);
         pending.clear(index);
         unaccounted.clear(index);
     }
--- a/src/main/java/io/quartzgw/scheduling/Machine.java
+++ b/src/main/java/io/quartzgw/scheduling/Machine.java
@@ -138,7 +138,7 @@
         return fencing.isBegun() && (now >= fencing.deadline() || !isInUse());
     }
 
-    /** Whether its stored record says that tasks may have been started on it. */
+    /** Whether its stored record marks that tasks may have been started on it. */
     public boolean hasRunTasks() {
         return hasRunTasks;
     }
--- a/src/main/java/io/quartzgw/scheduling/ServiceLevelObjectives.java
+++ b/src/main/java/io/quartzgw/scheduling/ServiceLevelObjectives.java
@@ -45,13 +45,13 @@
         if (targetsS == null && spec.deadlineS() == null) {
             return true;
         }
-        long expectedDoneAt = now + (long) (spec.estimateS() * 1000);
+        long expectedCompletionAt = now + (long) (spec.estimateS() * 1000);
         double multiple = deadlineMultiples.getOrDefault(spec.jobClass(), 1.0);
-        boolean meetsDeadline =
-                spec.deadlineS() != null && expectedDoneAt <= job.submittedAt() + multiple * spec.deadlineS() * 1000;
+        boolean meetsDeadline = spec.deadlineS() != null
+                && expectedCompletionAt <= job.submittedAt() + multiple * spec.deadlineS() * 1000;
         return meetsDeadline
                 || (targetsS != null
                         && Arrays.stream(targetsS)
-                                .anyMatch(targetS -> expectedDoneAt <= job.submittedAt() + targetS * 1000));
+                                .anyMatch(targetS -> expectedCompletionAt <= job.submittedAt() + targetS * 1000));
     }
 }
--- a/src/main/java/io/quartzgw/store/PackedRecords.java
+++ b/src/main/java/io/quartzgw/store/PackedRecords.java
@@ -226,7 +226,7 @@
         reloadRevisions(conflicting, () -> remainder.callback().accept(false));
     }
 
-    // A conflict means that an earlier, unanswered write was applied, so the page's current revision has to be read.
+    // A conflict means that an earlier, unanswered write was applied, so the page's current revision must be read.
     private void reloadRevisions(Deque<RecordPage> conflicting, Runnable callback) {
         if (conflicting.isEmpty()) {
             callback.run();
--- a/src/main/java/io/quartzgw/store/RequestUrgency.java
+++ b/src/main/java/io/quartzgw/store/RequestUrgency.java
@@ -4,7 +4,7 @@
 public enum RequestUrgency {
     /** Elections and lease operations. They are few, and without a leader most other requests are of little use. */
     ELECTION,
-    /** Listings and watches, cancellations, ends of jobs, and records that have to be stored before a task starts. */
+    /** Listings and watches, cancellations, ends of jobs, and records that must be stored before a task starts. */
     HIGH,
     /** Submissions and status queries of users. */
     NORMAL,
--- a/src/main/java/io/quartzgw/store/StoreClient.java
+++ b/src/main/java/io/quartzgw/store/StoreClient.java
@@ -162,7 +162,7 @@
         /** Receives one or more changes, in the order of their revisions. */
         void onChanges(List<KeyChange> changes);
 
-        /** Changes were missed, and the watch has ended. The whole prefix has to be read again. */
+        /** Changes were missed, and the watch has ended. The whole prefix must be read again. */
         void onCompacted();
     }
 
--- a/src/main/java/io/quartzgw/submission/SubmissionHandler.java
+++ b/src/main/java/io/quartzgw/submission/SubmissionHandler.java
@@ -11,15 +11,15 @@
 import java.util.function.Consumer;
 
 /**
- * Serves users' requests to submit, poll and abort jobs. A submission is decoded, checked, admitted, stored and
+ * Serves users' requests to submit, query and cancel jobs. A submission is decoded, checked, admitted, stored and
  * answered, in this order. Every request is answered as soon as the state service has responded.
  */
 public final class SubmissionHandler {
     /** Path of submissions and prefix of the paths of all user requests. */
     public static final String PATH = "/submissions";
 
-    private static final String ABORT_SUFFIX = "/abort";
-    private static final int MAX_ABORT_ATTEMPTS = 4;
+    private static final String CANCEL_SUFFIX = "/abort";
+    private static final int MAX_CANCEL_ATTEMPTS = 4;
 
     /** Receives job events before the user receives the response. */
     public interface Listener {
@@ -64,9 +64,9 @@
             if (requireMethod(request, "POST")) {
                 submit(request);
             }
-        } else if (pathSuffix.endsWith(ABORT_SUFFIX) && pathSuffix.length() > ABORT_SUFFIX.length() + 1) {
+        } else if (pathSuffix.endsWith(CANCEL_SUFFIX) && pathSuffix.length() > CANCEL_SUFFIX.length() + 1) {
             if (requireMethod(request, "POST")) {
-                abort(request, pathSuffix.substring(1, pathSuffix.length() - ABORT_SUFFIX.length()));
+                cancel(request, pathSuffix.substring(1, pathSuffix.length() - CANCEL_SUFFIX.length()));
             }
         } else if (requireMethod(request, "GET")) {
             poll(request, pathSuffix.substring(1));
@@ -156,7 +156,7 @@
             answer(request, JobResponses.open(id, taskCountsOf(id)));
         } else if (found instanceof JobStore.LookupResult.Terminal terminal) {
             if (terminal.state().cancelled()) {
-                // The response to the abort may have been lost, so this may be the first acknowledgement.
+                // The response to the cancellation may have been lost, so this may be the first acknowledgement.
                 listener.cancelled(id);
             }
             answer(request, JobResponses.terminal(id, terminal.state()));
@@ -165,17 +165,17 @@
         }
     }
 
-    // ---- abort
+    // ---- cancellation
 
-    private void abort(Request request, String id) {
+    private void cancel(Request request, String id) {
         if (!JobCodec.isValidJobId(id)) {
             answer(request, JobResponses.notFound());
             return;
         }
-        abort(request, id, MAX_ABORT_ATTEMPTS);
+        cancel(request, id, MAX_CANCEL_ATTEMPTS);
     }
 
-    private void abort(Request request, String id, int attemptsLeft) {
+    private void cancel(Request request, String id, int attemptsLeft) {
         lookUp(request, id, found -> {
             if (found instanceof JobStore.LookupResult.Open open) {
                 cancel(request, id, open.revision(), attemptsLeft);
@@ -192,7 +192,7 @@
                 answer(request, JobResponses.cancelled(id));
             } else if (outcome instanceof TransactionOutcome.Conflict && attemptsLeft > 1) {
                 // The job became terminal in the meantime. Its first terminal state is final, so read that one.
-                abort(request, id, attemptsLeft - 1);
+                cancel(request, id, attemptsLeft - 1);
             } else {
                 answer(request, JobResponses.storeUnavailable());
             }
--- a/src/main/java/io/quartzgw/submission/package-info.java
+++ b/src/main/java/io/quartzgw/submission/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The user-facing API to submit, poll and abort jobs. It works on every controller and needs the state service, but not
- * the leader.
+ * The user-facing API to submit, query and cancel jobs. It works on every controller and needs the state service, but
+ * not the leader.
  *
  * <p>State owned: the records of open and terminal jobs in the state service, and this controller's caches of these
  * records.
--- a/src/test/java/io/quartzgw/agent/InheritedStartsTest.java
+++ b/src/test/java/io/quartzgw/agent/InheritedStartsTest.java
@@ -383,7 +383,7 @@
         assertEquals("{0, 2}", job.pending().toString());
     }
 
-    /** Takes over the log of a previous leader that contains a start of a job that is not open. */
+    /** Inherits the log of a previous leader that contains a start of a job that is not open. */
     private void inheritStartOfEndedJob() {
         stateService.setValue(
                 "sent/0", Json.object().put(START_OF_ENDED_JOB.task() + "/" + START_OF_ENDED_JOB.number(), MACHINE));
@@ -515,12 +515,12 @@
         Attempt start = new Attempt(JOB, 0, allocation.attempt());
         respondTo(allocation.attempt());
         agents.receive(heartbeat(MACHINE, "a", allocation.attempt(), "ended", "done"));
-        assertTrue(job.isDone(0));
+        assertTrue(job.isCompleted(0));
         assertNull(job.allocation(0));
         agents.reportUnfencedAttempts();
         assertTrue(isInLogAfterCleanup(start));
-        cluster.markDone(job, 1);
-        cluster.markDone(job, 2);
+        cluster.markCompleted(job, 1);
+        cluster.markCompleted(job, 2);
         cluster.terminate(job);
         agents.reportUnfencedAttempts();
         pendingLookUps.remove(JOB).accept(new EndedJobs.Outcome.Completed());
--- a/src/test/java/io/quartzgw/app/CancellationTest.java
+++ b/src/test/java/io/quartzgw/app/CancellationTest.java
@@ -270,7 +270,7 @@
         }
     }
 
-    // A new leader that cannot read the state service renews leases without knowing which jobs have ended.
+    // A new leader that cannot read the state service renews leases without having read which jobs have ended.
     @Test
     void stopsTasksWhenNewLeaderCannotReadCancellationDuringOutage() {
         for (long seed = 5; seed < 13; seed++) {
--- a/src/test/java/io/quartzgw/app/DelayedCommandsTest.java
+++ b/src/test/java/io/quartzgw/app/DelayedCommandsTest.java
@@ -103,7 +103,8 @@
     }
 
     /**
-     * A start reaches a replacement agent after the previous agent has ended the attempt, which the new one can't know.
+     * A start reaches a replacement agent after the previous agent has ended the attempt, of which the new one has no
+     * record.
      */
     @ParameterizedTest
     @ValueSource(longs = {245})
--- a/src/test/java/io/quartzgw/app/OutstandingStartsAfterCrashesTest.java
+++ b/src/test/java/io/quartzgw/app/OutstandingStartsAfterCrashesTest.java
@@ -284,7 +284,7 @@
         assertCancelledTasksNeverRun();
     }
 
-    // The job is cancelled while its tasks are unaccounted for, so no allocation makes the successor fence the machine.
+    // The job is cancelled while its tasks are unaccounted, so no allocation makes the successor fence the machine.
     @ParameterizedTest
     @MethodSource("seeds")
     void startIsNotExecutedWhenJobIsCancelledWithUnaccountedTasks(long seed) {
@@ -293,7 +293,7 @@
                 .filter(machine -> !starts.targetMachines().contains(machine))
                 .findFirst()
                 .orElseThrow();
-        // The tasks remain unaccounted for while this machine is unresponsive.
+        // The tasks remain unaccounted while this machine is unresponsive.
         simulation.network().partition(unresponsive, Hosts.ALL);
         crash(simulation.leader());
         starts.awaitLeader();
--- a/src/test/java/io/quartzgw/app/PausedLeaderTest.java
+++ b/src/test/java/io/quartzgw/app/PausedLeaderTest.java
@@ -101,14 +101,14 @@
     /** The leader is paused in the batch that builds a heartbeat response with a start; direct calls do not arrive. */
     @Test
     void doesNotSendHeartbeatResponseWithStartBuiltBeforePause() {
-        holdAllCommands(simulation);
+        delayAllCommands(simulation);
         submit(simulation);
         while (simulation.counter("orders.in_responses") == 0) {
             simulation.runUntil(simulation.now() + 1);
         }
         long responseBuiltAt = simulation.now();
         ClusterSimulation replay = clusterWithServices();
-        holdAllCommands(replay);
+        delayAllCommands(replay);
         submit(replay);
         replay.runUntil(responseBuiltAt - 1);
         replay.pauseControllerWithinBatch(replay.leader(), 4_000);
@@ -118,7 +118,7 @@
         assertEquals(List.of(), replay.invariants().violations());
     }
 
-    private static void holdAllCommands(ClusterSimulation cluster) {
+    private static void delayAllCommands(ClusterSimulation cluster) {
         cluster.agents().machineIds().forEach(cluster.network()::delayCommandsTo);
     }
 
--- a/src/test/java/io/quartzgw/app/RebootedMachineTest.java
+++ b/src/test/java/io/quartzgw/app/RebootedMachineTest.java
@@ -62,7 +62,8 @@
         }
     }
 
-    // The new leader gives up on a machine without heartbeats while the previous leader's start is still outstanding.
+    // The reservation of a machine without heartbeats expires at the new leader while the previous leader's start is
+    // still outstanding.
     @Test
     void previousLeaderStartIsNotExecutedOnUnresponsiveMachine() {
         simulation.network().delayCommandsTo(machine);
--- a/src/test/java/io/quartzgw/app/ScaleTest.java
+++ b/src/test/java/io/quartzgw/app/ScaleTest.java
@@ -21,10 +21,10 @@
     /** Fills a machine of the cheaper type. */
     private static final double CPUS_PER_TASK = 16;
 
-    // Work must not grow quadratically with the fleet: a scheduling pass, a heartbeat or a takeover may look at each
+    // Work must not grow quadratically with the fleet: a scheduling pass, a heartbeat or a failover may look at each
     // machine or job once, but not at each pair of them.
     @Test
-    void largeFleetRequiresBoundedWorkForStartsAndTakeover() {
+    void largeFleetRequiresBoundedWorkForStartsAndFailover() {
         ClusterSimulation simulation =
                 ClusterSimulation.builder(3).machines(MACHINES).agentStepMs(500).build();
         for (int i = 0; i < SERVICES; i++) {
@@ -46,7 +46,7 @@
                 simulation.counter("orders.calls") < 5 * started, simulation.counter("orders.calls") + " direct calls");
 
         assertSteadyLoadRequiresLittleWork(simulation);
-        assertTakeoverWithUnresponsiveMachinesKeepsTasks(simulation);
+        assertFailoverWithUnresponsiveMachinesKeepsTasks(simulation);
         assertPlanningOfBurstRequiresBoundedWork(simulation);
     }
 
@@ -91,7 +91,7 @@
                 simulation.counter("reports.read") - read + " heartbeats parsed");
     }
 
-    private void assertTakeoverWithUnresponsiveMachinesKeepsTasks(ClusterSimulation simulation) {
+    private void assertFailoverWithUnresponsiveMachinesKeepsTasks(ClusterSimulation simulation) {
         List<String> machines = simulation.agents().machineIds();
         List<String> unresponsive = new ArrayList<>();
         for (int i = 0; i < machines.size(); i += 10) {
--- a/src/test/java/io/quartzgw/app/SingleFaultsTest.java
+++ b/src/test/java/io/quartzgw/app/SingleFaultsTest.java
@@ -88,7 +88,7 @@
         assertNoTaskRestarted(simulation);
     }
 
-    // A takeover, which takes a second, is preferred to letting the leases of a few agents expire.
+    // A failover, which takes a second, is preferred to letting the leases of a few agents expire.
     @Test
     void handsOverWhenLeaderIsPartitionedFromOneAgent() {
         ClusterSimulation simulation = clusterWithServices();
@@ -185,7 +185,7 @@
     }
 
     // A machine has rebooted before its missing heartbeats are noticed. Its new agent counts epochs from the first or
-    // from the next one, and the tasks that ran on the machine are gone.
+    // from the next one, and the tasks that ran on the machine have stopped.
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void restartsReplicasAfterMachineReboot(boolean epochKept) {
--- a/src/test/java/io/quartzgw/fleet/FencingPolicyTest.java
+++ b/src/test/java/io/quartzgw/fleet/FencingPolicyTest.java
@@ -241,7 +241,7 @@
         assertEquals(1, fencedMachines());
     }
 
-    // Guards against killing tasks that a new leader does not know yet, since it has received no heartbeat.
+    // Guards against killing tasks that a new leader has not discovered yet, since it has received no heartbeat.
     @Test
     void evacuatesUnverifiedMachineBeforeDeletion() {
         Machine unverified = new Machine("i-silent", TYPE, "a", false, 0, 0);
@@ -266,8 +266,8 @@
         assertEquals(5, fencedMachines());
     }
 
-    // Guards against the loss of the fleet: a new leader has received no heartbeats yet, so it does not know which
-    // tasks run on the machines.
+    // Guards against the loss of the fleet: a new leader has received no heartbeats yet, so it has not yet discovered
+    // which tasks run on the machines.
     @Test
     void treatsUnverifiedMachinesAsInUse() {
         for (int i = 0; i < MACHINES; i++) {
--- a/src/test/java/io/quartzgw/leadership/LeadershipTest.java
+++ b/src/test/java/io/quartzgw/leadership/LeadershipTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Tests the elections of one controller without peers, with a simulated state store. */
+/** Tests the elections of one controller without peers, with a simulated state service. */
 class LeadershipTest {
     private static final LeadershipTiming TIMING = LeadershipTiming.of(2.5, 16, 36);
     private static final StoreLimits LIMITS = new StoreLimits(100_000, 100_000, 8192, 16);
--- a/src/test/java/io/quartzgw/progress/ProgressRecorderTest.java
+++ b/src/test/java/io/quartzgw/progress/ProgressRecorderTest.java
@@ -72,8 +72,8 @@
                     progress.requestStartLimitAbove(job, index);
                     progress.flush();
                     progress.requestStartLimitAbove(job, Math.max(job.recordedStartLimit(), index - 10));
-                } else if (!job.isDone(index) && job.completedCount() < TASKS - 1) {
-                    cluster.markDone(job, index);
+                } else if (!job.isCompleted(index) && job.completedCount() < TASKS - 1) {
+                    cluster.markCompleted(job, index);
                     progress.recordCompletedTask(job, index);
                 }
             }
@@ -96,15 +96,18 @@
                         found.recordedStartLimit() >= job.recordedStartLimit(),
                         "round " + round + ": " + found.recordedStartLimit() + " recorded of "
                                 + job.recordedStartLimit());
-                found.done().and(job.recordedDone());
-                assertEquals(job.recordedDone(), found.done(), "tasks that agents no longer report are recorded");
+                found.completedTasks().and(job.recordedCompleted());
+                assertEquals(
+                        job.recordedCompleted(),
+                        found.completedTasks(),
+                        "tasks that agents no longer report are recorded");
             }
         }
         assertTrue(
                 cluster.jobs().stream().allMatch(job -> job.recordedStartLimit() > TASKS / 2),
                 "start limits are raised");
         assertTrue(
-                cluster.jobs().stream().allMatch(job -> job.recordedDone().cardinality() > 10),
+                cluster.jobs().stream().allMatch(job -> job.recordedCompleted().cardinality() > 10),
                 "completed tasks are recorded");
     }
 }
--- a/src/test/java/io/quartzgw/scheduling/SchedulerTest.java
+++ b/src/test/java/io/quartzgw/scheduling/SchedulerTest.java
@@ -211,7 +211,7 @@
             assertTrue(allocatedCpus("limited") <= 24, "the quota is not exceeded");
             for (Allocation allocation : allocations()) {
                 if (!allocation.job().spec().service() && now - allocation.allocatedAt() >= 5_000) {
-                    cluster.markDone(allocation.job(), allocation.index());
+                    cluster.markCompleted(allocation.job(), allocation.index());
                     cluster.release(allocation);
                 }
             }
