--- a/src/main/java/io/quartzgw/agent/AgentManager.java
+++ b/src/main/java/io/quartzgw/agent/AgentManager.java
@@ -50,10 +50,10 @@
         /** A task has completed; the completion must be recorded before the agent may remove the attempt. */
         void taskCompleted(Job job, int index);
 
-        /** The machine must be recorded as one that runs tasks before a first start is sent to it. */
+        /** A machine must be recorded as used before the first start is sent to it. */
         void recordNeeded(Machine machine);
 
-        /** The task must be recorded as one that may be started before its start is sent. */
+        /** The recorded start limit must be above the task's index before the start of the task is sent. */
         void recordNeeded(Job job, int index);
     }
 
--- a/src/main/java/io/quartzgw/agent/CommandFence.java
+++ b/src/main/java/io/quartzgw/agent/CommandFence.java
@@ -5,8 +5,8 @@
 /**
  * The token and the epoch by which an agent rejects a direct call that no longer applies.
  *
- * @param token of a call, its fencing token; of an agent, the highest token that it has shown
- * @param epoch of a call, the agent epoch that it is meant for; of an agent, its epoch
+ * @param token the fencing token of a call, or the highest token that an agent has shown
+ * @param epoch the agent epoch that a call is meant for, or the epoch of an agent
  */
 record CommandFence(long token, long epoch) {
     /** Matches every epoch; used for calls whose epoch is unknown. */
--- a/src/main/java/io/quartzgw/agent/EndedJobStarts.java
+++ b/src/main/java/io/quartzgw/agent/EndedJobStarts.java
@@ -23,7 +23,7 @@
 final class EndedJobStarts {
     private static final Logger LOG = LoggerFactory.getLogger(EndedJobStarts.class);
     private static final int MAX_LOOK_UPS_IN_FLIGHT = 8;
-    /** Stands for an unknown cancellation time; long ago, since the time limit of the cancellation may have passed. */
+    /** Stands for an unknown cancellation time; long ago, since the cancel limit may have passed. */
     private static final long UNKNOWN_TIME_MS = Long.MIN_VALUE / 2;
 
     private final EventLoop eventLoop;
--- a/src/main/java/io/quartzgw/agent/PendingCommands.java
+++ b/src/main/java/io/quartzgw/agent/PendingCommands.java
@@ -83,10 +83,9 @@
     }
 
     // No start is sent ahead of the stop, although the agent would then ignore a late start: the task would run
-    // briefly, and a leader that is not confirmed or has the job as cancelled must start nothing. An attempt that a
-    // late
-    // start begins is stopped once a heartbeat lists it; until then its task is not placed elsewhere
-    // (AllocationRelease).
+    // briefly, and a leader must start nothing if it is not confirmed or has recorded the job's cancellation. An
+    // attempt that a late start begins is stopped once a heartbeat lists it; until then its task is not placed
+    // elsewhere (AllocationRelease).
     private static void addStop(AgentState agent, Allocation allocation, List<AgentCommand> commands) {
         Attempt attempt = Attempts.of(allocation);
         if (allocation.observed() || agent.outstandingStarts().isUnanswered(attempt)) {
--- a/src/main/java/io/quartzgw/app/Settings.java
+++ b/src/main/java/io/quartzgw/app/Settings.java
@@ -38,7 +38,7 @@
     /**
      * A service-level objective of a class of jobs; an empty class stands for all jobs.
      *
-     * @param deadlineMultiple for an objective on deadlines, the multiple of the job's deadline to be met
+     * @param deadlineMultiple the multiple of the job's deadline to be met; used by objectives on deadlines only
      */
     public record Objective(String kind, String jobClass, double withinS, double deadlineMultiple, double share) {}
 
--- a/src/main/java/io/quartzgw/eventloop/EventLoop.java
+++ b/src/main/java/io/quartzgw/eventloop/EventLoop.java
@@ -62,7 +62,7 @@
 
     /**
      * Runs a task once, after all events and timers of this batch and before its end listeners. Used for messages that
-     * have to reflect all events of the batch.
+     * must reflect all events of the batch.
      */
     public void afterEvents(Runnable task) {
         afterEvents.addLast(task);
--- a/src/main/java/io/quartzgw/fleet/MachineRecords.java
+++ b/src/main/java/io/quartzgw/fleet/MachineRecords.java
@@ -24,8 +24,8 @@
 /**
  * Records of rented machines in the state service, packed into pages. A machine's description is written when it is
  * rented. A machine is marked as used before the first task is started on it. After a failover, a machine without a
- * mark therefore runs no tasks that would have to be accounted for. Marks have separate pages, since starts wait for
- * them and they are far smaller than descriptions.
+ * mark therefore runs no tasks that could be unaccounted. Marks have separate pages, since starts wait for them and
+ * they are far smaller than descriptions.
  */
 public final class MachineRecords {
     /** Key prefix of the pages with descriptions. */
--- a/src/main/java/io/quartzgw/leadership/LeadershipTiming.java
+++ b/src/main/java/io/quartzgw/leadership/LeadershipTiming.java
@@ -28,7 +28,7 @@
         return cancelLimitS - agentLeaseS - MARGIN_HEARTBEATS * agentHeartbeatS;
     }
 
-    /** Derives all durations from the agents' heartbeat interval and lease, and the time limit of a cancellation. */
+    /** Derives all durations from the agents' heartbeat interval and lease, and the cancel limit. */
     public static LeadershipTiming of(double agentHeartbeatS, double agentLeaseS, double cancelLimitS) {
         // Grace period and agent lease together stay below the cancel limit. So a task of a job that was cancelled
         // through another controller ends in time, even on a machine that only a partitioned leader can reach.
--- a/src/main/java/io/quartzgw/progress/JobCompletionWriter.java
+++ b/src/main/java/io/quartzgw/progress/JobCompletionWriter.java
@@ -22,18 +22,22 @@
     private final EventLoop eventLoop;
     private final StoreClient store;
     private final LeaderTerm term;
-    private final long retryMs;
+    private final long retryDelayMs;
     private final ProgressRecorder.Listener listener;
     /** Jobs whose completion is being written or waits for a retry. */
     private final Set<Job> completing = new HashSet<>();
 
-    /** @param retryMs the delay before a retry */
+    /** @param retryDelayMs the delay before a retry */
     JobCompletionWriter(
-            EventLoop eventLoop, StoreClient store, LeaderTerm term, long retryMs, ProgressRecorder.Listener listener) {
+            EventLoop eventLoop,
+            StoreClient store,
+            LeaderTerm term,
+            long retryDelayMs,
+            ProgressRecorder.Listener listener) {
         this.eventLoop = eventLoop;
         this.store = store;
         this.term = term;
-        this.retryMs = retryMs;
+        this.retryDelayMs = retryDelayMs;
         this.listener = listener;
     }
 
@@ -79,6 +83,6 @@
     }
 
     private void retry(Job job) {
-        eventLoop.after(retryMs, () -> write(job));
+        eventLoop.after(retryDelayMs, () -> write(job));
     }
 }
--- a/src/main/java/io/quartzgw/progress/ProgressRecorder.java
+++ b/src/main/java/io/quartzgw/progress/ProgressRecorder.java
@@ -52,7 +52,7 @@
     private final JobCompletionWriter completionWriter;
     private final CoalescedTask writeTask;
     private final long batchMs;
-    private final long retryMs;
+    private final long retryDelayMs;
     private final Map<Job, Set<Integer>> unwrittenChunks = new LinkedHashMap<>();
     private final Map<Job, Integer> unwrittenStartLimits = new LinkedHashMap<>();
     /** The chunks that have a record, by job ID. */
@@ -63,7 +63,7 @@
     /** When completed tasks may be written again; they are written earlier if a start limit is. */
     private long nextCompletedTasksWriteAtMs;
 
-    /** Is notified of recorded progress that other parts of the leader have to act on. */
+    /** Notified of recorded progress that other parts of the leader must act on. */
     public interface Listener {
         /** A job's start limit has been raised, so that more of its tasks may be started. */
         void startLimitRaised(Job job);
@@ -103,8 +103,8 @@
         this.bitmaps = new ProgressBitmaps(store.maxValueBytes());
         this.records = new PackedRecords(store, ProgressBitmaps.PREFIX, this::guardedTransaction);
         this.batchMs = (long) (BATCH_HEARTBEATS * heartbeatMs);
-        this.retryMs = (long) (RETRY_HEARTBEATS * heartbeatMs);
-        this.completionWriter = new JobCompletionWriter(eventLoop, store, term, retryMs, listener);
+        this.retryDelayMs = (long) (RETRY_HEARTBEATS * heartbeatMs);
+        this.completionWriter = new JobCompletionWriter(eventLoop, store, term, retryDelayMs, listener);
         this.writeTask = new CoalescedTask(eventLoop, this::write);
     }
 
@@ -203,7 +203,7 @@
             return;
         }
         if (!term.isConfirmed()) {
-            writeTask.schedule(retryMs);
+            writeTask.schedule(retryDelayMs);
             return;
         }
         Batch batch = new Batch(takeCompletedTasks(), takeStartLimits());
@@ -281,7 +281,7 @@
     private void onWriteFailed(Batch batch) {
         batch.startLimits().forEach((job, limit) -> unwrittenStartLimits.merge(job, limit, Math::max));
         retryDelayed = true;
-        eventLoop.after(retryMs, () -> retryDelayed = false);
+        eventLoop.after(retryDelayMs, () -> retryDelayed = false);
         batch.completedTasks().forEach((job, snapshot) -> {
             if (!job.isTerminal() && !job.isComplete()) {
                 snapshot.andNot(job.recordedCompleted());
@@ -290,7 +290,7 @@
             }
         });
         if (!unwrittenChunks.isEmpty()) {
-            writeTask.schedule(retryMs);
+            writeTask.schedule(retryDelayMs);
         }
     }
 }
--- a/src/main/java/io/quartzgw/scheduling/BestFit.java
+++ b/src/main/java/io/quartzgw/scheduling/BestFit.java
@@ -24,7 +24,7 @@
     /** Keeps on-demand machines free for tasks that may not run on spot machines. */
     private static final double ON_DEMAND_WEIGHT = 2;
 
-    /** Keeps capacity of the fuller zone free for jobs that have to spread over zones. */
+    /** Keeps capacity of the fuller zone free for jobs that must spread over zones. */
     private static final double ZONE_WEIGHT = 4;
 
     private final SplittableRandom random;
--- a/src/main/java/io/quartzgw/scheduling/ServiceLevelObjectives.java
+++ b/src/main/java/io/quartzgw/scheduling/ServiceLevelObjectives.java
@@ -16,9 +16,9 @@
     private final Map<String, Double> startTargetsS;
 
     /**
-     * @param completionTargetsS by class, the times from submission within which its jobs should be completed
-     * @param deadlineMultiples by class, the largest multiple of a job's deadline within which it should be completed
-     * @param startTargetsS by class, the time from submission within which its tasks should be started
+     * @param completionTargetsS the times from submission within which jobs should be completed, by class
+     * @param deadlineMultiples the largest multiple of a job's deadline within which it should be completed, by class
+     * @param startTargetsS the time from submission within which tasks should be started, by class
      */
     public ServiceLevelObjectives(
             Map<String, List<Double>> completionTargetsS,
--- a/src/main/java/io/quartzgw/submission/TerminalState.java
+++ b/src/main/java/io/quartzgw/submission/TerminalState.java
@@ -1,7 +1,7 @@
 package io.quartzgw.submission;
 
 /**
- * The final state of a job, which never changes.
+ * The terminal state of a job, which never changes.
  *
  * @param cancelled whether the job was cancelled; otherwise it completed
  * @param completedTasks the number of completed tasks, for display
--- a/src/test/java/io/quartzgw/agent/InheritedStartsTest.java
+++ b/src/test/java/io/quartzgw/agent/InheritedStartsTest.java
@@ -369,8 +369,8 @@
         assertEquals("{2}", job.pending().toString());
     }
 
-    // The only case in which a task is released before its job is accounted for: a current heartbeat has shown the task
-    // on this machine, so no other machine runs it. The other tasks of the job stay unaccounted.
+    // The only case in which a task is released while its job has unaccounted tasks: a current heartbeat has shown the
+    // task on this machine, so no other machine runs it. The other tasks of the job stay unaccounted.
     @Test
     void returnsObservedTaskToPendingOnceItsAttemptEnds() {
         addUnresponsiveMachine();
@@ -456,7 +456,7 @@
                 "inherited start may run the cancelled task at any time");
     }
 
-    // Guards against ran_cancelled: the duration of the look-up counts towards the time limit of the cancellation.
+    // Guards against ran_cancelled: the duration of the look-up counts towards the cancel limit.
     @Test
     void measuresCancellationLimitFromCancellationTime() {
         inherit(MACHINE, 0, PREVIOUS_LEADER_ATTEMPT);
@@ -471,8 +471,7 @@
     }
 
     // Guards against a stack overflow in the event loop's thread: look-ups of cached jobs complete immediately, and
-    // each
-    // of them starts the next one.
+    // each of them starts the next one.
     @Test
     void doesNotRecurseWhenLookUpsCompleteImmediately() throws InterruptedException {
         int jobs = 5_000;
--- a/src/test/java/io/quartzgw/app/CancelledStartsAndOutagesTest.java
+++ b/src/test/java/io/quartzgw/app/CancelledStartsAndOutagesTest.java
@@ -103,8 +103,7 @@
     }
 
     // No machine has run a task, so the page refers to no existing machine. It must be dropped: otherwise a later
-    // leader
-    // would delete all machines in use.
+    // leader would delete all machines in use.
     @ParameterizedTest
     @MethodSource("seeds")
     void unreadablePageIsDroppedWhenNoMachineHasRunTasks(long seed) {
--- a/src/test/java/io/quartzgw/app/ControllerCrashes.java
+++ b/src/test/java/io/quartzgw/app/ControllerCrashes.java
@@ -12,7 +12,7 @@
  * Adds crashes of one, two or all controllers within seconds of each other to the other faults of a random simulation,
  * while starts are outstanding. In some rounds a controller is partitioned from the leader before, or the state service
  * has a short outage. Jobs are cancelled around the crashes. Direct calls to some machines are delayed until these
- * reboot, either after the tasks may have been placed elsewhere or after the cancellation limit.
+ * reboot, either after the tasks may have been placed elsewhere or after the cancel limit.
  */
 final class ControllerCrashes {
     private static final int CONTROLLERS = 3;
--- a/src/test/java/io/quartzgw/app/DelayedCommandsTest.java
+++ b/src/test/java/io/quartzgw/app/DelayedCommandsTest.java
@@ -22,7 +22,7 @@
 /**
  * Random simulations in which every direct call is delayed by up to most of an agent's lease. Meanwhile the same starts
  * are also sent in heartbeat responses, tasks are stopped shortly after their start, and leaders change. Every
- * invariant has to hold.
+ * invariant must hold.
  */
 class DelayedCommandsTest {
     private static final long MAX_COMMAND_DELAY_MS = 16_000;
--- a/src/test/java/io/quartzgw/app/LeaderCrashesWithDelayedCalls.java
+++ b/src/test/java/io/quartzgw/app/LeaderCrashesWithDelayedCalls.java
@@ -78,7 +78,10 @@
         return JobRequests.array(JobRequests.id(number), "blue", tasks, 1, 10).put("pull_gb", 0.0);
     }
 
-    /** @param offset from the leader to the other controller that crashes with it; 0 if only the leader crashes */
+    /**
+     * @param offset the index offset from the leader to the other controller that crashes with it; 0 if only the leader
+     *     crashes
+     */
     private static void crash(ClusterSimulation simulation, long downtimeMs, int offset) {
         int leader = simulation.leaderOrFirst();
         LoggerFactory.getLogger(LeaderCrashesWithDelayedCalls.class)
--- a/src/test/java/io/quartzgw/app/LeaderPauses.java
+++ b/src/test/java/io/quartzgw/app/LeaderPauses.java
@@ -29,7 +29,7 @@
     /**
      * Schedules the pauses of a run.
      *
-     * @param seed of the run; pauses use a random source of their own, so they leave the other faults unchanged
+     * @param seed the seed of the run; the pauses use their own random source, which leaves the other faults unchanged
      * @param end the time by which the last pause has ended
      */
     static void scheduleAll(ClusterSimulation simulation, long seed, long end) {
--- a/src/test/java/io/quartzgw/app/LongCommandDelaysTest.java
+++ b/src/test/java/io/quartzgw/app/LongCommandDelaysTest.java
@@ -18,8 +18,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Direct calls are delayed for longer than the cancellation limit, on more machines than may be evacuated at the same
- * time. No task of a cancelled job may start when the calls arrive.
+ * Direct calls are delayed for longer than the cancel limit, on more machines than may be evacuated at the same time.
+ * No task of a cancelled job may start when the calls arrive.
  */
 class LongCommandDelaysTest {
     private static final int CONTROLLERS = 3;
--- a/src/test/java/io/quartzgw/app/OutstandingStartsAfterCrashesTest.java
+++ b/src/test/java/io/quartzgw/app/OutstandingStartsAfterCrashesTest.java
@@ -208,8 +208,7 @@
     }
 
     // A task completes as the outage begins, and the next one takes its place. Its start can't be stored, so it must
-    // not be
-    // sent in a direct call that no successor could find.
+    // not be sent in a direct call that no successor could find.
     @ParameterizedTest
     @MethodSource("seeds")
     void taskScheduledDuringOutageRunsOnceWhenAllControllersCrash(long seed) {
@@ -317,7 +316,7 @@
 
     // ---- more machines than may be evacuated at the same time: ran_cancelled
 
-    // All machines are in use, so only two of them are evacuated and deleted within the cancellation limit.
+    // All machines are in use, so only two of them are evacuated and deleted within the cancel limit.
     @ParameterizedTest
     @MethodSource("seeds")
     void cancelledStartsAreNotExecutedBeyondEvacuationLimit(long seed) {
--- a/src/test/java/io/quartzgw/app/PairedFaultsTest.java
+++ b/src/test/java/io/quartzgw/app/PairedFaultsTest.java
@@ -137,7 +137,7 @@
         assertAllEnded(simulation, jobs);
     }
 
-    // Requests arrive at the moment when the last task ends. All controllers must report the same final phase then.
+    // Requests arrive at the moment when the last task ends. All controllers must report the same terminal state then.
     @Test
     void returnsSameFinalPhaseToAllRequestsAtLastTaskEnd() {
         ClusterSimulation simulation = clusterWithServices();
@@ -172,7 +172,7 @@
                 jobs.stream()
                         .allMatch(
                                 id -> simulation.invariants().terminalState(id).isPresent()),
-                "the final phase of every job is reported to users");
+                "the terminal state of every job is reported to users");
         assertTrue(
                 jobs.stream().anyMatch(id -> simulation.invariants().hasEndedIn("withdrawn", id)),
                 "some jobs are cancelled before their last task ends");
--- a/src/test/java/io/quartzgw/app/SingleFaultsTest.java
+++ b/src/test/java/io/quartzgw/app/SingleFaultsTest.java
@@ -115,7 +115,7 @@
     // Unaccounted tasks: a machine that cannot reach the new leader may still get responses from the previous one, for
     // longer than the recovery window. Its tasks keep running meanwhile.
     @Test
-    void restartsTasksOnlyAfterHoldWhenOnlyPreviousLeaderReachesMachine() {
+    void restartsTasksOnlyAfterReservationWhenOnlyPreviousLeaderReachesMachine() {
         ClusterSimulation simulation = clusterWithServices();
         int leader = simulation.leader();
         String machine = simulation.agents().machineIds().get(0);
@@ -133,7 +133,9 @@
         simulation.runUntil(simulation.now() + 90_000);
         assertEquals(List.of(), simulation.invariants().violations());
         assertEquals(
-                REPLICAS, simulation.invariants().runningTasks().size(), "replicas are placed again after the hold");
+                REPLICAS,
+                simulation.invariants().runningTasks().size(),
+                "replicas are placed again after the reservation has expired");
     }
 
     // Inbound traffic of half of the machines is blocked for several leases, while their heartbeats arrive. The leader
@@ -197,7 +199,7 @@
         assertEquals(
                 List.of(),
                 simulation.invariants().missingReplicas(),
-                "replicas run again long before a hold would have ended");
+                "replicas run again long before a reservation would have expired");
     }
 
     // Delayed duplicates of a lost machine's heartbeats must not make it appear responsive.
@@ -213,7 +215,7 @@
         assertEquals(
                 List.of(),
                 simulation.invariants().missingReplicas(),
-                "replicas are placed again when the hold has ended");
+                "replicas are placed again when the reservation has expired");
     }
 
     // A new leader could mistake a delayed duplicate for a machine's first heartbeat in the recovery window, and miss
--- a/src/test/java/io/quartzgw/app/UnfencedStartsTest.java
+++ b/src/test/java/io/quartzgw/app/UnfencedStartsTest.java
@@ -18,7 +18,7 @@
 /**
  * Random simulations in which starts arrive late or never, while gangs, spread services and arrays are preempted,
  * cancelled and moved. Machines hang, reboot, are partitioned or have their inbound or outbound traffic blocked, and
- * the cloud API has outages. Every invariant has to hold, and no job may wait forever for a machine to be fenced.
+ * the cloud API has outages. Every invariant must hold, and no job may wait forever for a machine to be fenced.
  */
 class UnfencedStartsTest {
     private static final long MAX_COMMAND_DELAY_MS = 16_000;
--- a/src/test/java/io/quartzgw/simulation/ClusterSimulation.java
+++ b/src/test/java/io/quartzgw/simulation/ClusterSimulation.java
@@ -70,7 +70,7 @@
             return this;
         }
 
-        /** Sets the agents' heartbeat interval and lease duration, and the cancellation limit. */
+        /** Sets the agents' heartbeat interval and lease duration, and the cancel limit. */
         public Builder timing(AgentTiming value) {
             this.timing = value;
             return this;
--- a/src/test/java/io/quartzgw/simulation/SimulationContext.java
+++ b/src/test/java/io/quartzgw/simulation/SimulationContext.java
@@ -8,6 +8,6 @@
  *
  * @param events simulated time
  * @param random the only source of random values; the run of a seed also depends on the order of draws from it
- * @param timing the agents' heartbeat interval, lease duration and cancellation limit
+ * @param timing the agents' heartbeat interval, lease duration and cancel limit
  */
 record SimulationContext(EventQueue events, SplittableRandom random, AgentTiming timing) {}
--- a/src/test/java/io/quartzgw/startlog/StartLogTest.java
+++ b/src/test/java/io/quartzgw/startlog/StartLogTest.java
@@ -105,9 +105,9 @@
         assertEquals(Set.of(OTHER_START), startsOf(MACHINE, fixture.replaceLeader()));
     }
 
-    // Guards against a start that counts as stored because of a write sent before it was dropped and announced again.
+    // Guards against a start that counts as stored because of a write sent before it was dropped and set again.
     @Test
-    void reannouncedStartRequiresNewWrite() {
+    void startThatIsSetAgainRequiresNewWrite() {
         fixture.setDeliveryPolicy(call -> writesLog(call) ? Delivery.LATE : Delivery.ANSWERED);
         setStarts(START);
         setStarts();
@@ -257,36 +257,36 @@
         SplittableRandom random = new SplittableRandom(seed);
         fixture = new StartLogFixture(seed % 2 == 0 ? TIGHT_LIMITS : new StoreLimits(100_000, 100_000, 8192, 16));
         fixture.setDeliveryPolicy(call -> writesLog(call) ? randomDelivery(random) : Delivery.ANSWERED);
-        Map<String, Set<Attempt>> announced = new TreeMap<>();
+        Map<String, Set<Attempt>> expectedStarts = new TreeMap<>();
         fixture.replaceLeader();
         for (int step = 0; step < 300; step++) {
             String machine = "i-" + random.nextInt(12);
-            Set<Attempt> starts = randomStarts(random, step, announced.getOrDefault(machine, Set.of()));
-            announced.put(machine, starts);
+            Set<Attempt> starts = randomStarts(random, step, expectedStarts.getOrDefault(machine, Set.of()));
+            expectedStarts.put(machine, starts);
             fixture.runInBatch(() -> fixture.log().setStarts(machine, starts));
             fixture.advance(random.nextInt(200));
             if (random.nextInt(10) == 0) {
                 fixture.applyDelayedTransactions();
             }
             if (random.nextInt(30) == 0) {
-                assertNextLeaderLoads(announced);
+                assertNextLeaderLoads(expectedStarts);
             }
         }
         fixture.setDeliveryPolicy(call -> Delivery.ANSWERED);
         fixture.advance(4 * SETTLE_MS);
         LoadedStarts loaded = fixture.replaceLeader();
-        announced.forEach((machine, starts) -> assertEquals(starts, startsOf(machine, loaded)));
+        expectedStarts.forEach((machine, starts) -> assertEquals(starts, startsOf(machine, loaded)));
     }
 
     /** Replaces the leader; the test continues with the starts that the new leader loads. */
-    private void assertNextLeaderLoads(Map<String, Set<Attempt>> announced) {
+    private void assertNextLeaderLoads(Map<String, Set<Attempt>> expectedStarts) {
         StartLog previousLog = fixture.log();
         LoadedStarts loaded = fixture.replaceLeader();
-        announced.forEach((machine, starts) -> starts.stream()
+        expectedStarts.forEach((machine, starts) -> starts.stream()
                 .filter(start -> previousLog.isStored(machine, start))
                 .forEach(start -> assertTrue(startsOf(machine, loaded).contains(start), machine + " " + start)));
-        announced.clear();
-        loaded.machines().forEach(machine -> announced.put(machine.machine(), machine.starts()));
+        expectedStarts.clear();
+        loaded.machines().forEach(machine -> expectedStarts.put(machine.machine(), machine.starts()));
     }
 
     private static Delivery randomDelivery(SplittableRandom random) {
