--- a/src/main/java/io/quartzgw/agent/AllocationRelease.java
+++ b/src/main/java/io/quartzgw/agent/AllocationRelease.java
@@ -54,7 +54,7 @@
 
     private boolean isSafeToRelease(Allocation allocation) {
         // A completed task is not started again, so a late start needs no protection.
-        return allocation.job().isDone(allocation.index()) || !mayDirectCallStart(allocation);
+        return allocation.job().isCompleted(allocation.index()) || !mayDirectCallStart(allocation);
     }
 
     /**
@@ -62,7 +62,7 @@
      * not done. The agent may be a replacement for the one that lost the attempt.
      */
     private boolean isResponseAwaited(Allocation allocation) {
-        return !allocation.job().isDone(allocation.index())
+        return !allocation.job().isCompleted(allocation.index())
                 && registry.agentOf(allocation.machine())
                         .outstandingStarts()
                         .isResponseAwaited(Attempts.of(allocation), eventLoop.nowMs());
--- a/src/main/java/io/quartzgw/agent/EndedJobStarts.java
+++ b/src/main/java/io/quartzgw/agent/EndedJobStarts.java
@@ -17,13 +17,13 @@
 
 /**
  * Resolves the outstanding starts of jobs that have ended, whether sent by this leader or by a previous one. How a job
- * ended has to be looked up. The start of a cancelled job must not be executed, so its machine is fenced. The start of
- * a completed job is dropped, since its execution would be harmless.
+ * ended must be looked up. The start of a cancelled job must not be executed, so its machine is fenced. The start of a
+ * completed job is dropped, since its execution would be harmless.
  */
 final class EndedJobStarts {
     private static final Logger LOG = LoggerFactory.getLogger(EndedJobStarts.class);
     private static final int MAX_LOOK_UPS_IN_FLIGHT = 8;
-    /** Stands for an unknown cancellation time; long ago, since the time limit of the cancellation may have passed. */
+    /** Stands for an unknown cancellation time; long ago, since the cancel limit may have passed. */
     private static final long UNKNOWN_TIME_MS = Long.MIN_VALUE / 2;
 
     private final EventLoop eventLoop;
@@ -62,7 +62,7 @@
 
     /**
      * Returns whether a start belongs to an ended job and has no allocation. An allocation already protects its start,
-     * since it is retained until the machine is gone ({@link AllocationRelease}).
+     * since it is retained until the machine is deleted ({@link AllocationRelease}).
      */
     private boolean isOfEndedJob(Machine machine, Attempt start) {
         Allocation allocation = machine.allocation(start.task());
--- a/src/main/java/io/quartzgw/leadership/LeadershipTiming.java
+++ b/src/main/java/io/quartzgw/leadership/LeadershipTiming.java
@@ -3,8 +3,8 @@
 /**
  * The durations of leadership, derived from those of the agents.
  *
- * @param leaseMs the time to live of the leader's lease in the state store
- * @param graceMs how long a leader still answers heartbeats of agents after the time up to which it knows all
+ * @param leaseMs the time to live of the leader's lease in the state service
+ * @param graceMs how long a leader still answers heartbeats of agents after the time before which it has recorded all
  *     cancellations
  * @param heartbeatMs the interval of messages between controllers
  */
@@ -28,7 +28,7 @@
         return cancelLimitS - agentLeaseS - MARGIN_HEARTBEATS * agentHeartbeatS;
     }
 
-    /** Derives all durations from the agents' heartbeat interval and lease, and the time limit of a cancellation. */
+    /** Derives all durations from the agents' heartbeat interval and lease, and the cancel limit. */
     public static LeadershipTiming of(double agentHeartbeatS, double agentLeaseS, double cancelLimitS) {
         // Grace period and agent lease together stay below the cancel limit. So a task of a job that was cancelled
         // through another controller ends in time, even on a machine that only a partitioned leader can reach.
--- a/src/main/java/io/quartzgw/progress/ProgressRecorder.java
+++ b/src/main/java/io/quartzgw/progress/ProgressRecorder.java
@@ -52,7 +52,7 @@
     private final JobCompletionWriter completionWriter;
     private final CoalescedTask writeTask;
     private final long batchMs;
-    private final long retryMs;
+    private final long retryDelayMs;
     private final Map<Job, Set<Integer>> unwrittenChunks = new LinkedHashMap<>();
     private final Map<Job, Integer> unwrittenStartLimits = new LinkedHashMap<>();
     /** The chunks that have a record, by job ID. */
@@ -63,7 +63,7 @@
     /** When completed tasks may be written again; they are written earlier if a start limit is. */
     private long nextCompletedTasksWriteAtMs;
 
-    /** Is notified of recorded progress that other parts of the leader have to act on. */
+    /** Notified of recorded progress that other parts of the leader must act on. */
     public interface Listener {
         /** A job's start limit has been raised, so that more of its tasks may be started. */
         void startLimitRaised(Job job);
@@ -103,8 +103,8 @@
         this.bitmaps = new ProgressBitmaps(store.maxValueBytes());
         this.records = new PackedRecords(store, ProgressBitmaps.PREFIX, this::guardedTransaction);
         this.batchMs = (long) (BATCH_HEARTBEATS * heartbeatMs);
-        this.retryMs = (long) (RETRY_HEARTBEATS * heartbeatMs);
-        this.completionWriter = new JobCompletionWriter(eventLoop, store, term, retryMs, listener);
+        this.retryDelayMs = (long) (RETRY_HEARTBEATS * heartbeatMs);
+        this.completionWriter = new JobCompletionWriter(eventLoop, store, term, retryDelayMs, listener);
         this.writeTask = new CoalescedTask(eventLoop, this::write);
     }
 
@@ -129,8 +129,8 @@
         if (key.endsWith(START_LIMIT_KEY)) {
             job.recordedStartLimit(record.asInt());
         } else {
-            bitmaps.decode(key, record, job.recordedDone());
-            job.recordedDone().stream().forEach(index -> cluster.markDone(job, index));
+            bitmaps.decode(key, record, job.recordedCompleted());
+            job.recordedCompleted().stream().forEach(index -> cluster.markCompleted(job, index));
             chunksWithRecord(job.id()).add(ProgressBitmaps.chunkOfKey(key));
         }
     }
@@ -203,7 +203,7 @@
             return;
         }
         if (!term.isConfirmed()) {
-            writeTask.schedule(retryMs);
+            writeTask.schedule(retryDelayMs);
             return;
         }
         Batch batch = new Batch(takeCompletedTasks(), takeStartLimits());
@@ -229,7 +229,7 @@
     }
 
     private BitSet putCompletedTasks(Job job, Set<Integer> chunks) {
-        BitSet snapshot = (BitSet) job.done().clone();
+        BitSet snapshot = (BitSet) job.completedTasks().clone();
         int maxLength = bitmaps.maxRecordLength(job.spec().tasks());
         for (int chunk : chunks) {
             records.put(ProgressBitmaps.key(job.id(), chunk), bitmaps.encode(snapshot, chunk), maxLength);
@@ -270,7 +270,7 @@
             listener.startLimitRaised(job);
         });
         batch.completedTasks().forEach((job, snapshot) -> {
-            job.recordedDone().or(snapshot);
+            job.recordedCompleted().or(snapshot);
             listener.completedTasksRecorded(job);
         });
         if (!unwrittenChunks.isEmpty()) {
@@ -281,16 +281,16 @@
     private void onWriteFailed(Batch batch) {
         batch.startLimits().forEach((job, limit) -> unwrittenStartLimits.merge(job, limit, Math::max));
         retryDelayed = true;
-        eventLoop.after(retryMs, () -> retryDelayed = false);
+        eventLoop.after(retryDelayMs, () -> retryDelayed = false);
         batch.completedTasks().forEach((job, snapshot) -> {
             if (!job.isTerminal() && !job.isComplete()) {
-                snapshot.andNot(job.recordedDone());
+                snapshot.andNot(job.recordedCompleted());
                 unwrittenChunks.computeIfAbsent(job, key -> new LinkedHashSet<>());
                 snapshot.stream().forEach(index -> addUnwrittenChunk(job, bitmaps.chunkOf(index)));
             }
         });
         if (!unwrittenChunks.isEmpty()) {
-            writeTask.schedule(retryMs);
+            writeTask.schedule(retryDelayMs);
         }
     }
 }
--- a/src/main/java/io/quartzgw/scheduling/ServiceLevelObjectives.java
+++ b/src/main/java/io/quartzgw/scheduling/ServiceLevelObjectives.java
@@ -16,9 +16,9 @@
     private final Map<String, Double> startTargetsS;
 
     /**
-     * @param completionTargetsS by class, the times from submission within which its jobs should be completed
-     * @param deadlineMultiples by class, the largest multiple of a job's deadline within which it should be completed
-     * @param startTargetsS by class, the time from submission within which its tasks should be started
+     * @param completionTargetsS the times from submission within which jobs should be completed, by class
+     * @param deadlineMultiples the largest multiple of a job's deadline within which it should be completed, by class
+     * @param startTargetsS the time from submission within which tasks should be started, by class
      */
     public ServiceLevelObjectives(
             Map<String, List<Double>> completionTargetsS,
@@ -45,13 +45,13 @@
         if (targetsS == null && spec.deadlineS() == null) {
             return true;
         }
-        long expectedDoneAt = now + (long) (spec.estimateS() * 1000);
+        long expectedCompletionAt = now + (long) (spec.estimateS() * 1000);
         double multiple = deadlineMultiples.getOrDefault(spec.jobClass(), 1.0);
-        boolean meetsDeadline =
-                spec.deadlineS() != null && expectedDoneAt <= job.submittedAt() + multiple * spec.deadlineS() * 1000;
+        boolean meetsDeadline = spec.deadlineS() != null
+                && expectedCompletionAt <= job.submittedAt() + multiple * spec.deadlineS() * 1000;
         return meetsDeadline
                 || (targetsS != null
                         && Arrays.stream(targetsS)
-                                .anyMatch(targetS -> expectedDoneAt <= job.submittedAt() + targetS * 1000));
+                                .anyMatch(targetS -> expectedCompletionAt <= job.submittedAt() + targetS * 1000));
     }
 }
--- a/src/test/java/io/quartzgw/agent/InheritedStartsTest.java
+++ b/src/test/java/io/quartzgw/agent/InheritedStartsTest.java
@@ -369,8 +369,8 @@
         assertEquals("{2}", job.pending().toString());
     }
 
-    // The only case in which a task is released before its job is accounted for: a current heartbeat has shown the task
-    // on this machine, so no other machine runs it. The other tasks of the job stay unaccounted.
+    // The only case in which a task is released while its job has unaccounted tasks: a current heartbeat has shown the
+    // task on this machine, so no other machine runs it. The other tasks of the job stay unaccounted.
     @Test
     void returnsObservedTaskToPendingOnceItsAttemptEnds() {
         addUnresponsiveMachine();
@@ -383,7 +383,7 @@
         assertEquals("{0, 2}", job.pending().toString());
     }
 
-    /** Takes over the log of a previous leader that contains a start of a job that is not open. */
+    /** Inherits the log of a previous leader that contains a start of a job that is not open. */
     private void inheritStartOfEndedJob() {
         stateService.setValue(
                 "sent/0", Json.object().put(START_OF_ENDED_JOB.task() + "/" + START_OF_ENDED_JOB.number(), MACHINE));
@@ -456,7 +456,7 @@
                 "inherited start may run the cancelled task at any time");
     }
 
-    // Guards against ran_cancelled: the duration of the look-up counts towards the time limit of the cancellation.
+    // Guards against ran_cancelled: the duration of the look-up counts towards the cancel limit.
     @Test
     void measuresCancellationLimitFromCancellationTime() {
         inherit(MACHINE, 0, PREVIOUS_LEADER_ATTEMPT);
@@ -471,8 +471,7 @@
     }
 
     // Guards against a stack overflow in the event loop's thread: look-ups of cached jobs complete immediately, and
-    // each
-    // of them starts the next one.
+    // each of them starts the next one.
     @Test
     void doesNotRecurseWhenLookUpsCompleteImmediately() throws InterruptedException {
         int jobs = 5_000;
@@ -515,12 +514,12 @@
         Attempt start = new Attempt(JOB, 0, allocation.attempt());
         respondTo(allocation.attempt());
         agents.receive(heartbeat(MACHINE, "a", allocation.attempt(), "ended", "done"));
-        assertTrue(job.isDone(0));
+        assertTrue(job.isCompleted(0));
         assertNull(job.allocation(0));
         agents.reportUnfencedAttempts();
         assertTrue(isInLogAfterCleanup(start));
-        cluster.markDone(job, 1);
-        cluster.markDone(job, 2);
+        cluster.markCompleted(job, 1);
+        cluster.markCompleted(job, 2);
         cluster.terminate(job);
         agents.reportUnfencedAttempts();
         pendingLookUps.remove(JOB).accept(new EndedJobs.Outcome.Completed());
--- a/src/test/java/io/quartzgw/app/DelayedCommandsTest.java
+++ b/src/test/java/io/quartzgw/app/DelayedCommandsTest.java
@@ -22,7 +22,7 @@
 /**
  * Random simulations in which every direct call is delayed by up to most of an agent's lease. Meanwhile the same starts
  * are also sent in heartbeat responses, tasks are stopped shortly after their start, and leaders change. Every
- * invariant has to hold.
+ * invariant must hold.
  */
 class DelayedCommandsTest {
     private static final long MAX_COMMAND_DELAY_MS = 16_000;
@@ -103,7 +103,8 @@
     }
 
     /**
-     * A start reaches a replacement agent after the previous agent has ended the attempt, which the new one can't know.
+     * A start reaches a replacement agent after the previous agent has ended the attempt, of which the new one has no
+     * record.
      */
     @ParameterizedTest
     @ValueSource(longs = {245})
--- a/src/test/java/io/quartzgw/app/OutstandingStartsAfterCrashesTest.java
+++ b/src/test/java/io/quartzgw/app/OutstandingStartsAfterCrashesTest.java
@@ -208,8 +208,7 @@
     }
 
     // A task completes as the outage begins, and the next one takes its place. Its start can't be stored, so it must
-    // not be
-    // sent in a direct call that no successor could find.
+    // not be sent in a direct call that no successor could find.
     @ParameterizedTest
     @MethodSource("seeds")
     void taskScheduledDuringOutageRunsOnceWhenAllControllersCrash(long seed) {
@@ -284,7 +283,7 @@
         assertCancelledTasksNeverRun();
     }
 
-    // The job is cancelled while its tasks are unaccounted for, so no allocation makes the successor fence the machine.
+    // The job is cancelled while its tasks are unaccounted, so no allocation makes the successor fence the machine.
     @ParameterizedTest
     @MethodSource("seeds")
     void startIsNotExecutedWhenJobIsCancelledWithUnaccountedTasks(long seed) {
@@ -293,7 +292,7 @@
                 .filter(machine -> !starts.targetMachines().contains(machine))
                 .findFirst()
                 .orElseThrow();
-        // The tasks remain unaccounted for while this machine is unresponsive.
+        // The tasks remain unaccounted while this machine is unresponsive.
         simulation.network().partition(unresponsive, Hosts.ALL);
         crash(simulation.leader());
         starts.awaitLeader();
@@ -317,7 +316,7 @@
 
     // ---- more machines than may be evacuated at the same time: ran_cancelled
 
-    // All machines are in use, so only two of them are evacuated and deleted within the cancellation limit.
+    // All machines are in use, so only two of them are evacuated and deleted within the cancel limit.
     @ParameterizedTest
     @MethodSource("seeds")
     void cancelledStartsAreNotExecutedBeyondEvacuationLimit(long seed) {
--- a/src/test/java/io/quartzgw/progress/ProgressRecorderTest.java
+++ b/src/test/java/io/quartzgw/progress/ProgressRecorderTest.java
@@ -72,8 +72,8 @@
                     progress.requestStartLimitAbove(job, index);
                     progress.flush();
                     progress.requestStartLimitAbove(job, Math.max(job.recordedStartLimit(), index - 10));
-                } else if (!job.isDone(index) && job.completedCount() < TASKS - 1) {
-                    cluster.markDone(job, index);
+                } else if (!job.isCompleted(index) && job.completedCount() < TASKS - 1) {
+                    cluster.markCompleted(job, index);
                     progress.recordCompletedTask(job, index);
                 }
             }
@@ -96,16 +96,18 @@
                         found.recordedStartLimit() >= job.recordedStartLimit(),
                         "round " + round + ": the successor loaded the start limit " + found.recordedStartLimit()
                                 + ", recorded was " + job.recordedStartLimit());
-                found.done().and(job.recordedDone());
+                found.completedTasks().and(job.recordedCompleted());
                 assertEquals(
-                        job.recordedDone(), found.done(), "the successor loads every task that is recorded as done");
+                        job.recordedCompleted(),
+                        found.completedTasks(),
+                        "the successor loads every task that is recorded as completed");
             }
         }
         assertTrue(
                 cluster.jobs().stream().allMatch(job -> job.recordedStartLimit() > TASKS / 2),
                 "start limits are raised");
         assertTrue(
-                cluster.jobs().stream().allMatch(job -> job.recordedDone().cardinality() > 10),
+                cluster.jobs().stream().allMatch(job -> job.recordedCompleted().cardinality() > 10),
                 "completed tasks are recorded");
     }
 }
