--- a/src/main/java/io/quartzgw/agent/AllocationRelease.java
+++ b/src/main/java/io/quartzgw/agent/AllocationRelease.java
@@ -27,7 +27,10 @@
     private enum End {
         /** The agent reports that the attempt has ended. */
         EXITED,
-        /** The agent is gone, has begun a new epoch, or no longer reports the attempt. */
+        /**
+         * The machine has failed, the agent's lease has expired, or the agent was replaced, has begun a new epoch, or
+         * no longer reports the attempt.
+         */
         LOST,
         /** The attempt was requested to stop before any heartbeat listed it. */
         NEVER_SEEN
@@ -59,7 +62,7 @@
 
     /**
      * Returns whether an agent may be waiting for a heartbeat response with the start of an allocation whose task is
-     * not done. The agent may be a replacement for the one that lost the attempt.
+     * not completed. The agent may be a replacement for the one that lost the attempt.
      */
     private boolean isResponseAwaited(Allocation allocation) {
         return !allocation.job().isCompleted(allocation.index())
@@ -94,13 +97,13 @@
         }
     }
 
-    /** Called when no attempt runs on a machine any more, because its lease has expired or its agent was replaced. */
+    /** Called when attempts no longer run on a machine, because its lease has expired or its agent was replaced. */
     void allAttemptsLost(Machine machine) {
         machine.allocationsSnapshot().forEach(this::attemptLost);
     }
 
     /**
-     * Releases the agent's unfenced allocations that no direct call can start any more. Also releases the stopping ones
+     * Releases the agent's unfenced allocations that direct calls can no longer start. Also releases the stopping ones
      * that no heartbeat has listed and that no command can start. A stopping attempt that only an unanswered direct
      * call may still start is retained as unfenced.
      *
@@ -131,9 +134,8 @@
         }
     }
 
-    // Logs and counts "unfenced" attempts in the wider sense of the metrics, which includes lost attempts that keep
-    // their
-    // allocation; MachineFencing contains only the retained ones.
+    // Logs and counts "unfenced" attempts in the wider sense of the metrics, which includes lost attempts that
+    // keep their allocation; MachineFencing contains only the retained ones.
     private void logAllocationKept(Allocation allocation, End end) {
         eventLoop.increment("fencing.attempts", 1);
         LOG.atInfo()
--- a/src/main/java/io/quartzgw/agent/InheritedStarts.java
+++ b/src/main/java/io/quartzgw/agent/InheritedStarts.java
@@ -175,7 +175,7 @@
                 .isPresent();
     }
 
-    /** Marks a start as no longer outstanding, because it can't be executed any more or its execution is harmless. */
+    /** Marks a start as no longer outstanding, because it is no longer executable or its execution is harmless. */
     void drop(OutstandingStart start) {
         if (cluster.contains(start.machine())) {
             AgentState agent = registry.agentOf(start.machine());
--- a/src/main/java/io/quartzgw/agent/StartLogUpdater.java
+++ b/src/main/java/io/quartzgw/agent/StartLogUpdater.java
@@ -31,7 +31,7 @@
         log.setStarts(agent.machine().id(), starts);
     }
 
-    /** Drops all starts for a machine from the log, since the machine is gone. */
+    /** Drops all starts for a machine from the log, since the machine was removed. */
     void machineRemoved(String machine) {
         log.setStarts(machine, Set.of());
     }
--- a/src/main/java/io/quartzgw/agent/UnfencedAttemptsMonitor.java
+++ b/src/main/java/io/quartzgw/agent/UnfencedAttemptsMonitor.java
@@ -16,8 +16,9 @@
  * Reports the number of unfenced attempts and the age of the oldest. Here and in the metrics, these include lost
  * attempts that keep their allocation, not only those in {@link io.quartzgw.scheduling.MachineFencing}.
  *
- * <p>Warns of each attempt of a cancelled job that ended at least half of a cancellation's time limit ago and that its
- * agent may still start. Unresponsive agents are excluded: an agent whose lease has expired rejects the start.
+ * <p>Warns of each attempt of a cancelled job that ended at least half of the cancel limit ago and that its agent may
+ * still start. The cancel limit is the time limit for stopping all tasks of a cancelled job. Unresponsive agents are
+ * excluded: an agent whose lease has expired rejects the start.
  */
 final class UnfencedAttemptsMonitor {
     private static final Logger LOG = LoggerFactory.getLogger(UnfencedAttemptsMonitor.class);
--- a/src/main/java/io/quartzgw/app/Controller.java
+++ b/src/main/java/io/quartzgw/app/Controller.java
@@ -124,10 +124,10 @@
                 new RequestRouter.PeerHandlers(peers::serve, this::serveMetrics));
     }
 
-    // A controller is not ready while its requests to the state service keep failing, because it can't serve users
-    // then.
-    // A controller that has sent no request for a while stays ready. If no other controller reaches the state service
-    // either, it also stays ready: removing all controllers from the load balancer would only reset users' connections.
+    // A controller is not ready while its requests to the state service keep failing, because it can't serve
+    // users then. A controller that has sent no request for a while stays ready. If no other controller reaches the
+    // state service either, it also stays ready: removing all controllers from the load balancer would only reset
+    // users' connections.
     private void serveReadiness(Request request) {
         boolean ready = leadership.hasReadElectionState()
                 && catalog.isKnown()
--- a/src/main/java/io/quartzgw/app/Main.java
+++ b/src/main/java/io/quartzgw/app/Main.java
@@ -63,10 +63,9 @@
         return 0;
     }
 
-    // Returns a number that differs, with high probability, for each process of each controller. It also seeds the
-    // random
-    // numbers, which must differ between controllers that start at the same time. A controller may restart within a
-    // fraction of a second while its wall clock is adjusted, so the monotonic clock is mixed in as well.
+    // Returns a number that differs, with high probability, for each process of each controller. It also seeds
+    // the random numbers, which must differ between controllers that start at the same time. A controller may restart
+    // within a fraction of a second while its wall clock is adjusted, so the monotonic clock is mixed in as well.
     private static long newProcessNumber(String member) {
         long mixed = System.currentTimeMillis() * 1_000_003
                 + System.nanoTime() * 31
--- a/src/main/java/io/quartzgw/fleet/FencingPolicy.java
+++ b/src/main/java/io/quartzgw/fleet/FencingPolicy.java
@@ -19,9 +19,9 @@
  * number of machines evacuated at a time is also limited, so that neither a partition nor a burst of lost direct calls
  * causes most of the fleet to be deleted.
  *
- * <p>For machines that may start a task of a cancelled job, that limit applies only during the first half of the
- * cancellation's time limit, so that all of them are deleted in time. If the leader may soon be unable to delete
- * machines, they are deleted at once, even if they are in use.
+ * <p>For machines that may start a task of a cancelled job, that limit applies only during the first half of the cancel
+ * limit, which is the time limit for stopping all tasks of a cancelled job, so that all of them are deleted in time. If
+ * the leader may soon be unable to delete machines, they are deleted at once, even if they are in use.
  *
  * <p>Several durations are fractions of a reservation, which is the time for which the capacity of an unresponsive
  * machine stays reserved.
@@ -36,12 +36,10 @@
     private static final double LOST_ATTEMPT_GRACE_RESERVATIONS = 1;
     /** How long a machine in use is evacuated before it is deleted, in reservations. */
     private static final double EVACUATION_RESERVATIONS = 1.5;
-    /** Fraction of a cancellation's time limit after which the limit of machines being evacuated is ignored. */
-    private static final double UNLIMITED_EVACUATION_AFTER = 0.5;
-    /**
-     * Fraction of a cancellation's time limit after which a machine is deleted; the rest is for the cloud's response.
-     */
-    private static final double DELETE_AFTER = 0.8;
+    /** Fraction of the cancel limit after which the limit of machines being evacuated is ignored. */
+    private static final double UNLIMITED_EVACUATION_CANCEL_FRACTION = 0.5;
+    /** Fraction of the cancel limit after which a machine is deleted; the rest is for the cloud's response. */
+    private static final double DELETION_CANCEL_FRACTION = 0.8;
     /** The maximum fraction of the machines that is evacuated for fencing at a time. */
     private static final double MAX_EVACUATED_FRACTION = 0.05;
     /** In small fleets, at least this many machines may be evacuated at a time. */
@@ -63,8 +61,8 @@
         this.unreachableGraceMs = (long) (UNREACHABLE_GRACE_RESERVATIONS * policy.reservationMs());
         this.evacuationMs = (long) (EVACUATION_RESERVATIONS * policy.reservationMs());
         this.lostAttemptGraceMs = (long) (LOST_ATTEMPT_GRACE_RESERVATIONS * policy.reservationMs());
-        this.ignoreEvacuationLimitMs = (long) (UNLIMITED_EVACUATION_AFTER * policy.cancelMs());
-        this.cancelDeletionMs = (long) (DELETE_AFTER * policy.cancelMs());
+        this.ignoreEvacuationLimitMs = (long) (UNLIMITED_EVACUATION_CANCEL_FRACTION * policy.cancelMs());
+        this.cancelDeletionMs = (long) (DELETION_CANCEL_FRACTION * policy.cancelMs());
     }
 
     /**
@@ -112,15 +110,15 @@
         return machine.allocations().stream().anyMatch(allocation -> allocation.isLostFor(waitMs, eventLoop.nowMs()));
     }
 
-    // Applies to reachable agents too. Their starts are not sent again while the machine lacks free capacity or while
-    // the
-    // inherited starts of a team together exceed its quota. Without this limit, such starts could block each other.
+    // Applies to reachable agents too. Their starts are not sent again while the machine lacks free capacity or
+    // while the inherited starts of a team together exceed its quota. Without this limit, such starts could block
+    // each other.
     private boolean hasOverdueLostAttempt(Machine machine) {
         return machine.allocations().stream()
                 .anyMatch(allocation -> allocation.isLostFor(lostAttemptGraceMs, eventLoop.nowMs()));
     }
 
-    // An acknowledged cancellation guarantees that none of the job's tasks runs after the time limit. The limit of
+    // An acknowledged cancellation guarantees that none of the job's tasks runs after the cancel limit. The limit of
     // machines being evacuated must not delay the deletion beyond that.
     private void fenceBeforeCancellationDeadline(Machine machine) {
         OptionalLong cancelledAtMs = LateStartsOfCancelledTasks.firstCancellationMs(machine);
@@ -135,8 +133,8 @@
         }
     }
 
-    // Called while the leader's lease is not being renewed. The state service may recover only after the cancellation's
-    // time limit, and an unconfirmed leader can't delete machines. So the machine is deleted at once.
+    // Called while the leader's lease is not being renewed. The state service may recover only after the cancel
+    // limit, and an unconfirmed leader can't delete machines. So the machine is deleted at once.
     private void fenceIfCancelledTaskMayStart(Machine machine) {
         if (LateStartsOfCancelledTasks.firstPossibleCancellationMs(machine).isPresent()) {
             fence(machine, eventLoop.nowMs());
--- a/src/main/java/io/quartzgw/startlog/LogEntry.java
+++ b/src/main/java/io/quartzgw/startlog/LogEntry.java
@@ -2,17 +2,17 @@
 
 import io.quartzgw.model.Attempt;
 
-/** A start in the log. A start that is dropped and announced again gets a new entry. */
+/** A start in the log. A start that is dropped and added again gets a new entry. */
 final class LogEntry {
     private final String machine;
     private final Attempt start;
-    private final long announcedAtMs;
+    private final long addedAtMs;
     private boolean stored;
 
-    LogEntry(String machine, Attempt start, long announcedAtMs) {
+    LogEntry(String machine, Attempt start, long addedAtMs) {
         this.machine = machine;
         this.start = start;
-        this.announcedAtMs = announcedAtMs;
+        this.addedAtMs = addedAtMs;
     }
 
     /** Returns the ID of the target machine. */
@@ -25,9 +25,9 @@
         return start;
     }
 
-    /** Returns the time at which the start was announced, in event loop time. */
-    long announcedAtMs() {
-        return announcedAtMs;
+    /** Returns the time at which the start was added, in event loop time. */
+    long addedAtMs() {
+        return addedAtMs;
     }
 
     /** Returns whether the state service has acknowledged the entry. */
--- a/src/main/java/io/quartzgw/startlog/StartLog.java
+++ b/src/main/java/io/quartzgw/startlog/StartLog.java
@@ -276,7 +276,7 @@
         if (waiting.remove(entry)) {
             entry.markStored();
             eventLoop.increment("startlog.starts", 1);
-            eventLoop.increment("startlog.wait_ms", eventLoop.nowMs() - entry.announcedAtMs());
+            eventLoop.increment("startlog.wait_ms", eventLoop.nowMs() - entry.addedAtMs());
             onStored.accept(entry.machine());
         }
     }
@@ -287,7 +287,7 @@
     public void report() {
         long oldestMs = waiting.stream()
                 .findFirst()
-                .map(entry -> eventLoop.nowMs() - entry.announcedAtMs())
+                .map(entry -> eventLoop.nowMs() - entry.addedAtMs())
                 .orElse(0L);
         eventLoop.setGauge("startlog.size", size);
         eventLoop.setGauge("startlog.pages", records.pageCount());
--- a/src/test/java/io/quartzgw/store/RequestQueueTest.java
+++ b/src/test/java/io/quartzgw/store/RequestQueueTest.java
@@ -88,9 +88,8 @@
         assertEquals("/write", sent.get(10));
     }
 
-    // Guards against two kinds of starvation: urgent writes of a leader must not starve submissions, and submissions
-    // must
-    // not starve the leader's background writes, on which starts may depend.
+    // Guards against two kinds of starvation: urgent writes of a leader must not starve submissions, and
+    // submissions must not starve the leader's background writes, on which starts may depend.
     @Test
     void sendsLongWaitingWritesBeforeLaterUrgentWrites() {
         RequestQueue queue = new RequestQueue(eventLoop, LIMITS, reply -> {});
